--- /dev/null
+++ b/tests/replay/policy_replay_test.cpp
@@ -0,0 +1,457 @@
+// The decision module replayed: seeded batches of events, answered by a small model of engines, and a digest
+// of all actions. Guards against a change of any decision, or of any draw of a random number, that was not
+// meant. A digest is not recorded anew in a refactoring.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <memory>
+#include <ostream>
+#include <queue>
+#include <vector>
+
+#include "deployments.hpp"
+#include "digest.hpp"
+
+namespace bellstair::test {
+namespace {
+using namespace std::chrono_literals;
+using namespace heronwell;
+
+enum class Mode { well, slow, failing, silent, unreachable, full };
+
+struct ModelEngine {
+  EngineEntry entry;
+  Mode mode = Mode::well;
+  unsigned running = 0;
+};
+
+struct ModelAttempt {
+  EngineId engine = 0;
+  bool over = false;
+};
+
+struct ModelRequest {
+  Arrival arrival;
+  Time deadline{};
+  bool closed = false;
+  std::vector<ModelAttempt> attempts;
+};
+
+struct ActionCounts {
+  std::size_t sends = 0, call_offs = 0, refusals = 0, failures = 0, terms = 0, probes = 0, tells = 0;
+  std::size_t traces = 0, second_sends = 0;
+};
+
+struct Scenario {
+  Deployment deployment;
+  unsigned gateways;   // as the settings tell
+  unsigned instances;  // of them that the replay runs
+  unsigned engines;
+  double arrivals_per_s;  // at each instance
+  std::uint64_t seed;
+  const char* digest;
+};
+
+void PrintTo(const Scenario& s, std::ostream* out) {
+  *out << "deployment " << static_cast<int>(s.deployment) << ", gateways " << s.gateways << ", seed "
+       << s.seed;
+}
+
+class World;
+
+// One instance of the module with the requests that it was given.
+struct Instance {
+  std::unique_ptr<Gateway> gateway;
+  std::map<RequestId, ModelRequest> requests;
+  std::multimap<Time, Event> due;
+  Time away_until{};
+};
+
+class World {
+ public:
+  explicit World(const Scenario& scenario)
+      : scenario_(scenario),
+        settings_(settings_of(scenario.deployment, scenario.gateways)),
+        random_(scenario.seed) {
+    for (unsigned n = 0; n < scenario.engines; ++n) add_engine(Time::zero());
+    for (unsigned n = 0; n < scenario.instances; ++n) {
+      auto settings = settings_;
+      settings.me = n;
+      instances_.push_back({std::make_unique<Gateway>(settings, scenario.seed + n), {}, {}, {}});
+      if (n + 1 < scenario.instances || n == 0) instances_.back().due.emplace(now_, full(ListKind::cached));
+    }
+  }
+
+  void run() {
+    constexpr Time kStep = 10ms;
+    for (int step = 0; step < 3000; ++step) {
+      now_ += kStep;
+      if (step % 50 == 0) disturb();
+      if (step == 1500) reconfigure();
+      for (std::size_t n = 0; n < instances_.size(); ++n) turn(n);
+    }
+  }
+
+  [[nodiscard]] std::string digest() const { return digest_.hex(); }
+  [[nodiscard]] const ActionCounts& counts() const { return counts_; }
+
+ private:
+  void add_engine(Time start) {
+    ModelEngine engine;
+    engine.entry.engine = next_engine_++;
+    engine.entry.zone = static_cast<std::uint16_t>(engine.entry.engine % settings_.zones);
+    engine.entry.cell = static_cast<std::uint16_t>(engine.entry.engine % 3);
+    engine.entry.kind = static_cast<std::uint16_t>(engine.entry.engine / 2 % settings_.kinds.size());
+    engine.entry.last_start = start;
+    engines_.push_back(engine);
+  }
+
+  [[nodiscard]] Listing full(ListKind kind) const {
+    Listing out;
+    out.kind = kind;
+    for (const auto& engine : engines_) out.engines.push_back(engine.entry);
+    return out;
+  }
+
+  void announce(const EngineEntry& entry) {
+    for (auto& instance : instances_)
+      instance.due.emplace(now_ + Time(1ms) * static_cast<int>(random_.below(200)),
+                           Listing{ListKind::delta, {entry}});
+  }
+
+  // One change of an engine's health or state, as they come in service.
+  void disturb() {
+    auto& engine = engines_[random_.below(engines_.size())];
+    switch (random_.below(12)) {
+      case 0:
+      case 1:
+        engine.mode = Mode::slow;
+        break;
+      case 2:
+        engine.mode = Mode::failing;
+        break;
+      case 3:
+        engine.mode = Mode::silent;
+        break;
+      case 4:
+        engine.mode = Mode::unreachable;
+        break;
+      case 5:
+        engine.mode = Mode::full;
+        break;
+      case 6:
+        engine.entry.state = EngineState::draining;
+        announce(engine.entry);
+        break;
+      case 7:
+        engine.entry.last_start = now_;
+        engine.entry.state = EngineState::ready;
+        engine.mode = Mode::well;
+        announce(engine.entry);
+        break;
+      case 8:
+        engine.entry.state = EngineState::gone;
+        announce(engine.entry);
+        add_engine(now_);
+        announce(engines_.back().entry);
+        break;
+      case 9:
+        for (auto& instance : instances_) {
+          instance.due.emplace(now_, Listing{ListKind::failed, {}});
+          instance.due.emplace(now_ + 700ms, full(ListKind::full));
+        }
+        break;
+      case 10:
+        instances_[random_.below(instances_.size())].away_until = now_ + 450ms;
+        break;
+      default:
+        for (auto& each : engines_) {
+          each.mode = Mode::well;
+          if (each.entry.state != EngineState::draining) continue;
+          each.entry.state = EngineState::ready;
+          announce(each.entry);
+        }
+        break;
+    }
+  }
+
+  void reconfigure() {
+    settings_.classes[0].aim = settings_.classes[0].aim * 3 / 2;
+    settings_.classes[1].worth *= 2;
+    if (!settings_.tenants.empty()) settings_.tenants.pop_back();
+    settings_.tenants.push_back({"new", 0.1, 5});
+    for (std::size_t n = 0; n < instances_.size(); ++n) {
+      auto settings = settings_;
+      settings.me = static_cast<unsigned>(n);
+      instances_[n].gateway->reconfigure(settings);
+    }
+  }
+
+  void turn(std::size_t n) {
+    auto& instance = instances_[n];
+    if (now_ < instance.away_until) return;
+    std::vector<Event> events;
+    while (!instance.due.empty() && instance.due.begin()->first <= now_) {
+      events.push_back(std::move(instance.due.begin()->second));
+      instance.due.erase(instance.due.begin());
+      drop_if_stale(instance, events);
+    }
+    const double burst = now_ % 7s < 2s ? 3 : 1;
+    for (double expected = scenario_.arrivals_per_s * burst * 0.01; expected > 0; expected -= 1)
+      if (random_.chance(std::min(1.0, expected))) arrive(instance, events);
+    std::vector<Action> actions;
+    instance.gateway->handle(now_, events, actions);
+    digest_.add(static_cast<std::int64_t>(now_ / 1us));
+    for (const auto& action : actions) std::visit([&](const auto& a) { take(n, a); }, action);
+    if (now_ % 500ms != 0s) return;
+    digest_.add_rounded(instance.gateway->pool());
+    digest_.add_rounded(instance.gateway->level());
+    for (std::size_t c = 0; c < settings_.classes.size(); ++c)
+      digest_.add_rounded(instance.gateway->view(static_cast<ClassIndex>(c)).budget);
+  }
+
+  // An end of a request that the module was told of before is told no more.
+  static void drop_if_stale(Instance& instance, std::vector<Event>& events) {
+    if (auto* outcome = std::get_if<Outcome>(&events.back())) {
+      auto& request = instance.requests.at(outcome->request);
+      auto& attempt = request.attempts[outcome->attempt];
+      if (attempt.over) return events.pop_back();
+      attempt.over = true;
+      if (outcome->result == Result::served) request.closed = true;
+      outcome->closed = request.closed;
+    } else if (const auto* note = std::get_if<Note>(&events.back())) {
+      if (instance.requests.at(note->request).attempts[note->attempt].over) events.pop_back();
+    } else if (const auto* left = std::get_if<ClientLeft>(&events.back())) {
+      auto& request = instance.requests.at(left->request);
+      if (request.closed) return events.pop_back();
+      request.closed = true;
+    }
+  }
+
+  void arrive(Instance& instance, std::vector<Event>& events) {
+    Arrival arrival;
+    arrival.request = ++last_request_;
+    arrival.cls = static_cast<ClassIndex>(random_.below(settings_.classes.size()));
+    const auto& cls = settings_.classes[arrival.cls];
+    arrival.tenant = static_cast<std::uint32_t>(random_.below(settings_.tenants.size() + 1));
+    if (cls.in_order) arrival.order_key = 1 + random_.below(6);
+    arrival.time_left = cls.give_up - Time(1ms) * static_cast<int>(random_.below(400));
+    if (random_.chance(0.8)) {
+      arrival.cost = Time(1ms) * static_cast<int>(20 + random_.below(400) * (random_.chance(0.05) ? 20 : 1));
+      arrival.memory_mb = 10 + static_cast<double>(random_.below(500));
+    }
+    arrival.data_group = static_cast<std::int64_t>(random_.below(5));
+    if (random_.chance(0.03))
+      instance.due.emplace(now_ + Time(1ms) * static_cast<int>(random_.below(1500)),
+                           ClientLeft{arrival.request});
+    instance.requests[arrival.request] = {arrival, now_ + arrival.time_left, false, {}};
+    events.emplace_back(arrival);
+  }
+
+  ModelEngine& engine(EngineId id) {
+    return *std::ranges::find(engines_, id, [](const ModelEngine& e) { return e.entry.engine; });
+  }
+
+  std::vector<double> load(const ModelEngine& engine) {
+    std::vector<double> out;
+    const double running = engine.running + static_cast<double>(random_.below(3));
+    for (const auto field : settings_.load_fields) {
+      if (field == LoadField::inflight) out.push_back(running);
+      if (field == LoadField::queue) out.push_back(static_cast<double>(random_.below(3)));
+      if (field == LoadField::util) out.push_back(std::min(1.0, running / 12));
+      if (field == LoadField::memory_share || field == LoadField::unknown) out.push_back(random_.unit());
+    }
+    return out;
+  }
+
+  void put(std::initializer_list<std::int64_t> values) {
+    for (const auto value : values) digest_.add(value);
+  }
+
+  void take(std::size_t n, const Send& send) {
+    auto& instance = instances_[n];
+    auto& request = instance.requests.at(send.request);
+    put({1, send.request, send.engine, send.until / 1us});
+    ++counts_.sends;
+    const auto index = static_cast<AttemptIndex>(request.attempts.size());
+    if (index > 0) ++counts_.second_sends;
+    request.attempts.push_back({send.engine, false});
+    auto& target = engine(send.engine);
+    ++target.running;
+    Outcome outcome;
+    outcome.request = send.request;
+    outcome.attempt = index;
+    outcome.engine = send.engine;
+    const double usual = 0.02 + 0.15 * random_.unit() * (1 + request.arrival.cls);
+    double took = usual * (random_.chance(0.03) ? 12 : 1) * (1 + 0.05 * target.running);
+    settle(target.mode, outcome, took);
+    const auto latency = Time(static_cast<std::int64_t>(took * 1e9));
+    outcome.latency = latency;
+    if (now_ + latency > send.until) {
+      outcome.result = Result::timed_out;
+      outcome.latency = std::max(Time(1ms), send.until - now_);
+      if (random_.chance(0.3)) outcome.lingers = 800ms;
+    }
+    if (outcome.result == Result::served) {
+      if (settings_.tells_cost) {
+        outcome.work = Time(static_cast<std::int64_t>(usual * 0.8e9));
+        outcome.memory_mb = 50 + static_cast<double>(random_.below(300));
+      }
+      if (settings_.load_in_answers || random_.chance(0.3)) outcome.load = load(target);
+    }
+    if (settings_.progress_pace > Time::zero() && target.mode != Mode::silent) notes(instance, outcome);
+    instance.due.emplace(now_ + outcome.latency, outcome);
+  }
+
+  void settle(Mode mode, Outcome& outcome, double& took) {
+    switch (mode) {
+      case Mode::well:
+        if (random_.chance(0.01)) outcome.result = Result::error;
+        if (random_.chance(0.01)) outcome.result = Result::reset;
+        return;
+      case Mode::slow:
+        took *= 5;
+        return;
+      case Mode::failing:
+        outcome.result = random_.chance(0.7) ? Result::error : Result::served;
+        took = 0.005;
+        return;
+      case Mode::silent:
+        took = 1e3;
+        return;
+      case Mode::unreachable:
+        outcome.result = random_.chance(0.8) ? Result::not_connected : Result::reset;
+        took = 0.002;
+        return;
+      case Mode::full:
+        outcome.result = random_.chance(0.8) ? Result::turned_away : Result::moot;
+        took = 0.003;
+        return;
+    }
+  }
+
+  void notes(Instance& instance, const Outcome& outcome) {
+    const bool bad_plan = random_.chance(0.05);
+    int n = 0;
+    for (Time at = settings_.progress_pace; at < outcome.latency && n < 20; at += settings_.progress_pace) {
+      Note note;
+      note.request = outcome.request;
+      note.attempt = outcome.attempt;
+      note.engine = outcome.engine;
+      note.kind = random_.chance(0.1) ? NoteKind::waiting : NoteKind::progress;
+      note.amount = note.kind == NoteKind::waiting
+                        ? 1 + static_cast<double>(random_.below(2))
+                        : std::chrono::duration<double>(at) / std::chrono::duration<double>(outcome.latency) *
+                              (bad_plan ? 0.02 : 1);
+      instance.due.emplace(now_ + at, note);
+      ++n;
+    }
+  }
+
+  void take(std::size_t n, const CallOff& off) {
+    put({2, off.request, off.attempt});
+    ++counts_.call_offs;
+    Outcome outcome;
+    outcome.request = off.request;
+    outcome.attempt = off.attempt;
+    outcome.engine = instances_[n].requests.at(off.request).attempts[off.attempt].engine;
+    outcome.result = Result::called_off;
+    outcome.latency = 30ms;
+    if (random_.chance(0.2)) outcome.lingers = 300ms;
+    instances_[n].due.emplace(now_ + 30ms, outcome);
+  }
+  void take(std::size_t n, const Refuse& refuse) {
+    put({3, refuse.request, refuse.pause / 1us, static_cast<std::int64_t>(refuse.reason)});
+    ++counts_.refusals;
+    instances_[n].requests.at(refuse.request).closed = true;
+  }
+  void take(std::size_t n, const Fail& fail) {
+    put({4, fail.request, static_cast<std::int64_t>(fail.reason)});
+    ++counts_.failures;
+    instances_[n].requests.at(fail.request).closed = true;
+  }
+  void take(std::size_t, const Terms& terms) {
+    put({5, terms.request, terms.priority});
+    digest_.add_rounded(terms.memory_mb);
+    ++counts_.terms;
+  }
+  void take(std::size_t n, const WakeAfter& wake) {
+    put({6, wake.delay / 1us});
+    instances_[n].due.emplace(now_ + wake.delay, Wake{});
+  }
+  void take(std::size_t n, const Probe& probe) {
+    put({7, probe.engine});
+    ++counts_.probes;
+    const auto& target = engine(probe.engine);
+    ProbeResult result;
+    result.engine = probe.engine;
+    result.latency = 4ms;
+    if (target.mode == Mode::unreachable) result.result = Result::not_connected;
+    if (target.mode != Mode::unreachable) result.load = load(target);
+    if (target.mode != Mode::silent) instances_[n].due.emplace(now_ + 4ms, result);
+  }
+  void take(std::size_t n, const Tell& tell) {
+    put({8, tell.to ? static_cast<std::int64_t>(*tell.to) : -1});
+    digest_.add(tell.bytes);
+    ++counts_.tells;
+    const auto size = instances_.size();
+    for (std::size_t to = 0; to < size; ++to) {
+      // Those that the replay does not run are stood for by one that it does.
+      if (to == n || (tell.to && *tell.to % size != to)) continue;
+      if (random_.chance(0.05)) continue;
+      instances_[to].due.emplace(now_ + 3ms, PeerMessage{static_cast<std::uint32_t>(n), tell.bytes});
+    }
+  }
+  void take(std::size_t n, const Observe& observe) {
+    put({9, observe.on ? 1 : 0});
+    if (observe.on) instances_[n].due.emplace(now_ + 5ms, full(ListKind::full));
+  }
+  void take(std::size_t, const Trace&) {  // its wording may change
+    put({10});
+    ++counts_.traces;
+  }
+
+  const Scenario& scenario_;
+  Settings settings_;
+  Random random_;
+  Digest digest_;
+  ActionCounts counts_;
+  Time now_{100s};
+  EngineId next_engine_ = 1;
+  RequestId last_request_ = 0;
+  std::vector<ModelEngine> engines_;
+  std::vector<Instance> instances_;
+};
+
+class PolicyReplay : public testing::TestWithParam<Scenario> {};
+
+TEST_P(PolicyReplay, TakesTheRecordedActions) {
+  World world(GetParam());
+  world.run();
+  const auto& counts = world.counts();
+  EXPECT_GT(counts.sends, 300U);
+  EXPECT_GT(counts.second_sends, 0U);
+  EXPECT_GT(counts.refusals, 0U);
+  EXPECT_GT(counts.traces, 0U);
+  EXPECT_EQ(world.digest(), GetParam().digest);
+}
+
+const Scenario kScenarios[] = {
+    {Deployment::peers_and_probes, 1, 1, 3, 60, 1, "b82766c1e418dee0"},
+    {Deployment::peers_and_probes, 8, 8, 12, 40, 2, "945ba7598a73f7d4"},
+    {Deployment::peers_and_probes, 300, 8, 40, 25, 3, "17758767c4ab49ee"},
+    {Deployment::reports_in_answers, 1, 1, 3, 60, 4, "78547d048ce40201"},
+    {Deployment::reports_in_answers, 8, 8, 12, 40, 5, "c0f428e174cb97ae"},
+    {Deployment::reports_in_answers, 300, 8, 40, 25, 6, "8fff18cecc8a8327"},
+    {Deployment::hedged, 1, 1, 4, 60, 7, "bf19df783eec1643"},
+    {Deployment::hedged, 8, 8, 14, 40, 8, "9e42e0972429a740"},
+    {Deployment::hedged, 300, 8, 40, 25, 9, "9725d89121527b13"},
+    {Deployment::paces_only, 8, 8, 12, 40, 10, "1ee63433e2cb35a1"},
+    {Deployment::paces_only, 300, 8, 40, 25, 11, "d2a292554373c0fd"},
+};
+
+INSTANTIATE_TEST_SUITE_P(Sizes, PolicyReplay, testing::ValuesIn(kScenarios));
+
+}  // namespace
+}  // namespace bellstair::test
--- /dev/null
+++ b/tests/replay/stored_forms_test.cpp
@@ -0,0 +1,131 @@
+// The forms that other versions of the program read: each message of the control protocol, a frame of its
+// streams, a broker's file of the last version, a node's database. tests/data holds them as the first version
+// wrote them. Guards against a version that no longer understands its peers or its own files.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+#include <fstream>
+#include <optional>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "app/last_version.hpp"
+#include "control/message.hpp"
+#include "control/store.hpp"
+#include "link/frame.hpp"
+
+namespace bellstair::test {
+namespace {
+using namespace std::chrono_literals;
+using namespace control;
+
+const std::filesystem::path kData = std::filesystem::path(BELLSTAIR_SOURCE) / "tests" / "data";
+
+std::string content(const std::filesystem::path& path) {
+  std::ostringstream out;
+  out << std::ifstream(path, std::ios::binary).rdbuf();
+  return std::move(out).str();
+}
+
+Version version(std::uint64_t epoch, std::uint64_t number, const std::string& text) {
+  Version out{{epoch, number}, "c1", {}, text};
+  out.digest = digest_of(out);
+  return out;
+}
+
+const std::string kDocument = "tenant \"beta\" {\n  share = 0.5\n}\n";
+
+std::vector<Message> messages() {
+  const Version good = version(3, 17, kDocument);
+  Hello broker;
+  broker.fleet = "schools";
+  broker.name = "b7";
+  broker.region = "north";
+  broker.reign = {3, "c1"};
+  broker.have = {3, 16};
+  broker.digest = good.digest;
+  Hello node = broker;
+  node.role = Role::node;
+  Hello tool = broker;
+  tool.role = Role::tool;
+  Welcome welcome;
+  welcome.fleet = "schools";
+  welcome.name = "c1";
+  welcome.reign = {3, "c1"};
+  welcome.newest = {3, 17};
+  Status status;
+  status.node = "c1";
+  status.region = "north";
+  status.reign = {3, "c1"};
+  status.writes = true;
+  status.newest = {3, 17};
+  status.digest = good.digest;
+  status.brokers = {{"b7", "north", {3, 17}, {3, 16}, good.digest, "line 2: no", true, 1500ms}};
+  return {broker,
+          node,
+          tool,
+          welcome,
+          Farewell{"another fleet"},
+          Offer{good},
+          Report{{3, 16}, good.digest, {3, 17}, "line 2, column 3: no"},
+          Ping{},
+          Pong{{3, "c1"}},
+          Publish{kDocument},
+          Published{{3, 17}},
+          Rejected{"line 1: no\nline 2: no"},
+          AskStatus{},
+          status};
+}
+
+TEST(StoredForms, EachMessageOfTheControlProtocolHasTheRecordedBytes) {
+  std::istringstream recorded(content(kData / "control_messages.jsonl"));
+  for (const auto& message : messages()) {
+    std::string line;
+    ASSERT_TRUE(std::getline(recorded, line));
+    EXPECT_EQ(encode(message), line);
+    EXPECT_EQ(encode(decode(line)), line);
+  }
+  std::string rest;
+  EXPECT_FALSE(std::getline(recorded, rest)) << rest;
+}
+
+TEST(StoredForms, AFrameHasTheRecordedBytes) {
+  const std::string body = R"({"kind":"ping"})";
+  EXPECT_EQ(link::frame(body),
+            std::string("\0\0\0\x0f", 4) + content(kData / "ping_frame_checksum.bin") + body);
+}
+
+TEST(StoredForms, TheFileOfTheLastVersionHasTheRecordedBytesAndIsRead) {
+  const app::LastVersionFile recorded((kData / "last_version").string(), "schools");
+  std::optional<Version> read;
+  EXPECT_EQ(recorded.read(read), "");
+  ASSERT_TRUE(read.has_value());
+  EXPECT_EQ(*read, version(3, 17, kDocument));
+  const auto path = std::filesystem::path(testing::TempDir()) / "stored_forms_last_version";
+  std::filesystem::remove(path);
+  EXPECT_EQ(app::LastVersionFile(path.string(), "schools").write(*read), "");
+  EXPECT_EQ(content(path), content(kData / "last_version"));
+  std::filesystem::remove(path);
+}
+
+TEST(StoredForms, ANodesDatabaseOfTheFirstVersionIsReadAndCarriedOn) {
+  const auto path = std::filesystem::path(testing::TempDir()) / "stored_forms_node.sqlite";
+  std::filesystem::copy_file(kData / "node.sqlite", path, std::filesystem::copy_options::overwrite_existing);
+  {
+    Store store(path.string(), "schools");
+    EXPECT_EQ(store.stored().reign, (Reign{3, "c1"}));
+    ASSERT_TRUE(store.stored().newest.has_value());
+    EXPECT_EQ(*store.stored().newest, version(3, 17, kDocument));
+    EXPECT_EQ(store.versions(), 2U);
+    EXPECT_EQ(store.keep(version(3, 18, kDocument)), "");
+    EXPECT_EQ(store.keep(Reign{4, "c2"}), "");
+  }
+  Store again(path.string(), "schools");
+  EXPECT_EQ(again.stored().reign, (Reign{4, "c2"}));
+  EXPECT_EQ(again.stored().newest->place, (Place{3, 18}));
+  std::filesystem::remove(path);
+}
+
+}  // namespace
+}  // namespace bellstair::test
