--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 	cmake --build build -j$(JOBS)
 
 test:
-	cmake -B build-test -DCMAKE_BUILD_TYPE=Debug -DHERONWELL_TESTS=ON -DHERONWELL_STRICT=ON -DHERONWELL_SANITIZE=ON
+	cmake -B build-test -DCMAKE_BUILD_TYPE=Debug -DBELLSTAIR_TESTS=ON -DBELLSTAIR_STRICT=ON -DBELLSTAIR_SANITIZE=ON
 	cmake --build build-test -j$(JOBS)
 	@red=$$(sed -n 's/ *|.*//p' KNOWN-RED.txt 2>/dev/null | paste -sd'|'); set -e; \
 	if [ -n "$$red" ]; then echo "known to fail, run apart and passed over:"; cat KNOWN-RED.txt; \
@@ -27,7 +27,7 @@
 SEEDS ?= 1 2 3 4 5 6 7 8 9 10
 SECONDS ?= 30
 soak:
-	cmake -B build-test -DCMAKE_BUILD_TYPE=Debug -DHERONWELL_TESTS=ON -DHERONWELL_STRICT=ON -DHERONWELL_SANITIZE=ON
+	cmake -B build-test -DCMAKE_BUILD_TYPE=Debug -DBELLSTAIR_TESTS=ON -DBELLSTAIR_STRICT=ON -DBELLSTAIR_SANITIZE=ON
 	cmake --build build-test -j$(JOBS) --target soak
 	@failed=; for seed in $(SEEDS); do \
 	  build-test/tests/soak/soak --seed $$seed --seconds $(SECONDS) || failed="$$failed $$seed"; done; \
@@ -49,7 +49,7 @@
 	  $(if $(QUICK),build-bench/scale-quick.csv quick,benchmarks/scale/results.csv)
 
 lint:
-	@! grep -nE '^.{111,}' src/choice.cpp
+	@! grep -nE '^.{111,}' src/policy/gateway.cpp
 	@test "$$(sed -n 's/^build //p' deploy/packages.txt | tr '\n' ' ')" = \
 	  "$$(sed -n 's/^packages = \[\([^]]*\)\].*/\1/p' deploy/balancer.toml | tr -d '",') " || \
 	  { echo "deploy/packages.txt and deploy/balancer.toml name different packages"; false; }
--- a/benchmarks/hooks_cost.cpp
+++ b/benchmarks/hooks_cost.cpp
@@ -43,7 +43,7 @@
 
 const hooks::Words kWords{{"lookup"}, {"lycee-ennour"}, {"platform", "mysql"}};
 
-heronwell::Settings settings() {
+policy::Settings settings() {
   auto s = test::small_settings();
   s.tenants.resize(1);
   s.tenants[0].name = "lycee-ennour";
--- a/benchmarks/scale/hollow_fleet.hpp
+++ b/benchmarks/scale/hollow_fleet.hpp
@@ -189,7 +189,7 @@
     });
     costs.list += both;
   }
-  [[nodiscard]] core::FleetChange delta(unsigned database, heronwell::EngineState state) const {
+  [[nodiscard]] core::FleetChange delta(unsigned database, policy::EngineState state) const {
     core::FleetChange out;
     out.live = true;
     auto member = config_.known.changes.front().members.at(database);
--- a/benchmarks/scale/hollow_slopes.cpp
+++ b/benchmarks/scale/hollow_slopes.cpp
@@ -50,7 +50,7 @@
     // A database drains, and is back a quarter of a second later.
     if (steps % 50 == 0) {
       fleet.change(fleet.delta(
-          database, steps % 100 == 0 ? heronwell::EngineState::ready : heronwell::EngineState::draining));
+          database, steps % 100 == 0 ? policy::EngineState::ready : policy::EngineState::draining));
       if (steps % 100 == 0) database = (database + 1) % point.shape.databases;
       ++events;
     }
@@ -130,7 +130,7 @@
   shape.brokers = 50;
   HollowFleet fleet(shape, kMeasured, 3140, 40, 104729ULL * number + lost);
   fleet.run(750ms);
-  const auto event = [&](heronwell::EngineState state) {
+  const auto event = [&](policy::EngineState state) {
     core::FleetChange all;
     all.live = true;
     for (unsigned n = 0; n < lost; ++n) all.members.push_back(fleet.delta(n, state).members.front());
@@ -140,7 +140,7 @@
     const double at_once = us(fleet.costs.list) / kMeasured;
     fleet.run(1s);
     const auto after = fleet.measured();
-    const char* const role = state == heronwell::EngineState::gone ? "lost" : "back";
+    const char* const role = state == policy::EngineState::gone ? "lost" : "back";
     out.row(role, "list_event_each", "us", at_once);
     out.row(role, "control_processor_per_second", "us",
             (us(fleet.costs.tick) + us(fleet.costs.datagram)) / kMeasured);
@@ -157,8 +157,8 @@
                 each(after.refused, before.refused));
   };
   out.at("zone_lost", "databases", lost, number);
-  event(heronwell::EngineState::gone);
-  event(heronwell::EngineState::ready);
+  event(policy::EngineState::gone);
+  event(policy::EngineState::ready);
   out.load();
 }
 
--- a/include/heronwell/gateway.hpp
+++ b/include/bellstair/policy/gateway.hpp
@@ -1,5 +1,5 @@
-// The interface of heronwell: settings, events, actions and the class that turns one into the other.
-// The decisions themselves are in src/choice.cpp.
+// The interface of the decision module: settings, events, actions and the class that turns one into the
+// other. The decisions themselves are in src/policy/gateway.cpp.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-namespace heronwell {
+namespace bellstair::policy {
 
 using Time = std::chrono::nanoseconds;  // a moment on the caller's clock, or a span
 using RequestId = std::uint32_t;
@@ -267,4 +267,4 @@
   std::unique_ptr<Choice> choice_;
 };
 
-}  // namespace heronwell
+}  // namespace bellstair::policy
--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -51,7 +51,7 @@
 
 hooks::Words words_of(const config::Config& config) { return words_of(config.settings); }
 
-hooks::Words words_of(const heronwell::Settings& settings) {
+hooks::Words words_of(const policy::Settings& settings) {
   hooks::Words out;
   out.fronts = config::kFrontNames;
   for (const auto& cls : settings.classes) out.classes.push_back(cls.name);
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -30,7 +30,7 @@
 
 // Names for hooks, by their positions in the settings.
 [[nodiscard]] hooks::Words words_of(const config::Config& config);
-[[nodiscard]] hooks::Words words_of(const heronwell::Settings& settings);
+[[nodiscard]] hooks::Words words_of(const policy::Settings& settings);
 
 class Broker {
  public:
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,8 +6,8 @@
 #include <sstream>
 
 #include "config/read.hpp"
-#include "state.hpp"
-#include "wire.hpp"
+#include "policy/state.hpp"
+#include "simulator/wire.hpp"
 
 namespace bellstair::config {
 namespace {
@@ -23,7 +23,7 @@
 }
 
 // The same number for an engine at every broker, since brokers name engines to one another by it.
-heronwell::EngineId engine_id(std::string_view name) {
+policy::EngineId engine_id(std::string_view name) {
   const auto dash = name.rfind('-');
   if (dash != std::string_view::npos && name.size() - dash == 9) {
     if (const auto id = parse_hex<std::uint32_t>(name.substr(dash + 1))) return *id;
@@ -38,13 +38,13 @@
   core::Member out;
   out.entry.engine = engine_id(text(need(in, "id"), "servers[].id"));
   const auto state = text(need(in, "state"), "servers[].state");
-  out.entry.state = state == "in_service"    ? heronwell::EngineState::ready
-                    : state == "terminating" ? heronwell::EngineState::draining
+  out.entry.state = state == "in_service"    ? policy::EngineState::ready
+                    : state == "terminating" ? policy::EngineState::draining
                     : state == "terminated"
-                        ? heronwell::EngineState::gone
-                        : (bad("servers[].state", "holds an unknown word"), heronwell::EngineState::gone);
+                        ? policy::EngineState::gone
+                        : (bad("servers[].state", "holds an unknown word"), policy::EngineState::gone);
   out.address = text_or_none(in, "addr");
-  if (out.address.empty() && out.entry.state != heronwell::EngineState::gone)
+  if (out.address.empty() && out.entry.state != policy::EngineState::gone)
     bad("servers[].addr", "is missing");
   const auto index = [](const auto& map, const std::string& key) {
     const auto found = map.find(key);
@@ -144,8 +144,8 @@
   }
   const json& settings = object(need(all, "settings"), "settings");
   try {
-    out.settings = heronwell::wire::settings_from(settings);
-    heronwell::check(out.settings);  // what makes no sense is told before anything starts
+    out.settings = simulator::settings_from(settings);
+    policy::check(out.settings);  // what makes no sense is told before anything starts
   } catch (const std::exception& error) {
     throw Invalid(error.what());
   }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "bellstair/policy/gateway.hpp"
 #include "core/events.hpp"
-#include "heronwell/gateway.hpp"
 
 namespace bellstair::config {
 
@@ -39,7 +39,7 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 1024, memory_mb = 192;
   core::Time dial_timeout{}, idle_close{};
-  heronwell::Settings settings;
+  policy::Settings settings;
   Names names;
   Changes known;
   std::map<std::string, std::string> fixed;  // what needs a restart to change, as text, by field
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -117,7 +117,7 @@
     cls.late_share = named.late_share.value_or(cls.late_share);
   }
 
-  std::map<std::string_view, heronwell::TenantSettings> wanted;
+  std::map<std::string_view, policy::TenantSettings> wanted;
   auto& slots = out.settings.tenants = in_force.settings.tenants;
   auto& names = out.names.tenants;
   if (document.tenants) {
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -45,7 +45,7 @@
 // What a version may change, as a broker has it in force. Made of the configuration the broker began with and
 // one document.
 struct Overlay {
-  heronwell::Settings settings;
+  policy::Settings settings;
   Names names;
   std::string changelog;
 };
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -10,16 +10,16 @@
 #include <variant>
 #include <vector>
 
-#include "heronwell/gateway.hpp"
+#include "bellstair/policy/gateway.hpp"
 #include "hooks/spec.hpp"
 #include "log/level.hpp"
 
 namespace bellstair::core {
 
-using heronwell::AttemptIndex;
-using heronwell::ClassIndex;
-using heronwell::EngineId;
-using heronwell::RequestId;
+using policy::AttemptIndex;
+using policy::ClassIndex;
+using policy::EngineId;
+using policy::RequestId;
 using Time = std::chrono::nanoseconds;
 using Client = std::uint64_t;  // a front's handle for one request of one client
 
@@ -50,7 +50,7 @@
 };
 
 struct Member {
-  heronwell::EngineEntry entry;  // its last_start on the core's clock, which sets it
+  policy::EngineEntry entry;  // its last_start on the core's clock, which sets it
   std::string address;
   Time started{};  // Unix time of a late start, as told; 0: long ago
 };
@@ -110,7 +110,7 @@
 };
 struct ProbeEnded {
   EngineId engine = 0;
-  heronwell::Result result = heronwell::Result::served;
+  policy::Result result = policy::Result::served;
   std::vector<double> load;
 };
 struct PeerHeard {
@@ -134,7 +134,7 @@
 // change.
 struct SettingsOffered {
   std::uint64_t epoch = 0, number = 0;
-  heronwell::Settings settings;
+  policy::Settings settings;
   std::string changelog;              // empty: that of the platform's own configuration
   std::shared_ptr<const void> names;  // whoever offers it knows what it is
 };
@@ -206,7 +206,7 @@
 };
 struct SettingsInForce {  // names, hooks' words and the change log are those of it from here on
   std::uint64_t epoch = 0, number = 0;
-  heronwell::Settings settings;
+  policy::Settings settings;
   std::string changelog;
   std::shared_ptr<const void> names;
 };
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 namespace bellstair::core {
-using heronwell::EngineState;
+using policy::EngineState;
 
 Verdict Guard::may_take(const Taking& taking) const {
   // One that is read while the program ends could not be finished.
@@ -36,7 +36,7 @@
 }
 
 bool Guard::may_refuse(ClassIndex cls, bool unrun) const {
-  return heronwell::refusal_allowed(settings_.classes[cls], unrun);
+  return policy::refusal_allowed(settings_.classes[cls], unrun);
 }
 
 bool Guard::key_in_use(std::uint64_t key, RequestId request, Time now) const {
--- a/src/core/guard.hpp
+++ b/src/core/guard.hpp
@@ -10,14 +10,14 @@
 
 #include "core/lifecycle.hpp"
 #include "core/verdict.hpp"
-#include "rules.hpp"
+#include "policy/retry_rules.hpp"
 
 namespace bellstair::core {
 
 class Guard {
  public:
   // `settings`: those in force; they are replaced in place.
-  explicit Guard(const heronwell::Settings& settings) : settings_(settings) {}
+  explicit Guard(const policy::Settings& settings) : settings_(settings) {}
 
   struct Taking {
     Phase phase = Phase::starting;
@@ -29,7 +29,7 @@
 
   // An attempt of the same request. `running`: it is at its engine, or nothing proves yet that it is over.
   struct Earlier {
-    heronwell::EarlierAttempt attempt;
+    policy::EarlierAttempt attempt;
     bool running = false;
   };
   struct Sending {
@@ -37,8 +37,8 @@
     ClassIndex cls = 0;
     std::uint64_t order_key = 0;  // 0: none
     bool answered = false, client_gone = false;
-    Time until{};                                    // its time is over then
-    const heronwell::EngineEntry* engine = nullptr;  // none: not known
+    Time until{};                                 // its time is over then
+    const policy::EngineEntry* engine = nullptr;  // none: not known
     std::span<const Earlier> earlier;
   };
   // Whether the attempt may begin, and whether its first byte may leave: asked for both.
@@ -69,7 +69,7 @@
   // What a repeat's window is taken to end earlier by.
   static constexpr Time kWindowSlack = std::chrono::milliseconds(5);
 
-  const heronwell::Settings& settings_;
+  const policy::Settings& settings_;
   std::unordered_map<std::uint64_t, Key> keys_;
 };
 
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -9,8 +9,8 @@
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
-using heronwell::EngineState;
-using heronwell::Result;
+using policy::EngineState;
+using policy::Result;
 
 // Should the module have left a request without its answer, it fails so long before the client gives up.
 constexpr Time kLastCall = 15ms;
@@ -24,7 +24,7 @@
   return kEach + asked.body.size() + asked.parameters.size() + asked.nonce.size();
 }
 
-Time longest_deadline(const heronwell::Settings& settings) {
+Time longest_deadline(const policy::Settings& settings) {
   Time out{};
   for (const auto& cls : settings.classes) out = std::max(out, cls.give_up);
   return out;
@@ -56,7 +56,7 @@
 }
 }  // namespace
 
-Reducer::Reducer(heronwell::Settings settings, std::uint64_t seed, std::size_t most_bytes, hooks::Set hooks,
+Reducer::Reducer(policy::Settings settings, std::uint64_t seed, std::size_t most_bytes, hooks::Set hooks,
                  std::string changelog)
     : settings_(settings),
       gateway_(std::move(settings), seed),
@@ -85,7 +85,7 @@
 void Reducer::consult() {
   called_ = now_;
   for (auto& event : news_) {
-    if (auto* arrival = std::get_if<heronwell::Arrival>(&event)) {
+    if (auto* arrival = std::get_if<policy::Arrival>(&event)) {
       const auto* request = find(arrival->request);
       arrival->time_left =
           request == nullptr ? Time::zero() : std::max(Time::zero(), request->deadline - now_);
@@ -170,7 +170,7 @@
   request.answered = true;  // nothing is owed any more
   by_client_.erase(found);
   --owed_;
-  if (request.place == Place::module) news_.push_back(heronwell::ClientLeft{id});
+  if (request.place == Place::module) news_.push_back(policy::ClientLeft{id});
   step_out(id, request);
   withdraw_unsent(id, request);
   forget_if_done(id);
@@ -269,7 +269,7 @@
   const auto* attempt = find(heard.id);
   if (attempt == nullptr || attempt->stage != Stage::out) return;
   news_.push_back(
-      heronwell::Note{heard.id.request, heard.id.index, attempt->engine, heronwell::NoteKind::waiting, 0});
+      policy::Note{heard.id.request, heard.id.index, attempt->engine, policy::NoteKind::waiting, 0});
 }
 
 void Reducer::on(AttemptEnded& ended) {
@@ -292,7 +292,7 @@
     guard_.ended(request.asked.order_key, id.request, attempt.lingers);
   attempt.stage = Stage::over;
   if (never_ran(result)) attempt.may_run_since.reset();
-  heronwell::Outcome outcome;
+  policy::Outcome outcome;
   outcome.request = id.request;
   outcome.attempt = id.index;
   outcome.engine = attempt.engine;
@@ -317,7 +317,7 @@
 }
 
 void Reducer::on(ProbeEnded& ended) {
-  heronwell::ProbeResult probe;
+  policy::ProbeResult probe;
   auto& sent = probes_[ended.engine];
   if (!sent.empty()) {
     probe.latency = now_ - sent.front();
@@ -331,7 +331,7 @@
 }
 
 void Reducer::on(PeerHeard& heard) {
-  news_.push_back(heronwell::PeerMessage{heard.from, std::move(heard.bytes)});
+  news_.push_back(policy::PeerMessage{heard.from, std::move(heard.bytes)});
 }
 
 void Reducer::on(const StopAsked& asked) {
@@ -418,7 +418,7 @@
 
 // One request, at once and whole: its answer, its attempts, its place with the module.
 void Reducer::give_up(RequestId id, Request& request) {
-  if (request.place == Place::module) news_.push_back(heronwell::ClientLeft{id});
+  if (request.place == Place::module) news_.push_back(policy::ClientLeft{id});
   answer_unserved(id, request);
   for (std::size_t n = 0; n < request.attempts.size(); ++n)
     abandon({id, static_cast<AttemptIndex>(n)}, request.attempts[n], false);
@@ -435,14 +435,14 @@
 void Reducer::on(const Alarm& alarm) {
   switch (alarm.kind) {
     case Alarm::Kind::wake:
-      news_.push_back(heronwell::Wake{});
+      news_.push_back(policy::Wake{});
       return;
     case Alarm::Kind::attempt:
       if (auto* attempt = find(alarm.id); attempt != nullptr) abandon(alarm.id, *attempt, true);
       return;
     case Alarm::Kind::deadline:
       if (auto* request = find(alarm.id.request); request != nullptr && !request->answered) {
-        if (request->place == Place::module) news_.push_back(heronwell::ClientLeft{alarm.id.request});
+        if (request->place == Place::module) news_.push_back(policy::ClientLeft{alarm.id.request});
         answer(alarm.id.request, *request, AnswerKind::timed_out, Time::zero(), {});
         forget_if_done(alarm.id.request);
       }
@@ -452,7 +452,7 @@
 
 // ---- the module's actions
 
-void Reducer::act(const heronwell::Send& send) {
+void Reducer::act(const policy::Send& send) {
   auto* request = find(send.request);
   if (request == nullptr) return;
   const AttemptId id{send.request, static_cast<AttemptIndex>(request->attempts.size())};
@@ -476,7 +476,7 @@
   put(StartAttempt{id, send.engine});
 }
 
-void Reducer::act(const heronwell::CallOff& off) {
+void Reducer::act(const policy::CallOff& off) {
   const AttemptId id{off.request, off.attempt};
   if (auto* attempt = find(id); attempt != nullptr) abandon(id, *attempt, false);
 }
@@ -488,7 +488,7 @@
   put(Abandon{id});
 }
 
-void Reducer::act(const heronwell::Refuse& refuse) {
+void Reducer::act(const policy::Refuse& refuse) {
   auto* request = find(refuse.request);
   if (request == nullptr || request->answered) return;
   ++counters_.unserved[static_cast<std::size_t>(refuse.reason)];
@@ -502,7 +502,7 @@
   forget_if_done(refuse.request);
 }
 
-void Reducer::act(const heronwell::Fail& fail) {
+void Reducer::act(const policy::Fail& fail) {
   auto* request = find(fail.request);
   if (request == nullptr || request->answered) return;
   ++counters_.unserved[static_cast<std::size_t>(fail.reason)];
@@ -512,7 +512,7 @@
   forget_if_done(fail.request);
 }
 
-void Reducer::act(const heronwell::Terms& terms) {
+void Reducer::act(const policy::Terms& terms) {
   auto* request = find(terms.request);
   if (request == nullptr) return;
   request->memory_mb = terms.memory_mb;
@@ -525,17 +525,15 @@
   }
 }
 
-void Reducer::act(const heronwell::WakeAfter& wake) {
-  wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}});
-}
+void Reducer::act(const policy::WakeAfter& wake) { wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}}); }
 
-void Reducer::act(const heronwell::Probe& probe) {
+void Reducer::act(const policy::Probe& probe) {
   probes_[probe.engine].push_back(now_);
   put(ProbeEngine{probe.engine});
 }
 
-void Reducer::act(heronwell::Tell& tell) { put(TellPeers{tell.to, std::move(tell.bytes)}); }
-void Reducer::act(heronwell::Trace& trace) { put(Log{std::move(trace.text)}); }
+void Reducer::act(policy::Tell& tell) { put(TellPeers{tell.to, std::move(tell.bytes)}); }
+void Reducer::act(policy::Trace& trace) { put(Log{std::move(trace.text)}); }
 
 void Reducer::answer(RequestId id, Request& request, AnswerKind kind, Time pause, std::string body,
                      std::string shape) {
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -9,13 +9,13 @@
 #include <unordered_set>
 #include <vector>
 
+#include "bellstair/policy/gateway.hpp"
 #include "core/counters.hpp"
 #include "core/events.hpp"
 #include "core/guard.hpp"
 #include "core/lifecycle.hpp"
 #include "core/start_clock.hpp"
 #include "core/wheel.hpp"
-#include "heronwell/gateway.hpp"
 #include "hooks/control.hpp"
 
 namespace bellstair::core {
@@ -26,7 +26,7 @@
 
   // What requests hold may take `most_bytes`; beyond that they are refused, since to be killed for memory
   // would lose them all. `changelog`: its address in the platform's configuration.
-  Reducer(heronwell::Settings settings, std::uint64_t seed, std::size_t most_bytes = std::size_t{64} << 20,
+  Reducer(policy::Settings settings, std::uint64_t seed, std::size_t most_bytes = std::size_t{64} << 20,
           hooks::Set hooks = {}, std::string changelog = {});
 
   // `now`: a steady clock, of any beginning. Alarms and spans run on it alone, so that a step of the system's
@@ -101,16 +101,16 @@
   void on(const Tick& tick);
   void on(const Alarm& alarm);
 
-  void act(const heronwell::Send& send);
-  void act(const heronwell::CallOff& off);
-  void act(const heronwell::Refuse& refuse);
-  void act(const heronwell::Fail& fail);
-  void act(const heronwell::Terms& terms);
-  void act(const heronwell::WakeAfter& wake);
-  void act(const heronwell::Probe& probe);
-  void act(heronwell::Tell& tell);
-  void act(const heronwell::Observe&) {}  // the change log is always asked
-  void act(heronwell::Trace& trace);
+  void act(const policy::Send& send);
+  void act(const policy::CallOff& off);
+  void act(const policy::Refuse& refuse);
+  void act(const policy::Fail& fail);
+  void act(const policy::Terms& terms);
+  void act(const policy::WakeAfter& wake);
+  void act(const policy::Probe& probe);
+  void act(policy::Tell& tell);
+  void act(const policy::Observe&) {}  // the change log is always asked
+  void act(policy::Trace& trace);
 
   void consult();
   void settle_hooks();
@@ -136,15 +136,15 @@
   void read_starts_anew();
   void answer(RequestId id, Request& request, AnswerKind kind, Time pause, std::string body,
               std::string shape = {});
-  void conclude(AttemptId id, Request& request, heronwell::Result result, AttemptEnded* told);
+  void conclude(AttemptId id, Request& request, policy::Result result, AttemptEnded* told);
   void abandon(AttemptId id, Attempt& attempt, bool timed_out);
   void forget_if_done(RequestId id);
   Request* find(RequestId id);
   Attempt* find(AttemptId id);
   void put(Effect effect) { out_->push_back(std::move(effect)); }
 
-  heronwell::Settings settings_;
-  heronwell::Gateway gateway_;
+  policy::Settings settings_;
+  policy::Gateway gateway_;
   Guard guard_{settings_};
   Counters counters_;
   bool tells_all_ = false;
@@ -158,8 +158,8 @@
   std::unordered_set<std::string> tickets_;  // of the requests held
   std::unordered_map<EngineId, Member> members_;
   std::unordered_map<EngineId, std::vector<Time>> probes_;  // when each one that is out was sent
-  std::vector<heronwell::Event> news_;                      // for the module's next call
-  std::vector<heronwell::Action> actions_;
+  std::vector<policy::Event> news_;                         // for the module's next call
+  std::vector<policy::Action> actions_;
   hooks::Control hooks_;
   // By key of order: requests that the module has not heard of, as they came.
   std::unordered_map<std::uint64_t, std::deque<RequestId>> lines_;
--- a/src/core/reducer_fleet.cpp
+++ b/src/core/reducer_fleet.cpp
@@ -5,13 +5,13 @@
 #include "core/reducer.hpp"
 
 namespace bellstair::core {
-using heronwell::EngineState;
+using policy::EngineState;
 
 void Reducer::on(FleetChange& change) {
-  heronwell::Listing listing;
-  listing.kind = !change.full  ? heronwell::ListKind::delta
-                 : fleet_told_ ? heronwell::ListKind::full
-                               : heronwell::ListKind::cached;
+  policy::Listing listing;
+  listing.kind = !change.full  ? policy::ListKind::delta
+                 : fleet_told_ ? policy::ListKind::full
+                               : policy::ListKind::cached;
   if (change.full) {
     std::erase_if(members_, [&](const auto& known) {
       const auto same = [&](const Member& m) { return m.entry.engine == known.first; };
@@ -68,8 +68,8 @@
 }
 
 void Reducer::read_starts_anew() {
-  heronwell::Listing listing;
-  listing.kind = heronwell::ListKind::delta;
+  policy::Listing listing;
+  listing.kind = policy::ListKind::delta;
   for (auto& [id, member] : members_) {
     if (member.started == Time::zero()) continue;
     member.entry.last_start = std::max(member.entry.last_start, starts_.read_anew(member.started, now_));
--- a/src/core/reducer_hooks.cpp
+++ b/src/core/reducer_hooks.cpp
@@ -50,7 +50,7 @@
 void Reducer::hand_over(RequestId id, Request& request) {
   request.place = Place::module;
   const auto& asked = request.asked;
-  heronwell::Arrival arrival;
+  policy::Arrival arrival;
   arrival.request = id;
   arrival.cls = asked.cls;
   arrival.tenant = asked.tenant;
--- a/src/mysql/engines.cpp
+++ b/src/mysql/engines.cpp
@@ -218,9 +218,9 @@
 void Engines::run(const core::ProbeEngine& effect) {
   const auto engine = effect.engine;
   aside(engine, command(kPing, {}), [this, engine](bool had, bool answered) {
-    const auto result = !had       ? heronwell::Result::not_connected
-                        : answered ? heronwell::Result::served
-                                   : heronwell::Result::timed_out;
+    const auto result = !had       ? policy::Result::not_connected
+                        : answered ? policy::Result::served
+                                   : policy::Result::timed_out;
     post_(core::ProbeEnded{engine, result, {}});
   });
 }
--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -40,7 +40,7 @@
 }  // namespace
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
-             const config::Names& names, const heronwell::Settings& settings, Options options,
+             const config::Names& names, const policy::Settings& settings, Options options,
              std::uint64_t& handles, std::uint64_t seed, Post post)
     : loop_(loop),
       config_(config),
--- a/src/mysql/front.hpp
+++ b/src/mysql/front.hpp
@@ -33,7 +33,7 @@
     directory::Lookup lookup;   // of users that the front's own file does not name; empty: no directory
   };
   Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config, const config::Names& names,
-        const heronwell::Settings& settings, Options options, std::uint64_t& handles, std::uint64_t seed,
+        const policy::Settings& settings, Options options, std::uint64_t& handles, std::uint64_t seed,
         Post post);
 
   bool run(const core::Answer& answer);  // false: the client is not one of this front's
@@ -100,7 +100,7 @@
   ev::loop_ref loop_;
   const config::MysqlFront& config_;
   const config::Names& names_;
-  const heronwell::Settings& settings_;
+  const policy::Settings& settings_;
   Options options_;
   std::uint64_t& handles_;
   std::mt19937_64 tickets_;
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -73,15 +73,14 @@
 }
 
 core::ClassIndex class_of(const Options& options, std::string_view statement, const config::Names& names,
-                          const heronwell::Settings& settings) {
+                          const policy::Settings& settings) {
   if (const auto given = options.find("class"); given != options.end()) {
     const auto found = names.classes.find(given->second);
     if (found == names.classes.end()) wrong("class is in no settings: " + given->second);
     return found->second;
   }
   // A statement that only reads may go without: it is of the first class that is safe to repeat.
-  const auto safe =
-      std::ranges::find(settings.classes, heronwell::Effect::safe, &heronwell::ClassSettings::effect);
+  const auto safe = std::ranges::find(settings.classes, policy::Effect::safe, &policy::ClassSettings::effect);
   if (!reads(statement) || safe == settings.classes.end()) wrong("class is missing");
   return static_cast<core::ClassIndex>(safe - settings.classes.begin());
 }
@@ -90,7 +89,7 @@
 
 core::Submission map_statement(std::string_view statement, const std::vector<sql::Value>& values,
                                const std::vector<Attribute>& attributes, std::uint32_t tenant,
-                               const config::Names& names, const heronwell::Settings& settings) {
+                               const config::Names& names, const policy::Settings& settings) {
   auto options = comment_options(statement, values);
   for (const auto& attribute : attributes) {
     // Drivers send attributes of their own too: those are no concern of ours.
@@ -112,7 +111,7 @@
   if (out.nonce.size() > 128 || !std::ranges::all_of(out.nonce, fine))
     wrong("unique holds what no key may hold");
   // Without a key of the client's, its own repeat could not be told from a new request.
-  if (cls.effect == heronwell::Effect::keyed && out.nonce.empty())
+  if (cls.effect == policy::Effect::keyed && out.nonce.empty())
     wrong("unique is missing: " + cls.name + " needs it");
   if (const auto& item = options["item"]; !item.empty()) {
     const auto [end, error] = std::from_chars(item.data(), item.data() + item.size(), out.order_key, 16);
--- a/src/mysql/mapping.hpp
+++ b/src/mysql/mapping.hpp
@@ -26,7 +26,7 @@
 [[nodiscard]] core::Submission map_statement(std::string_view statement,
                                              const std::vector<sql::Value>& values,
                                              const std::vector<Attribute>& attributes, std::uint32_t tenant,
-                                             const config::Names& names, const heronwell::Settings& settings);
+                                             const config::Names& names, const policy::Settings& settings);
 
 [[nodiscard]] Error error_of(const core::Answer& answer);
 
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -277,22 +277,22 @@
 void Engines::probe(core::EngineId engine, int again) {
   aside(engine, http_call("GET", "/-/gauges", host(engine), {}, {}), kAside,
         [this, engine, again](End end, HttpAnswer& answer) {
-          core::ProbeEnded probe{engine, heronwell::Result::served, {}};
+          core::ProbeEnded probe{engine, policy::Result::served, {}};
           switch (end) {
             case End::answered:
-              if (answer.status != 200) probe.result = heronwell::Result::turned_away;
+              if (answer.status != 200) probe.result = policy::Result::turned_away;
               take_load(answer, probe.load);
               break;
             case End::not_connected:
-              probe.result = heronwell::Result::not_connected;
+              probe.result = policy::Result::not_connected;
               break;
             case End::unsent:
             case End::broken:
               if (again > 0) return this->probe(engine, again - 1);
-              probe.result = heronwell::Result::reset;
+              probe.result = policy::Result::reset;
               break;
             case End::silent:
-              probe.result = heronwell::Result::timed_out;
+              probe.result = policy::Result::timed_out;
               break;
           }
           post_(std::move(probe));
--- a/src/choice.cpp
+++ b/src/policy/gateway.cpp
@@ -1,4 +1,6 @@
-// All decisions. The interface is include/heronwell/gateway.hpp; what is remembered, src/state.hpp.
+// All decisions. The interface is include/bellstair/policy/gateway.hpp; what is remembered, src/policy/state.hpp.
+#include "bellstair/policy/gateway.hpp"
+
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -6,11 +8,10 @@
 #include <ranges>
 #include <tuple>
 
-#include "heronwell/gateway.hpp"
-#include "rules.hpp"
-#include "state.hpp"
+#include "policy/retry_rules.hpp"
+#include "policy/state.hpp"
 
-namespace heronwell {
+namespace bellstair::policy {
 namespace {
 using namespace std::chrono_literals;
 
@@ -410,7 +411,7 @@
   bool repeat_allowed(const Request& request, const Engine& engine) const {
     return std::ranges::all_of(request.attempts, [&](const Attempt& attempt) {
       const EarlierAttempt earlier{attempt.sent, attempt.zone, attempt.cell, attempt.proven_unrun()};
-      return heronwell::repeat_allowed(set(request), earlier, engine.entry, now_, kTick);
+      return policy::repeat_allowed(set(request), earlier, engine.entry, now_, kTick);
     });
   }
 
@@ -1164,4 +1165,4 @@
 ClassView Gateway::view(ClassIndex cls) const { return choice_->view(cls); }
 double Gateway::pool() const { return choice_->pool(); }
 double Gateway::level() const { return choice_->level(); }
-}  // namespace heronwell
+}  // namespace bellstair::policy
--- a/src/rules.hpp
+++ b/src/policy/retry_rules.hpp
@@ -2,9 +2,9 @@
 // module keeps them when it decides, and the broker's guard checks them where bytes leave.
 #pragma once
 
-#include "heronwell/gateway.hpp"
+#include "bellstair/policy/gateway.hpp"
 
-namespace heronwell {
+namespace bellstair::policy {
 
 // An attempt of the same request that was made before.
 struct EarlierAttempt {
@@ -31,4 +31,4 @@
          (cls.effect == Effect::keyed && cls.group == RepeatGroup::all);
 }
 
-}  // namespace heronwell
+}  // namespace bellstair::policy
--- a/src/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -14,9 +14,9 @@
 #include <deque>
 #include <utility>
 
-#include "heronwell/gateway.hpp"
+#include "bellstair/policy/gateway.hpp"
 
-namespace heronwell {
+namespace bellstair::policy {
 
 namespace slow_start {
 
@@ -120,4 +120,4 @@
   double turn_left_ = 0;
 };
 
-}  // namespace heronwell
+}  // namespace bellstair::policy
--- a/src/state.cpp
+++ b/src/policy/state.cpp
@@ -1,9 +1,9 @@
-#include "state.hpp"
+#include "policy/state.hpp"
 
 #include <stdexcept>
 #include <string>
 
-namespace heronwell {
+namespace bellstair::policy {
 namespace {
 constexpr std::size_t kMostBytes = 256;
 
@@ -19,9 +19,7 @@
 }  // namespace
 
 void check(const Settings& s) {
-  const auto bad = [](const char* what) {
-    throw std::invalid_argument(std::string("heronwell settings: ") + what);
-  };
+  const auto bad = [](const char* what) { throw std::invalid_argument(std::string("settings: ") + what); };
   if (s.gateways == 0) bad("gateways must be 1 or more");
   if (s.classes.empty()) bad("classes must not be empty");
   if (s.kinds.empty()) bad("kinds must not be empty");
@@ -44,8 +42,7 @@
 void check_change(const Settings& from, const Settings& to) {
   check(to);
   const auto fixed = [](bool same, const std::string& what) {
-    if (!same)
-      throw std::invalid_argument("heronwell settings: " + what + " can't change in a running gateway");
+    if (!same) throw std::invalid_argument("settings: " + what + " can't change in a running gateway");
   };
   fixed(from.classes.size() == to.classes.size(), "the number of classes");
   fixed(from.kinds == to.kinds, "kinds");
@@ -97,4 +94,4 @@
   return text;
 }
 
-}  // namespace heronwell
+}  // namespace bellstair::policy
--- a/src/state.hpp
+++ b/src/policy/state.hpp
@@ -9,10 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "heronwell/gateway.hpp"
-#include "slow_start.hpp"
+#include "bellstair/policy/gateway.hpp"
+#include "policy/slow_start.hpp"
 
-namespace heronwell {
+namespace bellstair::policy {
 
 inline double secs(Time t) { return std::chrono::duration<double>(t).count(); }
 inline Time span(double s) { return Time(static_cast<std::int64_t>(s * 1e9)); }
@@ -205,4 +205,4 @@
 std::string encode(const PeerText& text);  // leaves out entries that would pass 256 bytes
 std::optional<PeerText> decode(const std::string& bytes);
 
-}  // namespace heronwell
+}  // namespace bellstair::policy
--- a/src/drill.cpp
+++ b/src/simulator/main.cpp
@@ -7,15 +7,15 @@
 #include <optional>
 #include <vector>
 
-#include "heronwell/gateway.hpp"
-#include "wire.hpp"
+#include "bellstair/policy/gateway.hpp"
+#include "simulator/wire.hpp"
 
 namespace {
 
-using heronwell::Action;
-using heronwell::Event;
-using heronwell::Gateway;
-namespace wire = heronwell::wire;
+using bellstair::policy::Action;
+using bellstair::policy::Event;
+using bellstair::policy::Gateway;
+namespace wire = bellstair::simulator;
 
 // False at the end of input; a frame cut short is malformed.
 bool read_frame(std::vector<std::uint8_t>& frame) {
@@ -63,7 +63,7 @@
   }
 
  private:
-  void decide(heronwell::Time now, std::uint32_t id, const std::vector<Event>& events,
+  void decide(bellstair::policy::Time now, std::uint32_t id, const std::vector<Event>& events,
               wire::ReplyWriter& reply) {
     const auto found = gateways_.find(id);
     if (found == gateways_.end())
@@ -88,13 +88,13 @@
     while (read_frame(frame)) {
       const auto reply = host.answer(reader.read(frame));
       if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-        std::fputs("heronwell_drill: cannot write the reply\n", stderr);
+        std::fputs("bellstair_simulator: cannot write the reply\n", stderr);
         return 1;
       }
     }
     return 0;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "heronwell_drill: %s\n", error.what());
+    std::fprintf(stderr, "bellstair_simulator: %s\n", error.what());
     return 1;
   }
 }
--- a/src/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator/wire.hpp"
 
 #include <algorithm>
 #include <bit>
@@ -6,7 +6,8 @@
 #include <limits>
 #include <nlohmann/json.hpp>
 
-namespace heronwell::wire {
+namespace bellstair::simulator {
+using namespace policy;
 namespace {
 
 using nlohmann::json;
@@ -577,4 +578,4 @@
   return frame;
 }
 
-}  // namespace heronwell::wire
+}  // namespace bellstair::simulator
--- a/src/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -11,9 +11,15 @@
 #include <variant>
 #include <vector>
 
-#include "heronwell/gateway.hpp"
+#include "bellstair/policy/gateway.hpp"
 
-namespace heronwell::wire {
+namespace bellstair::simulator {
+
+using policy::Action;
+using policy::EngineEntry;
+using policy::Event;
+using policy::Settings;
+using policy::Time;
 
 struct Malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -66,4 +72,4 @@
   std::uint32_t records_ = 0;
 };
 
-}  // namespace heronwell::wire
+}  // namespace bellstair::simulator
--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "heronwell/gateway.hpp"
+#include "bellstair/policy/gateway.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 
 using namespace std::chrono_literals;
 
@@ -120,4 +120,4 @@
   return e;
 }
 
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -153,13 +153,13 @@
 }
 
 TEST(MysqlMapping, ClassKeysAndLimitsComeFromCommentsAndAttributes) {
-  heronwell::Settings settings;
-  heronwell::ClassSettings lookup, load;
+  policy::Settings settings;
+  policy::ClassSettings lookup, load;
   lookup.name = "lookup";
   lookup.give_up = std::chrono::seconds(2);
   load.name = "load";
   load.give_up = std::chrono::seconds(25);
-  load.effect = heronwell::Effect::keyed;
+  load.effect = policy::Effect::keyed;
   settings.classes = {lookup, load};
   config::Names names;
   names.classes = {{"lookup", 0}, {"load", 1}};
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -3,7 +3,7 @@
 
 #include "bench.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 Settings copying() {
@@ -417,4 +417,4 @@
 }
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -8,18 +8,18 @@
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
-using heronwell::EngineState;
+using policy::EngineState;
 using test::member;
 
-heronwell::Settings settings() {
+policy::Settings settings() {
   auto s = test::small_settings();
   auto once = s.classes[0];
   once.name = "once";
-  once.effect = heronwell::Effect::unsafe;
+  once.effect = policy::Effect::unsafe;
   s.classes.push_back(once);
   auto keyed = once;
   keyed.name = "keyed";
-  keyed.effect = heronwell::Effect::keyed;
+  keyed.effect = policy::Effect::keyed;
   keyed.window = 2s;
   s.classes.push_back(keyed);
   for (auto& cls : s.classes) cls.give_up = 20s;
@@ -31,7 +31,7 @@
 }
 
 // One of so many gateways that its turns at a cold engine are rare.
-heronwell::Settings cold_settings() {
+policy::Settings cold_settings() {
   auto s = settings();
   s.gateways = 100'000;
   s.tip_multiple = 2.5;
@@ -43,7 +43,7 @@
 
 class Driven {
  public:
-  explicit Driven(heronwell::Settings s = settings()) : with(std::move(s)) {
+  explicit Driven(policy::Settings s = settings()) : with(std::move(s)) {
     at(0ms, Listening{});
     at(0ms, FleetChange{true, {member(7)}, true});
     at(0ms, FleetQuiet{true});
@@ -77,7 +77,7 @@
     at(10ms, ended);
   }
   Time now = 1'700'000'000s;
-  heronwell::Settings with = settings();
+  policy::Settings with = settings();
   Reducer reducer{with, 1};
   Effects effects;
 };
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -5,10 +5,10 @@
 #include <set>
 #include <tuple>
 
-#include "../src/state.hpp"
+#include "policy/state.hpp"
 #include "bench.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 TEST(FastErrors, AnEngineThatFailsAtOnceIsRestedThoughItLooksRoomy) {
@@ -929,4 +929,4 @@
 }
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -8,7 +8,7 @@
 
 #include "bench.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 constexpr unsigned kGateways = 100;
@@ -294,4 +294,4 @@
 }
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -9,9 +9,9 @@
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
-using heronwell::Effect;
-using heronwell::EngineState;
-using heronwell::RepeatGroup;
+using policy::Effect;
+using policy::EngineState;
+using policy::RepeatGroup;
 
 class GuardTest : public ::testing::Test {
  protected:
@@ -31,9 +31,9 @@
     sending.earlier = {};
     return verdict;
   }
-  heronwell::Settings settings;
+  policy::Settings settings;
   Guard guard{settings};
-  heronwell::EngineEntry engine;
+  policy::EngineEntry engine;
   Guard::Sending sending;
 };
 
@@ -134,7 +134,7 @@
   EXPECT_EQ(counters.text(), "counters: violations=0");
   counters.taken = 3;
   counters.answered[static_cast<std::size_t>(AnswerKind::refused)] = 2;
-  counters.unserved[static_cast<std::size_t>(heronwell::Reason::too_big)] = 2;
+  counters.unserved[static_cast<std::size_t>(policy::Reason::too_big)] = 2;
   counters.withheld[static_cast<std::size_t>(Verdict::key_in_use)] = 1;
   counters.attempts[static_cast<std::size_t>(AttemptEnd::withdrawn)] = 1;
   counters.violations[static_cast<std::size_t>(Violation::late_answer)] = 1;
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -7,11 +7,11 @@
 namespace {
 using namespace std::chrono_literals;
 
-heronwell::Settings settings() {
+policy::Settings settings() {
   auto s = test::small_settings();
   auto load = s.classes[0];
   load.name = "load";
-  load.effect = heronwell::Effect::keyed;
+  load.effect = policy::Effect::keyed;
   load.window = 10s;
   load.in_order = true;
   s.classes.push_back(load);
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -4,7 +4,7 @@
 
 #include "bench.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 Settings loop_settings() {
@@ -144,4 +144,4 @@
 }
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -446,7 +446,7 @@
     Driven d(engine.address());
     d.run(core::ProbeEngine{7});
     const auto ended = d.wait<core::ProbeEnded>();
-    EXPECT_EQ(ended.result, resets == 1 ? heronwell::Result::served : heronwell::Result::reset);
+    EXPECT_EQ(ended.result, resets == 1 ? policy::Result::served : policy::Result::reset);
     EXPECT_EQ(calls, 2);
   }
 }
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -52,7 +52,7 @@
   EXPECT_EQ(one.settings.classes[1].late_share, 0.1);
   EXPECT_EQ(one.settings.classes[0], start.settings.classes[0]);
   EXPECT_EQ(one.settings.tenants,
-            (std::vector<heronwell::TenantSettings>{{"first", 0, 0}, {"second", 0.5, 5}, {"third", 0.5, 5}}));
+            (std::vector<policy::TenantSettings>{{"first", 0, 0}, {"second", 0.5, 5}, {"third", 0.5, 5}}));
   EXPECT_FALSE(one.names.tenants.contains("first"));
   EXPECT_NE(one.names.no_tenant, 0U) << "who names no tenant is not the one that was removed";
 
@@ -82,7 +82,7 @@
   const auto held = [](std::uint32_t slot) { return slot == 2; };
   now = overlay(start, now, document({"first", "b", "c"}), nothing);
   EXPECT_EQ(now.names.tenants.at("c"), 4U) << "requests of \"a\" may still be on their way in";
-  EXPECT_EQ(now.settings.tenants[2], (heronwell::TenantSettings{"a", 0, 0}));
+  EXPECT_EQ(now.settings.tenants[2], (policy::TenantSettings{"a", 0, 0}));
   now = overlay(start, now, document({"first", "b", "c", "d"}), held);
   EXPECT_EQ(now.names.tenants.at("d"), 5U);
   now = overlay(start, now, document({"first", "a", "b", "c", "d"}), held);
@@ -141,7 +141,7 @@
 
 // ---- the module
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 Settings shared() {
@@ -371,7 +371,7 @@
 }
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
 
 // ---- the core
 
@@ -379,7 +379,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-heronwell::Settings settings(Time give_up) {
+policy::Settings settings(Time give_up) {
   auto s = test::small_settings();
   s.classes[0].give_up = give_up;
   auto report = s.classes[0];
@@ -437,7 +437,7 @@
     }
     return false;
   }
-  heronwell::Settings with;  // for the next offer
+  policy::Settings with;  // for the next offer
   Time now = 1'700'000'000s;
   Effects effects;
   Reducer reducer;
@@ -563,7 +563,7 @@
   r.at(0ms, AttemptReady{out});
   r.ask(2, 1, 1);
   ASSERT_EQ(r.all<RunHook>().size(), 1U);
-  r.at(0ms, FleetChange{false, {test::member(7, heronwell::EngineState::draining)}, true});
+  r.at(0ms, FleetChange{false, {test::member(7, policy::EngineState::draining)}, true});
   r.ask(3, 0, 1);
   EXPECT_EQ(r.reducer.tenants_held(), (std::unordered_set<std::uint32_t>{1}));
   r.with.tenants[1].share = r.with.tenants[1].quota_per_s = 0;
--- a/tests/replay/policy_replay_test.cpp
+++ b/tests/replay/policy_replay_test.cpp
@@ -16,7 +16,7 @@
 namespace bellstair::test {
 namespace {
 using namespace std::chrono_literals;
-using namespace heronwell;
+using namespace bellstair::policy;
 
 enum class Mode { well, slow, failing, silent, unreachable, full };
 
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 using namespace std::chrono_literals;
 using namespace core;
-using heronwell::EngineState;
+using policy::EngineState;
 
 struct Scenario {
   Deployment deployment;
@@ -194,7 +194,7 @@
     asked.memory_mb = static_cast<double>(random_.below(400));
     asked.data_group = static_cast<std::int64_t>(random_.below(4));
     asked.ticket = random_.chance(0.02) ? "t-same" : "t" + std::to_string(last_client_);
-    if (cls.effect == heronwell::Effect::keyed) asked.nonce = "n" + std::to_string(last_client_);
+    if (cls.effect == policy::Effect::keyed) asked.nonce = "n" + std::to_string(last_client_);
     asked.body = "SELECT " + std::to_string(last_client_);
     if (random_.chance(0.02)) asked.body.append(200'000, 'x');
     const auto client = asked.client;
@@ -283,7 +283,7 @@
     put({probe.engine});
     ProbeEnded ended;
     ended.engine = probe.engine;
-    if (fate(probe.engine) == Fate::not_connected) ended.result = heronwell::Result::not_connected;
+    if (fate(probe.engine) == Fate::not_connected) ended.result = policy::Result::not_connected;
     for (std::size_t n = 0; n < settings_.load_fields.size(); ++n) ended.load.push_back(random_.unit());
     later(3ms, ended);
   }
@@ -349,7 +349,7 @@
   }
 
   const Scenario& scenario_;
-  heronwell::Settings settings_;
+  policy::Settings settings_;
   Random random_;
   Reducer reducer_;
   Digest digest_;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include "bench.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 constexpr ClassIndex kQuick = 0, kOnce = 1, kKeyed = 2;
@@ -419,4 +419,4 @@
 }
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -111,10 +111,10 @@
   core::EngineId last = 100'000;
   const auto period = [&] {
     for (unsigned n = 0; n < kDatabases; ++n) {
-      for (const auto state : {heronwell::EngineState::gone, heronwell::EngineState::ready}) {
+      for (const auto state : {policy::EngineState::gone, policy::EngineState::ready}) {
         auto change = fleet.delta(n, state);
         auto& id = change.members.front().entry.engine;
-        if (state == heronwell::EngineState::ready) place[n] = ++last;
+        if (state == policy::EngineState::ready) place[n] = ++last;
         id = place[n].value_or(id);
         fleet.change(change);
         fleet.run(20ms);
@@ -136,7 +136,7 @@
   fleet.run(500ms);
   const auto before = fleet.all();
   for (unsigned n = 0; n < 30; ++n) {
-    fleet.change(fleet.delta(n, heronwell::EngineState::draining));
+    fleet.change(fleet.delta(n, policy::EngineState::draining));
     fleet.run(20ms);
   }
   EXPECT_EQ(fleet.all().messages_sent, before.messages_sent);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -9,7 +9,7 @@
 
 #include "bench.hpp"
 
-namespace heronwell::test {
+namespace bellstair::policy::test {
 namespace {
 
 constexpr EngineId kCold = 9;
@@ -259,4 +259,4 @@
 INSTANTIATE_TEST_SUITE_P(AnyNumberOfBrokers, SlowStart, ::testing::Values(1U, 2U, 3U, 5U, 8U, 20U, 60U));
 
 }  // namespace
-}  // namespace heronwell::test
+}  // namespace bellstair::policy::test
--- a/tests/small_core.hpp
+++ b/tests/small_core.hpp
@@ -9,11 +9,11 @@
 
 namespace bellstair::test {
 
-inline heronwell::Settings small_settings() {
+inline policy::Settings small_settings() {
   using namespace std::chrono_literals;
-  heronwell::Settings s;
+  policy::Settings s;
   s.kinds = {{"std-8", 8, 16384}};
-  heronwell::ClassSettings lookup;
+  policy::ClassSettings lookup;
   lookup.name = "lookup";
   lookup.aim = 400ms;
   lookup.give_up = 2s;
@@ -21,7 +21,7 @@
   return s;
 }
 
-inline core::Member member(core::EngineId id, heronwell::EngineState state = heronwell::EngineState::ready) {
+inline core::Member member(core::EngineId id, policy::EngineState state = policy::EngineState::ready) {
   core::Member out;
   out.entry.engine = id;
   out.entry.state = state;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,11 +1,12 @@
-#include "wire.hpp"
+#include "simulator/wire.hpp"
 
 #include <gtest/gtest.h>
 
 #include <initializer_list>
 #include <string>
 
-namespace heronwell::wire {
+namespace bellstair::simulator {
+using namespace policy;
 namespace {
 
 using Frame = std::vector<std::uint8_t>;
@@ -214,4 +215,4 @@
 }
 
 }  // namespace
-}  // namespace heronwell::wire
+}  // namespace bellstair::simulator
