--- a/Makefile
+++ b/Makefile
@@ -49,7 +49,7 @@
 	  $(if $(QUICK),build-bench/scale-quick.csv quick,benchmarks/scale/results.csv)
 
 lint:
-	@! grep -nE '^.{111,}' src/policy/gateway.cpp
+	@! grep -nE '^.{111,}' src/policy/scheduler.cpp
 	@test "$$(sed -n 's/^build //p' deploy/packages.txt | tr '\n' ' ')" = \
 	  "$$(sed -n 's/^packages = \[\([^]]*\)\].*/\1/p' deploy/balancer.toml | tr -d '",') " || \
 	  { echo "deploy/packages.txt and deploy/balancer.toml name different packages"; false; }
--- a/benchmarks/control_at_size.cpp
+++ b/benchmarks/control_at_size.cpp
@@ -504,7 +504,7 @@
   // All links are reset at once: everybody comes anew.
   std::vector<double> anew;
   for (int play = 1; play <= (quick ? 1 : 5); ++play) {
-    std::this_thread::sleep_for(control::Subscriber::kMostWait +
+    std::this_thread::sleep_for(control::Subscriber::kMaxWait +
                                 1s);  // a stream that broke sooner is dialled at once
     const auto mark = fleet.ears.now();
     const auto from = Clock::now();
--- a/benchmarks/hooks_cost.cpp
+++ b/benchmarks/hooks_cost.cpp
@@ -58,7 +58,7 @@
   core::Effects effects;
   std::vector<core::Event> events;
   core::Time now = 1'700'000'000s;
-  core::Client client = 0;
+  core::ClientHandle client = 0;
 
   explicit World(const std::vector<const char*>& scripts, std::string contains = {})
       : set(make(scripts, contains)), reducer(settings(), 1, std::size_t{64} << 20, set) {
@@ -101,11 +101,11 @@
   void request() {
     core::Submission asked;
     asked.client = ++client;
-    asked.limit = 2s;
+    asked.time_limit = 2s;
     asked.body =
         "SELECT name, class_of FROM marks_17.pupils WHERE pupil = 40217 AND year = 2026 ORDER BY name";
-    feed(core::Arrived{std::move(asked)});
-    feed(core::Cancelled{client});
+    feed(core::RequestReceived{std::move(asked)});
+    feed(core::ClientCancelled{client});
     now += 10us;
     if (client % 512 == 0) feed(core::Tick{});
   }
--- a/benchmarks/scale/capacity.py
+++ b/benchmarks/scale/capacity.py
@@ -745,11 +745,11 @@
         ("src/net/lingerer.cpp", "Lingerer"),
     ]),
     "data": Role("Data path of a broker", [
-        ("src/core/reducer.cpp", "Reducer::consult"), ("src/policy/gateway.cpp", "Gateway::handle"),
+        ("src/core/reducer.cpp", "Reducer::consult"), ("src/policy/scheduler.cpp", "Scheduler::handle"),
         ("src/platform/engines.cpp", "Engines"), ("src/net/pool.cpp", "Pool"),
     ]),
     "control": Role("Control part of a broker", [
-        ("src/core/reducer.cpp", "Reducer::on"), ("src/policy/gateway.cpp", "tell_peers"),
+        ("src/core/reducer.cpp", "Reducer::on"), ("src/policy/scheduler.cpp", "tell_peers"),
         ("src/platform/peers.cpp", "Peers::run"), ("src/platform/changelog.cpp", "ChangeLog"),
     ]),
     "database": Role("A database as seen by the fleet", [("src/net/pool.cpp", "Pool")],
--- a/benchmarks/scale/hollow_fleet.hpp
+++ b/benchmarks/scale/hollow_fleet.hpp
@@ -37,8 +37,8 @@
 
 class HollowBroker {
  public:
-  static constexpr std::size_t kMostBytes = 256;  // of a datagram, as the peers' sockets take them
-  static constexpr std::size_t kHeads = 28;       // of IP and UDP
+  static constexpr std::size_t kMaxBytes = 256;  // of a datagram, as the peers' sockets take them
+  static constexpr std::size_t kHeads = 28;      // of IP and UDP
 
   HollowBroker(const config::Config& config, unsigned me, std::uint64_t seed, double rate)
       : rate_(rate),
@@ -46,7 +46,7 @@
         reducer_(
             [&] {
               auto settings = config.settings;
-              settings.me = me;
+              settings.broker_index = me;
               settings.zone = static_cast<std::uint16_t>(me % settings.zones);
               return settings;
             }(),
@@ -80,15 +80,15 @@
     for (auto& end : ended) take(now, std::move(end));
     ended.clear();
     due_ += rate_ * std::chrono::duration<double>(step).count();
-    for (; due_ >= 1; due_ -= 1) take(now, core::Arrived{statement()});
+    for (; due_ >= 1; due_ -= 1) take(now, core::RequestReceived{statement()});
   }
   void dispatch(Time now) {
-    for (const auto& id : std::exchange(starting_, {})) take(now, core::AttemptReady{id});
+    for (const auto& id : std::exchange(starting_, {})) take(now, core::AttemptConnected{id});
   }
   [[nodiscard]] const core::Reducer& reducer() const { return reducer_; }
 
   Totals totals;
-  std::vector<core::PeerHeard> mail;                                       // for this one
+  std::vector<core::GossipReceived> mail;                                  // for this one
   std::vector<std::pair<std::optional<std::uint32_t>, std::string>> told;  // by this one
   std::vector<std::uint64_t>* asked_of = nullptr;                          // attempts, by database
 
@@ -99,13 +99,13 @@
     const auto drawn = random_() % 100;
     out.cls = drawn < 90 ? 0 : drawn < 98 ? 1 : 2;
     out.tenant = static_cast<std::uint32_t>(random_() % tenants_);
-    if (out.cls == 2) out.order_key = 1 + random_() % 4096;
-    out.limit = out.cls == 0 ? 2s : 8s;
-    out.cost = 1ms;
-    out.memory_mb = 8;
+    if (out.cls == 2) out.ordering_key = 1 + random_() % 4096;
+    out.time_limit = out.cls == 0 ? 2s : 8s;
+    out.estimated_work = 1ms;
+    out.estimated_memory_mb = 8;
     out.data_group = static_cast<std::int64_t>(random_() % 64);
     out.ticket = std::to_string(totals.statements);
-    if (out.cls == 2) out.nonce = out.ticket;
+    if (out.cls == 2) out.idempotency_key = out.ticket;
     out.body = "SELECT id, name, state FROM sales_17.orders WHERE id = 420042";
     return out;
   }
@@ -121,9 +121,9 @@
     coming_[(slot_ + steps) % coming_.size()].push_back(std::move(out));
   }
   void run(const core::Answer& answer) {
-    ++(answer.kind == core::AnswerKind::served    ? totals.served
-       : answer.kind == core::AnswerKind::refused ? totals.refused
-                                                  : totals.failed);
+    ++(answer.kind == core::AnswerKind::served     ? totals.served
+       : answer.kind == core::AnswerKind::rejected ? totals.refused
+                                                   : totals.failed);
   }
   void run(const core::StartAttempt& effect) {
     starting_.push_back(effect.id);
@@ -134,15 +134,15 @@
     ++totals.attempts;
     end_later(effect.id, core::AttemptEnd::served, random_() % 50 == 0 ? 8 : 1 + random_() % 2);
   }
-  void run(const core::Abandon& effect) { end_later(effect.id, core::AttemptEnd::withdrawn, 1); }
-  void run(const core::ProbeEngine& effect) {
-    core::ProbeEnded out;
+  void run(const core::CancelAttempt& effect) { end_later(effect.id, core::AttemptEnd::cancelled, 1); }
+  void run(const core::SendHealthCheck& effect) {
+    core::HealthCheckEnded out;
     out.engine = effect.engine;
     out.load = {0, 0.1, 0.1};
     coming_[(slot_ + 1) % coming_.size()].emplace_back(std::move(out));
   }
-  void run(core::TellPeers& effect) {
-    if (effect.bytes.size() > kMostBytes) return;
+  void run(core::SendGossip& effect) {
+    if (effect.bytes.size() > kMaxBytes) return;
     told.emplace_back(effect.to, std::move(effect.bytes));
   }
   template <class Other>
@@ -174,14 +174,14 @@
     for (auto& broker : brokers) {
       for (auto change : config_.known.changes) {
         broker->take(now_, std::move(change));
-        broker->take(now_, core::FleetQuiet{});
+        broker->take(now_, core::EndpointListPolled{});
       }
-      broker->take(now_, core::Listening{});
+      broker->take(now_, core::ListenersReady{});
     }
   }
 
   // One event of the change log at each broker.
-  void change(const core::FleetChange& what) {
+  void change(const core::EndpointUpdate& what) {
     const auto both = split([&](HollowBroker& broker) {
       ++broker.totals.list_events;
       broker.take(now_, what);
@@ -189,17 +189,17 @@
     });
     costs.list += both;
   }
-  [[nodiscard]] core::FleetChange delta(unsigned database, policy::EngineState state) const {
-    core::FleetChange out;
-    out.live = true;
-    auto member = config_.known.changes.front().members.at(database);
-    member.entry.state = state;
-    out.members.push_back(std::move(member));
+  [[nodiscard]] core::EndpointUpdate delta(unsigned database, policy::EngineState state) const {
+    core::EndpointUpdate out;
+    out.from_change_log = true;
+    auto member = config_.known.changes.front().endpoints.at(database);
+    member.endpoint.state = state;
+    out.endpoints.push_back(std::move(member));
     return out;
   }
-  [[nodiscard]] core::FleetChange whole() const {
+  [[nodiscard]] core::EndpointUpdate whole() const {
     auto out = config_.known.changes.front();
-    out.live = out.full = true;
+    out.from_change_log = out.full = true;
     return out;
   }
 
--- a/benchmarks/scale/hollow_slopes.cpp
+++ b/benchmarks/scale/hollow_slopes.cpp
@@ -131,9 +131,9 @@
   HollowFleet fleet(shape, kMeasured, 3140, 40, 104729ULL * number + lost);
   fleet.run(750ms);
   const auto event = [&](policy::EngineState state) {
-    core::FleetChange all;
-    all.live = true;
-    for (unsigned n = 0; n < lost; ++n) all.members.push_back(fleet.delta(n, state).members.front());
+    core::EndpointUpdate all;
+    all.from_change_log = true;
+    for (unsigned n = 0; n < lost; ++n) all.endpoints.push_back(fleet.delta(n, state).endpoints.front());
     fleet.costs = {};
     const auto before = fleet.measured();
     fleet.change(all);
--- a/benchmarks/scale/stand_ins.cpp
+++ b/benchmarks/scale/stand_ins.cpp
@@ -19,6 +19,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "net/listener.hpp"
 #include "net/socket.hpp"
 #include "net/stream.hpp"
 #include "platform/base64.hpp"
@@ -27,24 +28,24 @@
 namespace {
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
-constexpr std::size_t kMostUnwritten = std::size_t{4} << 20;
+constexpr std::size_t kMaxUnwritten = std::size_t{4} << 20;
 
 // One end of connections that speak HTTP, as databases and the change log have it.
 class Listeners {
  public:
   struct Connection {
     std::uint64_t serial = 0;
-    unsigned database = 0;  // or kMostDatabases: the change log
+    unsigned database = 0;  // or kMaxDatabases: the change log
     net::Stream stream;
     std::string in;
-    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMostUnwritten) {}
+    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnwritten) {}
   };
 
   Listeners(ev::loop_ref loop, Board& board, const Shape& shape, unsigned latency_ms)
       : loop_(loop), board_(board), shape_(shape), latency_(latency_ms), turn_(loop) {
     auto port = 0U;
     for (unsigned n = 0; n < shape.databases; ++n) port = listen(database_host(n), port, n);
-    const auto changelog = listen("127.63.0.1", 0, kMostDatabases);
+    const auto changelog = listen("127.63.0.1", 0, kMaxDatabases);
     turn_.set<Listeners, &Listeners::on_turn>(this);
     turn_.start(0.001, 0.001);
     board.changelog.port = changelog;
@@ -72,7 +73,7 @@
       const auto held = ++seen.held;
       if (held > seen.most) seen.most = held;
     };
-    database < kMostDatabases ? count(board_.databases[database]) : count(board_.changelog);
+    database < kMaxDatabases ? count(board_.databases[database]) : count(board_.changelog);
     c.stream.handle({.connected = {},
                      .data = [this, &c](std::string_view bytes) { take(c, bytes); },
                      .ended = [this, &c] { close(c); },
@@ -82,13 +83,13 @@
   void close(Connection& c) {
     const auto found = connections_.find(c.serial);
     if (found == connections_.end()) return;
-    --(c.database < kMostDatabases ? board_.databases[c.database].held : board_.changelog.held);
+    --(c.database < kMaxDatabases ? board_.databases[c.database].held : board_.changelog.held);
     c.stream.close();
     gone_.push_back(std::move(found->second));
     connections_.erase(found);
   }
   void take(Connection& c, std::string_view bytes) {
-    (c.database < kMostDatabases ? board_.databases[c.database].bytes_in : board_.changelog.bytes_in) +=
+    (c.database < kMaxDatabases ? board_.databases[c.database].bytes_in : board_.changelog.bytes_in) +=
         bytes.size();
     c.in.append(bytes);
     while (c.stream.open()) {
@@ -99,13 +100,13 @@
       if (c.in.size() < head + 4 + size) return;
       const auto line = c.in.substr(0, c.in.find('\r'));
       c.in.erase(0, head + 4 + size);
-      c.database < kMostDatabases ? statement(c, line) : poll(c, line);
+      c.database < kMaxDatabases ? statement(c, line) : poll(c, line);
     }
   }
   void send(Connection& c, int status, const std::string& headers, const std::string& body) {
     const auto text = "HTTP/1.1 " + std::to_string(status) + " x\r\n" + headers +
                       "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    (c.database < kMostDatabases ? board_.databases[c.database].bytes_out : board_.changelog.bytes_out) +=
+    (c.database < kMaxDatabases ? board_.databases[c.database].bytes_out : board_.changelog.bytes_out) +=
         text.size();
     c.stream.write(text);
   }
@@ -228,7 +229,7 @@
   }
 
  private:
-  static constexpr std::size_t kMostOpen = 32;
+  static constexpr std::size_t kMaxOpen = 32;
   struct Connection {
     std::unique_ptr<net::Stream> stream;
     std::string in;
@@ -241,7 +242,7 @@
     auto fd = net::begin_connect(address_);
     if (!fd) return;
     auto& c = *all_.emplace_back(std::make_unique<Connection>());
-    c.stream = std::make_unique<net::Stream>(loop_, std::move(fd), true, kMostUnwritten);
+    c.stream = std::make_unique<net::Stream>(loop_, std::move(fd), true, kMaxUnwritten);
     c.stream->handle({.connected =
                           [this, &c] {
                             c.up = true;
@@ -313,7 +314,7 @@
       while (tries < all_.size()) {
         auto& c = *all_[next_++ % all_.size()];
         ++tries;
-        if (!c.up || c.open.size() >= kMostOpen) continue;
+        if (!c.up || c.open.size() >= kMaxOpen) continue;
         send(c);
         tries = all_.size() + 1;
       }
--- a/benchmarks/scale/stand_ins.hpp
+++ b/benchmarks/scale/stand_ins.hpp
@@ -14,7 +14,7 @@
 
 namespace bellstair::scale {
 
-constexpr unsigned kMostDatabases = 1024, kMostLoads = 4;
+constexpr unsigned kMaxDatabases = 1024, kMaxLoads = 4;
 constexpr std::size_t kBuckets = 320;  // of latencies: eight for each doubling of a microsecond
 
 struct SeenByDatabase {
@@ -35,9 +35,9 @@
 };
 struct Board {
   std::atomic<std::uint32_t> database_port;
-  std::array<SeenByDatabase, kMostDatabases> databases;
+  std::array<SeenByDatabase, kMaxDatabases> databases;
   SeenByChangeLog changelog;
-  std::array<SeenByClients, kMostLoads> clients;
+  std::array<SeenByClients, kMaxLoads> clients;
 };
 
 // A child process that ends with its parent at the latest.
--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -126,7 +126,7 @@
                                                [this](const control::Version& version) { offer(version); });
   }
   for (auto& change : config_.known.changes) post(std::move(change));
-  post(core::Listening{});
+  post(core::ListenersReady{});
 
   tick_.set<Broker, &Broker::on_tick>(this);
   call_.set<Broker, &Broker::on_call>(this);
@@ -160,7 +160,7 @@
 
 void Broker::post(core::Event event) {
   stall_watch_.mark(now());
-  if (auto* arrived = std::get_if<core::Arrived>(&event)) {
+  if (auto* arrived = std::get_if<core::RequestReceived>(&event)) {
     const auto came = stall_watch_.came_after(now());
     arrived->since = arrived->since == core::Time::zero() ? came : std::min(arrived->since, came);
   }
@@ -204,7 +204,7 @@
 
 void Broker::on_hooks(ev::timer&, int) { post(core::HooksTurn{}); }
 
-void Broker::on_signal(ev::sig&, int) { post(core::StopAsked{stall_watch_.came_after(now())}); }
+void Broker::on_signal(ev::sig&, int) { post(core::ShutdownRequested{stall_watch_.came_after(now())}); }
 
 void Broker::on_counters_asked(ev::sig&, int) { log_counters(); }
 
@@ -213,7 +213,7 @@
   run(core::Log{counters_logged_.text() + " log_lines_dropped=" + std::to_string(log::dropped())});
 }
 
-void Broker::on_hangup(ev::sig&, int) { post(core::ReloadAsked{}); }
+void Broker::on_hangup(ev::sig&, int) { post(core::ReloadRequested{}); }
 
 // Spans that begin with what is read now begin now, not where the last tick was.
 void Broker::wake() {
@@ -225,9 +225,9 @@
   if (mysql_) mysql_->wake(now);
   changelog_.wake(now);
   // What waits is decided in its light. One that goes on takes the place of what was told of it.
-  const bool told = !events_.empty() && std::holds_alternative<core::Stalled>(events_.front());
+  const bool told = !events_.empty() && std::holds_alternative<core::ProcessStalled>(events_.front());
   if (told) events_.pop_front();
-  events_.push_front(core::Stalled{stall->since, stall->length});
+  events_.push_front(core::ProcessStalled{stall->since, stall->length});
 }
 
 // True: nothing may be decided before the sockets are looked at again, with the next tick at the latest.
@@ -287,7 +287,7 @@
 
 // What was decided before a stall is not sent after it: its client may have gone, and has less time left.
 void Broker::run(core::Transmit& effect) {
-  if (look_again(now())) return engines_->run(core::Abandon{effect.id});
+  if (look_again(now())) return engines_->run(core::CancelAttempt{effect.id});
   engines_->run(effect);
 }
 
@@ -319,7 +319,7 @@
   offered_ = nullptr;
 }
 
-void Broker::run(core::SettingsInForce& effect) {
+void Broker::run(core::SettingsApplied& effect) {
   ++taken_up_;
   config_.settings = std::move(effect.settings);
   config_.names = *static_cast<const config::Names*>(effect.names.get());
@@ -329,7 +329,7 @@
   control_->applied(*offered_, {});
 }
 
-void Broker::run(const core::SettingsRefused& effect) { control_->applied(*offered_, effect.problem); }
+void Broker::run(const core::SettingsRejected& effect) { control_->applied(*offered_, effect.problem); }
 
 // Read whole, and as strictly as at the start, before anything of it is used. Scripts are loaded and tried
 // beside the loop, in a thread that sees copies: versions of the settings come into force meanwhile.
@@ -367,7 +367,7 @@
     }
     return [this, again, seen] {
       // Another tenant may have taken the place of one that a hook names.
-      if (seen != taken_up_) return post(core::ReloadAsked{});
+      if (seen != taken_up_) return post(core::ReloadRequested{});
       if (again->read.problem.empty()) {
         start_.changelog = again->read.changelog;
         runner_.adopt(again->loaded);
@@ -379,7 +379,7 @@
   runner_.later(read_again);
 }
 
-void Broker::run(const core::CloseFronts&) {
+void Broker::run(const core::CloseClientConnections&) {
   front_->finish();
   if (mysql_) mysql_->finish();
   if (control_) control_->stop();
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -65,21 +65,21 @@
   void run(const core::Answer& effect);
   void run(const core::StartAttempt& effect) { engines_->run(effect); }
   void run(core::Transmit& effect);
-  void run(const core::Abandon& effect) { engines_->run(effect); }
+  void run(const core::CancelAttempt& effect) { engines_->run(effect); }
   void run(const core::Reprioritize& effect) { engines_->run(effect); }
-  void run(const core::ProbeEngine& effect) { engines_->run(effect); }
-  void run(const core::EngineMoved& effect) { engines_->run(effect); }
-  void run(const core::TellPeers& effect) { peers_.run(effect); }
+  void run(const core::SendHealthCheck& effect) { engines_->run(effect); }
+  void run(const core::EndpointChanged& effect) { engines_->run(effect); }
+  void run(const core::SendGossip& effect) { peers_.run(effect); }
   void run(const core::Log& effect);
   void run(const core::ReadConfiguration&);
   void run(const core::FollowChangeLog& effect) { changelog_.follow(effect.address); }
-  void run(core::SettingsInForce& effect);
-  void run(const core::SettingsRefused& effect);
+  void run(core::SettingsApplied& effect);
+  void run(const core::SettingsRejected& effect);
   void run(core::RunHook& effect);
   void run(const core::DropHook& effect) { runner_.run(effect); }
   void run(const core::RenewHook& effect) { runner_.run(effect); }
   void run(const core::RetireHook& effect) { runner_.run(effect); }
-  void run(const core::CloseFronts&);
+  void run(const core::CloseClientConnections&);
   void run(const core::Exit&);
 
   ev::loop_ref loop_;
--- a/src/app/config_nodes.hpp
+++ b/src/app/config_nodes.hpp
@@ -53,7 +53,7 @@
   Nodes(ev::loop_ref loop, const config::Control& config)
       : loop_(loop),
         fleet_(config.fleet),
-        hub_(loop, {control::kMostMessage, control::kMostMessage, 2 * control::kMostMessage}, 0, handlers()),
+        hub_(loop, {control::kMaxMessage, control::kMaxMessage, 2 * control::kMaxMessage}, 0, handlers()),
         tick_(loop),
         prepare_(loop) {
     for (const auto& node : config.nodes) {
--- a/src/app/config_publish.cpp
+++ b/src/app/config_publish.cpp
@@ -144,9 +144,9 @@
 int config_publish(const std::string& document, const std::string& file, Time wait) {
   const auto config = config::read_control(config::read_file(file, "operator's file"), file);
   auto text = config::read_file(document, "document");
-  if (text.size() > control::kMostDocument)
+  if (text.size() > control::kMaxDocument)
     return fail(Outcome::refused,
-                document + ":1:1: is longer than " + std::to_string(control::kMostDocument) + " bytes");
+                document + ":1:1: is longer than " + std::to_string(control::kMaxDocument) + " bytes");
   // Told here where that can be; the writer checks it all the same, by its own classes.
   if (!config.classes.empty()) {
     if (const auto problems = document_problems(text, document, config.classes); !problems.empty())
--- a/src/app/config_report.hpp
+++ b/src/app/config_report.hpp
@@ -13,7 +13,7 @@
 
 namespace bellstair::app::config_tool {
 
-inline constexpr std::size_t kMostNamed = 20;  // brokers by name in one line of text
+inline constexpr std::size_t kMaxNamed = 20;  // brokers by name in one line of text
 
 // Brokers by what is in force at them, against one version. One of a later epoch is not a later form of it:
 // that writer may never have seen it.
@@ -44,9 +44,9 @@
 inline std::string joined(const std::vector<const Broker*>& brokers,
                           const std::function<std::string(const Broker&)>& show) {
   std::string out;
-  for (std::size_t i = 0; i < std::min(brokers.size(), kMostNamed); ++i)
+  for (std::size_t i = 0; i < std::min(brokers.size(), kMaxNamed); ++i)
     out += (i == 0 ? "" : ", ") + show(*brokers[i]);
-  if (brokers.size() > kMostNamed) out += " and " + std::to_string(brokers.size() - kMostNamed) + " more";
+  if (brokers.size() > kMaxNamed) out += " and " + std::to_string(brokers.size() - kMaxNamed) + " more";
   return out;
 }
 
@@ -58,12 +58,12 @@
 }
 
 inline void print_refused(const std::vector<const Broker*>& brokers) {
-  for (std::size_t i = 0; i < std::min(brokers.size(), kMostNamed); ++i) {
+  for (std::size_t i = 0; i < std::min(brokers.size(), kMaxNamed); ++i) {
     const auto& status = brokers[i]->status;
     std::printf("%s: refused by %s (%s): %s\n", control::to_text(status.refused).c_str(), status.name.c_str(),
                 status.region.c_str(), status.problem.c_str());
   }
-  if (brokers.size() > kMostNamed) std::printf("and by %zu more\n", brokers.size() - kMostNamed);
+  if (brokers.size() > kMaxNamed) std::printf("and by %zu more\n", brokers.size() - kMaxNamed);
 }
 
 inline std::string out_of_reach(const Nodes::Node& node) {
--- a/src/app/control_client.cpp
+++ b/src/app/control_client.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 
 // What it sends is short; a node that does not read so much is left.
-constexpr std::size_t kMostUnwritten = std::size_t{256} << 10;
+constexpr std::size_t kMaxUnwritten = std::size_t{256} << 10;
 constexpr core::Time kTurn = 100ms;  // between ticks of the subscriber
 
 core::Time steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
@@ -46,11 +46,11 @@
                [this](const std::string& text) { say(text); }),
         nodes(config.nodes),
         subscriber(options_of(config, name, seed), last_version),
-        hub(loop, {control::kMostMessage, control::kMostMessage, kMostUnwritten}, 0, handlers()) {}
+        hub(loop, {control::kMaxMessage, control::kMaxMessage, kMaxUnwritten}, 0, handlers()) {}
 
   // Nodes know brokers by their names. One that has none is a new one after each start.
   static std::string name_of(std::string name) {
-    if (!name.empty() && name.size() <= control::kMostName) return name;
+    if (!name.empty() && name.size() <= control::kMaxName) return name;
     auto out = "broker-" + std::to_string(::getpid());
     log::write(log::Level::warning, "bellstair " + out +
                                         ": control: called so, since its configuration gives it " +
--- a/src/app/control_node.cpp
+++ b/src/app/control_node.cpp
@@ -23,23 +23,23 @@
 
 // The store with its journal, the listener, connections that are closing, and what libraries open.
 constexpr std::size_t kSpare = 320;
-constexpr std::size_t kLeastPeers = 16;
-constexpr std::size_t kMostTold = 10;  // connections cut off, by a line each, in a second
+constexpr std::size_t kMinPeers = 16;
+constexpr std::size_t kMaxTold = 10;  // connections cut off, by a line each, in a second
 // A version under way to a peer that is slow, its answers, and room for a status.
-constexpr std::size_t kMostUnwritten = 2 * control::kMostMessage;
+constexpr std::size_t kMaxUnwritten = 2 * control::kMaxMessage;
 
 using net::steady_now;
 
 // Peers at once, by the descriptors that the system allows: all of them are asked for.
 std::size_t most_peers() {
   rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return kLeastPeers;
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return kMinPeers;
   limit.rlim_cur = limit.rlim_max;
   (void)::setrlimit(RLIMIT_NOFILE, &limit);
   (void)::getrlimit(RLIMIT_NOFILE, &limit);
-  const auto all = limit.rlim_cur == RLIM_INFINITY ? control::Node::kMostPeers + kSpare
+  const auto all = limit.rlim_cur == RLIM_INFINITY ? control::Node::kMaxPeers + kSpare
                                                    : static_cast<std::size_t>(limit.rlim_cur);
-  return std::clamp(all > kSpare ? all - kSpare : 0, kLeastPeers, control::Node::kMostPeers);
+  return std::clamp(all > kSpare ? all - kSpare : 0, kMinPeers, control::Node::kMaxPeers);
 }
 
 }  // namespace
@@ -61,7 +61,7 @@
       name_(std::move(name)),
       store_(find(name_)->store, config_.fleet),
       node_(options(), store_.stored()),
-      hub_(loop, {control::kMostMessage, kMostFirst, kMostUnwritten}, most_peers(), handlers()),
+      hub_(loop, {control::kMaxMessage, kMaxFirst, kMaxUnwritten}, most_peers(), handlers()),
       backoff_(100ms, 4s, std::random_device{}()),
       tick_(loop),
       prepare_(loop),
@@ -174,7 +174,7 @@
 
 // Whoever dials can have as many lines as connections: the first few of a second are told, and how many more.
 void ControlNode::cut_off(const std::string& what) {
-  if (++cut_off_ <= kMostTold) say("cut off: " + what);
+  if (++cut_off_ <= kMaxTold) say("cut off: " + what);
 }
 
 void ControlNode::dial(core::Time now) {
@@ -210,8 +210,8 @@
   dial(now);
   if (now < next_told_) return;
   next_told_ = now + 1s;
-  if (std::exchange(cut_off_, 0) > kMostTold)
-    say("cut off: more than " + std::to_string(kMostTold) + " in a second");
+  if (std::exchange(cut_off_, 0) > kMaxTold)
+    say("cut off: more than " + std::to_string(kMaxTold) + " in a second");
   if (hub_.turned_away() != turned_away_) {
     say("full with " + std::to_string(hub_.accepted()) +
         " connections: " + std::to_string(hub_.turned_away() - turned_away_) + " turned away");
--- a/src/app/control_node.hpp
+++ b/src/app/control_node.hpp
@@ -25,7 +25,7 @@
 class ControlNode {
  public:
   // A stranger's first message: it says Hello in far less.
-  static constexpr std::size_t kMostFirst = std::size_t{64} << 10;
+  static constexpr std::size_t kMaxFirst = std::size_t{64} << 10;
   static constexpr core::Time kTick = std::chrono::milliseconds(100);
   static constexpr core::Time kDial = std::chrono::seconds(1);
 
--- a/src/app/last_version.cpp
+++ b/src/app/last_version.cpp
@@ -17,7 +17,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostBytes = control::kMostMessage + 1024;
+constexpr std::size_t kMaxBytes = control::kMaxMessage + 1024;
 // Between tries to write: a disk that is full may be so for long.
 constexpr core::Time kRetryLeast = 500ms, kRetryMost = 30s;
 
@@ -27,7 +27,7 @@
   struct stat is {};
   if (::fstat(fd, &is) != 0 || !S_ISREG(is.st_mode)) return "is not a file";
   char buffer[16384];
-  while (out.size() <= kMostBytes) {
+  while (out.size() <= kMaxBytes) {
     const auto got = ::read(fd, buffer, sizeof buffer);
     if (got < 0 && errno != EINTR) return std::strerror(errno);
     if (got == 0) break;
@@ -90,7 +90,7 @@
 std::optional<control::Version> LastVersionFile::parse(const std::string& text) const {
   const auto first = text.find('\n');
   const auto second = first == std::string::npos ? first : text.find('\n', first + 1);
-  if (second == std::string::npos || text.size() > kMostBytes) return std::nullopt;
+  if (second == std::string::npos || text.size() > kMaxBytes) return std::nullopt;
   if (text.substr(0, first) != digest(text.substr(first + 1))) return std::nullopt;
   if (text.substr(first + 1, second - first - 1) != fleet_) return std::nullopt;
   try {
--- a/src/app/stall_watch.hpp
+++ b/src/app/stall_watch.hpp
@@ -30,7 +30,7 @@
   static constexpr Time kSettle = std::chrono::milliseconds(11);
   // After so many looks the loop acts in any case: a process that is stopped again and again, as one that is
   // short of processor time, would never decide anything.
-  static constexpr int kMostLooks = 8;
+  static constexpr int kMaxLooks = 8;
 
   struct Stall {
     Time since{};   // the last look before it
@@ -54,7 +54,7 @@
   [[nodiscard]] bool look_again(Time now) {
     mark(now);
     const bool settled = looks_ >= kLooks && now >= noticed_at_ + kSettle;
-    if (settled || all_looks_ >= kMostLooks) settling_ = false;
+    if (settled || all_looks_ >= kMaxLooks) settling_ = false;
     return settling_;
   }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -33,33 +33,33 @@
   return hash;
 }
 
-core::Member parse_member(const json& in, const Names& names) {
+core::EndpointRecord parse_member(const json& in, const Names& names) {
   object(in, "servers[]");
-  core::Member out;
-  out.entry.engine = engine_id(text(need(in, "id"), "servers[].id"));
+  core::EndpointRecord out;
+  out.endpoint.engine = engine_id(text(need(in, "id"), "servers[].id"));
   const auto state = text(need(in, "state"), "servers[].state");
-  out.entry.state = state == "in_service"    ? policy::EngineState::ready
-                    : state == "terminating" ? policy::EngineState::draining
-                    : state == "terminated"
-                        ? policy::EngineState::gone
-                        : (bad("servers[].state", "holds an unknown word"), policy::EngineState::gone);
+  out.endpoint.state = state == "in_service"    ? policy::EngineState::ready
+                       : state == "terminating" ? policy::EngineState::draining
+                       : state == "terminated"
+                           ? policy::EngineState::gone
+                           : (bad("servers[].state", "holds an unknown word"), policy::EngineState::gone);
   out.address = text_or_none(in, "addr");
-  if (out.address.empty() && out.entry.state != policy::EngineState::gone)
+  if (out.address.empty() && out.endpoint.state != policy::EngineState::gone)
     bad("servers[].addr", "is missing");
   const auto index = [](const auto& map, const std::string& key) {
     const auto found = map.find(key);
     return found == map.end() ? static_cast<std::uint16_t>(0) : static_cast<std::uint16_t>(found->second);
   };
-  out.entry.zone = index(names.zones, text_or_none(in, "zone"));
+  out.endpoint.zone = index(names.zones, text_or_none(in, "zone"));
   const auto kind = text_or_none(in, "kind");
   if (!kind.empty() && !names.kinds.contains(kind)) bad("servers[].kind", "is in no settings");
-  out.entry.kind = index(names.kinds, kind);
+  out.endpoint.kind = index(names.kinds, kind);
   if (const auto cell = in.find("cell"); cell != in.end() && cell->is_number_unsigned())
-    out.entry.cell = cell->get<std::uint16_t>();
+    out.endpoint.cell = cell->get<std::uint16_t>();
   if (const auto weight = in.find("weight"); weight != in.end() && weight->is_number())
-    out.entry.weight = weight->get<double>();
+    out.endpoint.weight = weight->get<double>();
   if (const auto started = in.find("started_ms"); started != in.end() && started->is_number())
-    out.started = std::chrono::milliseconds(started->get<std::int64_t>());
+    out.started_unix = std::chrono::milliseconds(started->get<std::int64_t>());
   return out;
 }
 
@@ -71,11 +71,11 @@
     object(result, "results[]");
     const auto fleet = result.find("fleet");
     if (fleet == result.end()) continue;  // other kinds of events are of no concern here
-    core::FleetChange change;
+    core::EndpointUpdate change;
     if (const auto full = object(*fleet, "fleet").find("full"); full != fleet->end() && full->is_boolean())
       change.full = full->get<bool>();
     for (const json& server : list(need(*fleet, "servers"), "servers"))
-      change.members.push_back(parse_member(server, names));
+      change.endpoints.push_back(parse_member(server, names));
     out.changes.push_back(std::move(change));
   }
   return out;
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 #include "core/events.hpp"
 
 namespace bellstair::config {
@@ -30,7 +30,7 @@
 // Events of the change log.
 struct Changes {
   std::uint64_t seq = 0;
-  std::vector<core::FleetChange> changes;
+  std::vector<core::EndpointUpdate> changes;
 };
 
 struct Config {
--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -17,8 +17,8 @@
 // They stand in log lines, tables and messages.
 std::string fault_of(const std::string& name) {
   if (name.empty()) return "is empty";
-  if (name.size() > control::kMostName)
-    return "is longer than " + std::to_string(control::kMostName) + " bytes";
+  if (name.size() > control::kMaxName)
+    return "is longer than " + std::to_string(control::kMaxName) + " bytes";
   const auto plain = [](unsigned char c) { return c > 0x20 && c != 0x7F; };
   return std::ranges::all_of(name, plain) ? "" : "holds a space or a control character";
 }
@@ -91,8 +91,8 @@
     out.nodes.push_back(std::move(next));
   }
   if (out.nodes.empty()) in.wrong("", "names no node");
-  if (out.nodes.size() > kMostControlNodes)
-    in.wrong("node", "there are more than " + std::to_string(kMostControlNodes));
+  if (out.nodes.size() > kMaxControlNodes)
+    in.wrong("node", "there are more than " + std::to_string(kMaxControlNodes));
   if (!out.writer.empty() && !out.nodes.empty() && !names.contains(out.writer))
     in.wrong("writer", no_node(out.writer, out.nodes));
   if (node && !names.contains(*node)) in.wrong("", no_node(*node, out.nodes));
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -36,7 +36,7 @@
   bool operator==(const Control&) const = default;
 };
 
-inline constexpr std::size_t kMostControlNodes = 64;
+inline constexpr std::size_t kMaxControlNodes = 64;
 
 // The block as a part of the operator's file (parse_fronts). Paths that are not whole ones are beside `file`.
 // `node`: the control node that reads it, which needs its store and the classes.
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 using hcl::Reader;
 
-constexpr std::size_t kMostTenantName = 256;    // bytes
+constexpr std::size_t kMaxTenantName = 256;     // bytes
 constexpr hcl::Durations kDeadlines{0ns, 24h};  // more would pass the clock's range when added to it
 constexpr hcl::Range<double> kFigures{0, 1e9};
 
@@ -60,7 +60,7 @@
 
 Document::Tenant parse_tenant(Reader& in, const std::string& name) {
   const auto control = [](unsigned char c) { return c < 0x20 || c == 0x7f; };
-  if (name.empty() || name.size() > kMostTenantName || std::ranges::any_of(name, control))
+  if (name.empty() || name.size() > kMaxTenantName || std::ranges::any_of(name, control))
     in.wrong("", "a tenant's name has 1 to 256 bytes, no control characters among them");
   Document::Tenant out;
   out.name = name;
@@ -111,10 +111,10 @@
   if (document.changelog) out.changelog = *document.changelog;
   for (const auto& named : document.classes) {
     auto& cls = out.settings.classes.at(out.names.classes.at(named.name));
-    cls.aim = named.aim.value_or(cls.aim);
-    cls.give_up = named.give_up.value_or(cls.give_up);
-    cls.worth = named.worth.value_or(cls.worth);
-    cls.late_share = named.late_share.value_or(cls.late_share);
+    cls.latency_objective = named.aim.value_or(cls.latency_objective);
+    cls.client_timeout = named.give_up.value_or(cls.client_timeout);
+    cls.priority_weight = named.worth.value_or(cls.priority_weight);
+    cls.late_weight = named.late_share.value_or(cls.late_weight);
   }
 
   std::map<std::string_view, policy::TenantSettings> wanted;
@@ -139,7 +139,7 @@
       names[tenant.name] = slot;
       continue;
     }
-    tenant.share = tenant.quota_per_s = 0;
+    tenant.quota_fraction = tenant.quota_per_s = 0;
     if (!own && !in_force.names.tenants.contains(tenant.name) && !held(slot)) free.push_back(slot);
   }
   std::ranges::reverse(free);  // the lowest ones first
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -162,8 +162,8 @@
   // The one script of older files.
   if (auto plugin = top.block("plugin"))
     out.hooks.push_back(parse_hook(plugin->reader, "plugin", names, file));
-  if (out.hooks.size() > hooks::kMostHooks)
-    top.wrong("hook", "there are more than " + std::to_string(hooks::kMostHooks));
+  if (out.hooks.size() > hooks::kMaxHooks)
+    top.wrong("hook", "there are more than " + std::to_string(hooks::kMaxHooks));
   return out;
 }
 
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -9,31 +9,31 @@
 
 using nlohmann::json;
 
-constexpr int kMostDepth = 8;
+constexpr int kMaxDepth = 8;
 // Names and values of one message; a Status of 8,192 brokers has some 110,000 values and as many names.
-constexpr std::size_t kMostValues = std::size_t{1} << 18;
-constexpr std::size_t kMostDigest = 64;                                          // hex digits of SHA-256
-constexpr std::size_t kMostListed = 16'384;                                      // brokers in a Status
-constexpr std::uint64_t kMostNumber = std::numeric_limits<std::int64_t>::max();  // as SQLite holds it
+constexpr std::size_t kMaxValues = std::size_t{1} << 18;
+constexpr std::size_t kMaxDigest = 64;                                          // hex digits of SHA-256
+constexpr std::size_t kMaxListed = 16'384;                                      // brokers in a Status
+constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();  // as SQLite holds it
 constexpr std::string_view kPing = R"({"kind":"ping"})";
 
 // ---- writing
 
 json to_json(const Place& place) { return {{"epoch", place.epoch}, {"number", place.number}}; }
 json to_json(const Reign& reign) {
-  return {{"epoch", reign.epoch}, {"writer", clean(reign.writer, kMostName)}};
+  return {{"epoch", reign.epoch}, {"writer", clean(reign.writer, kMaxName)}};
 }
 json to_json(const Version& v) {
   return {{"place", to_json(v.place)}, {"writer", v.writer}, {"digest", v.digest}, {"text", v.text}};
 }
 json to_json(const BrokerStatus& b) {
   const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(b.age).count();
-  return {{"name", clean(b.name, kMostName)},
-          {"region", clean(b.region, kMostName)},
+  return {{"name", clean(b.name, kMaxName)},
+          {"region", clean(b.region, kMaxName)},
           {"in_force", to_json(b.in_force)},
           {"refused", to_json(b.refused)},
           {"digest", b.digest},
-          {"problem", clean(b.problem, kMostProblem)},
+          {"problem", clean(b.problem, kMaxProblem)},
           {"connected", b.connected},
           {"age_ms", std::max<std::int64_t>(age, 0)}};
 }
@@ -45,9 +45,9 @@
 json body(const Hello& m) {
   return {{"kind", "hello"},
           {"protocol", m.protocol},
-          {"fleet", clean(m.fleet, kMostName)},
-          {"name", clean(m.name, kMostName)},
-          {"region", clean(m.region, kMostName)},
+          {"fleet", clean(m.fleet, kMaxName)},
+          {"name", clean(m.name, kMaxName)},
+          {"region", clean(m.region, kMaxName)},
           {"role", to_text(m.role)},
           {"reign", to_json(m.reign)},
           {"have", to_json(m.have)},
@@ -56,32 +56,32 @@
 json body(const Welcome& m) {
   return {{"kind", "welcome"},
           {"protocol", m.protocol},
-          {"fleet", clean(m.fleet, kMostName)},
-          {"name", clean(m.name, kMostName)},
+          {"fleet", clean(m.fleet, kMaxName)},
+          {"name", clean(m.name, kMaxName)},
           {"reign", to_json(m.reign)},
           {"newest", to_json(m.newest)}};
 }
-json body(const Farewell& m) { return {{"kind", "farewell"}, {"reason", clean(m.reason, kMostProblem)}}; }
+json body(const Farewell& m) { return {{"kind", "farewell"}, {"reason", clean(m.reason, kMaxProblem)}}; }
 json body(const Offer& m) { return {{"kind", "offer"}, {"version", to_json(m.version)}}; }
 json body(const Report& m) {
   return {{"kind", "report"},
           {"in_force", to_json(m.in_force)},
           {"digest", m.digest},
           {"refused", to_json(m.refused)},
-          {"problem", clean(m.problem, kMostProblem)}};
+          {"problem", clean(m.problem, kMaxProblem)}};
 }
 json body(const Ping&) { return {{"kind", "ping"}}; }
 json body(const Pong& m) { return {{"kind", "pong"}, {"reign", to_json(m.reign)}}; }
 json body(const Publish& m) { return {{"kind", "publish"}, {"text", m.text}}; }
 json body(const Published& m) { return {{"kind", "published"}, {"place", to_json(m.place)}}; }
-json body(const Rejected& m) { return {{"kind", "rejected"}, {"problem", clean(m.problem, kMostRejection)}}; }
+json body(const Rejected& m) { return {{"kind", "rejected"}, {"problem", clean(m.problem, kMaxRejection)}}; }
 json body(const AskStatus&) { return {{"kind", "ask_status"}}; }
 json body(const Status& m) {
   json brokers = json::array();
   for (const auto& broker : m.brokers) brokers.push_back(to_json(broker));
   return {{"kind", "status"},
-          {"node", clean(m.node, kMostName)},
-          {"region", clean(m.region, kMostName)},
+          {"node", clean(m.node, kMaxName)},
+          {"region", clean(m.region, kMaxName)},
           {"reign", to_json(m.reign)},
           {"writes", m.writes},
           {"newest", to_json(m.newest)},
@@ -109,14 +109,14 @@
   }
   // As it stands in logs and lines of the status: nothing in it may start a new one.
   [[nodiscard]] std::string name(const char* member_name, bool may_be_empty = false) const {
-    std::string out = text(member_name, kMostName);
+    std::string out = text(member_name, kMaxName);
     if (out.empty() && !may_be_empty) throw Malformed(path(member_name) + ": empty");
     const auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7F; };
     if (std::any_of(out.begin(), out.end(), control))
       throw Malformed(path(member_name) + ": a control character");
     return out;
   }
-  [[nodiscard]] std::uint64_t number(const char* name, std::uint64_t most = kMostNumber) const {
+  [[nodiscard]] std::uint64_t number(const char* name, std::uint64_t most = kMaxNumber) const {
     const json& found = member(name);
     if (!found.is_number()) throw Malformed(path(name) + ": not a number");
     if (!found.is_number_unsigned() || found.get<std::uint64_t>() > most)
@@ -148,7 +148,7 @@
     out.writer = in.name("writer", out.epoch == 0);
     return out;
   }
-  [[nodiscard]] std::string digest() const { return text("digest", kMostDigest); }
+  [[nodiscard]] std::string digest() const { return text("digest", kMaxDigest); }
 
  private:
   [[nodiscard]] const json& member(const char* name) const {
@@ -173,7 +173,7 @@
   out.fleet = in.name("fleet");
   out.name = in.name("name");
   out.region = in.name("region", true);
-  const auto role = in.text("role", kMostName);
+  const auto role = in.text("role", kMaxName);
   if (role == "broker") {
     out.role = Role::broker;
   } else if (role == "node") {
@@ -205,11 +205,11 @@
   if (out.place.epoch == 0 || out.place.number == 0) throw Malformed(v.path("place") + ": 0 is no place");
   out.writer = v.name("writer");
   out.digest = v.digest();
-  out.text = v.text("text", kMostDocument);
+  out.text = v.text("text", kMaxDocument);
   return Offer{std::move(out)};
 }
 Message read_report(const Reader& in) {
-  return Report{in.place("in_force"), in.digest(), in.place("refused"), in.text("problem", kMostProblem)};
+  return Report{in.place("in_force"), in.digest(), in.place("refused"), in.text("problem", kMaxProblem)};
 }
 Message read_status(const Reader& in) {
   Status out;
@@ -219,7 +219,7 @@
   out.writes = in.flag("writes");
   out.newest = in.place("newest");
   out.digest = in.digest();
-  const json& brokers = in.list("brokers", kMostListed);
+  const json& brokers = in.list("brokers", kMaxListed);
   out.brokers.reserve(brokers.size());
   for (std::size_t i = 0; i < brokers.size(); ++i) {
     const Reader b(brokers[i], in.path("brokers") + "[" + std::to_string(i) + "]");
@@ -229,7 +229,7 @@
     s.in_force = b.place("in_force");
     s.refused = b.place("refused");
     s.digest = b.digest();
-    s.problem = b.text("problem", kMostProblem);
+    s.problem = b.text("problem", kMaxProblem);
     s.connected = b.flag("connected");
     s.age = std::chrono::milliseconds(b.number("age_ms", 1'000'000'000'000));
     out.brokers.push_back(std::move(s));
@@ -239,21 +239,21 @@
 
 Message read(const json& all) {
   if (!all.is_object()) throw Malformed("message: not an object");
-  const std::string kind = Reader(all, "message").text("kind", kMostName);
-  const Reader in(all, clean(kind, kMostName));
+  const std::string kind = Reader(all, "message").text("kind", kMaxName);
+  const Reader in(all, clean(kind, kMaxName));
   if (kind == "hello") return read_hello(in);
   if (kind == "welcome") return read_welcome(in);
-  if (kind == "farewell") return Farewell{in.text("reason", kMostProblem)};
+  if (kind == "farewell") return Farewell{in.text("reason", kMaxProblem)};
   if (kind == "offer") return read_offer(in);
   if (kind == "report") return read_report(in);
   if (kind == "ping") return Ping{};
   if (kind == "pong") return Pong{in.reign("reign")};
-  if (kind == "publish") return Publish{in.text("text", kMostDocument)};
+  if (kind == "publish") return Publish{in.text("text", kMaxDocument)};
   if (kind == "published") return Published{in.place("place")};
-  if (kind == "rejected") return Rejected{in.text("problem", kMostRejection)};
+  if (kind == "rejected") return Rejected{in.text("problem", kMaxRejection)};
   if (kind == "ask_status") return AskStatus{};
   if (kind == "status") return read_status(in);
-  throw Malformed("message.kind: " + clean(kind, kMostName) + " is unknown");
+  throw Malformed("message.kind: " + clean(kind, kMaxName) + " is unknown");
 }
 
 }  // namespace
@@ -299,16 +299,16 @@
 }
 
 Message decode(std::string_view text) {
-  if (text.size() > kMostMessage)
+  if (text.size() > kMaxMessage)
     throw Malformed("message: " + std::to_string(text.size()) + " bytes, at most " +
-                    std::to_string(kMostMessage));
+                    std::to_string(kMaxMessage));
   if (text == kPing) return Ping{};
   std::size_t values = 0;
   // Called while the text is read, so that neither depth nor number of values grows with what a peer sends.
   const auto bound = [&values](int depth, json::parse_event_t, const json&) {
-    if (depth > kMostDepth) throw Malformed("message: nested deeper than " + std::to_string(kMostDepth));
-    if (++values > kMostValues)
-      throw Malformed("message: more than " + std::to_string(kMostValues) + " values");
+    if (depth > kMaxDepth) throw Malformed("message: nested deeper than " + std::to_string(kMaxDepth));
+    if (++values > kMaxValues)
+      throw Malformed("message: more than " + std::to_string(kMaxValues) + " values");
     return true;
   };
   try {
--- a/src/control/message.hpp
+++ b/src/control/message.hpp
@@ -15,11 +15,11 @@
 namespace bellstair::control {
 
 inline constexpr unsigned kProtocol = 1;
-inline constexpr std::size_t kMostName = 128;     // bytes, of a fleet, node, broker or region
-inline constexpr std::size_t kMostProblem = 512;  // bytes, of why a document is refused
-inline constexpr std::size_t kMostRejection = std::size_t{1}
-                                              << 16;  // bytes, of all that is wrong with a document
-inline constexpr std::size_t kMostMessage = std::size_t{4} << 20;
+inline constexpr std::size_t kMaxName = 128;     // bytes, of a fleet, node, broker or region
+inline constexpr std::size_t kMaxProblem = 512;  // bytes, of why a document is refused
+inline constexpr std::size_t kMaxRejection = std::size_t{1}
+                                             << 16;  // bytes, of all that is wrong with a document
+inline constexpr std::size_t kMaxMessage = std::size_t{4} << 20;
 
 enum class Role { broker, node, tool };
 
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -139,8 +139,8 @@
 }
 
 void Node::accepted(Time now, PeerId id, NodeEffects& out) {
-  if (peers_.size() >= kMostPeers) {
-    refuse(id, "full: " + std::to_string(kMostPeers) + " connections", out);
+  if (peers_.size() >= kMaxPeers) {
+    refuse(id, "full: " + std::to_string(kMaxPeers) + " connections", out);
     return;
   }
   Peer peer;
@@ -405,8 +405,8 @@
   version.writer = options_.name;
   version.text = std::move(message.text);
   version.digest = digest_of(version);
-  if (encode(Offer{version}).size() > kMostMessage)
-    return no("the document takes more than " + std::to_string(kMostMessage) + " bytes on the wire");
+  if (encode(Offer{version}).size() > kMaxMessage)
+    return no("the document takes more than " + std::to_string(kMaxMessage) + " bytes on the wire");
   keep(std::move(version), id, out);
   return true;
 }
@@ -415,11 +415,11 @@
   if (!peer.hello || peer.dialled || peer.role != Role::tool) return false;
   Status all = status(now);
   std::string body = encode(all);
-  if (body.size() > kMostMessage) {  // thousands of brokers with long problems: the texts go first
+  if (body.size() > kMaxMessage) {  // thousands of brokers with long problems: the texts go first
     for (auto& broker : all.brokers) broker.problem = clean(broker.problem, 40);
     body = encode(all);
   }
-  while (body.size() > kMostMessage) {
+  while (body.size() > kMaxMessage) {
     all.brokers.resize(all.brokers.size() / 2);
     body = encode(all);
   }
@@ -515,7 +515,7 @@
     found->second.heard = now;
     return found->second;
   }
-  if (brokers_.size() >= kMostBrokers) {
+  if (brokers_.size() >= kMaxBrokers) {
     const auto older = [](const auto& a, const auto& b) {
       const bool a_there = a.second.peer != 0, b_there = b.second.peer != 0;
       return a_there != b_there ? b_there : a.second.heard < b.second.heard;
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -59,8 +59,8 @@
   static constexpr Time kPing = std::chrono::seconds(2);             // between pings to the writer
   static constexpr Time kUpstreamSilence = std::chrono::seconds(5);  // the writer counts as gone
   static constexpr Time kRetry = std::chrono::seconds(1);            // after the disk has refused
-  static constexpr std::size_t kMostPeers = 8192;                    // connections at once
-  static constexpr std::size_t kMostBrokers = 8192;  // that are remembered; the longest unheard go first
+  static constexpr std::size_t kMaxPeers = 8192;                     // connections at once
+  static constexpr std::size_t kMaxBrokers = 8192;  // that are remembered; the longest unheard go first
 
   Node(NodeOptions options, Stored stored);
 
--- a/src/control/store.hpp
+++ b/src/control/store.hpp
@@ -19,7 +19,7 @@
 
 class Store {
  public:
-  static constexpr std::size_t kMostVersions = 1024;  // the newest; older ones go
+  static constexpr std::size_t kMaxVersions = 1024;  // the newest; older ones go
 
   // Of what the file or its place does not allow; the file is left as it is.
   struct Unusable : std::runtime_error {
@@ -28,7 +28,7 @@
 
   // Opens the file, or makes one where there is none, and looks at all of it. It is this process's alone
   // until the Store goes. `fleet`: whose it must be.
-  Store(const std::string& path, const std::string& fleet, std::size_t most_versions = kMostVersions);
+  Store(const std::string& path, const std::string& fleet, std::size_t most_versions = kMaxVersions);
   ~Store();
   Store(Store&&) noexcept;
   Store& operator=(Store&&) noexcept;
--- a/src/control/subscriber.cpp
+++ b/src/control/subscriber.cpp
@@ -76,7 +76,7 @@
   if (turn_ == round_.size()) {  // none would have it: a longer wait each time, drawn from its upper half
     phase_ = Phase::waiting;
     until_ = now + draw(span_ / 2, span_);
-    span_ = std::min(2 * span_, kMostWait);
+    span_ = std::min(2 * span_, kMaxWait);
     return;
   }
   phase_ = Phase::dialling;
@@ -93,14 +93,14 @@
     return;
   }
   // One that breaks soon after its Welcome has proved little: the round goes on, and so does the back-off.
-  if (now - since_ < kMostWait) {
+  if (now - since_ < kMaxWait) {
     dial_next(now, out);
     return;
   }
-  span_ = kLeastWait;
+  span_ = kMinWait;
   lost_ = round_[turn_ - 1];
   phase_ = Phase::waiting;  // the others of a node that died come too
-  until_ = now + draw(Time{}, kLeastWait);
+  until_ = now + draw(Time{}, kMinWait);
 }
 
 void Subscriber::connected(Time now, SubscriberEffects& out) {
@@ -160,7 +160,7 @@
     auto& told = refusals_[round_[turn_ - 1]];
     const bool again = told == farewell->reason;
     told = std::move(farewell->reason);
-    leave(now, again ? "" : "control: " + name + " refuses: " + clean(told, kMostProblem), true, out);
+    leave(now, again ? "" : "control: " + name + " refuses: " + clean(told, kMaxProblem), true, out);
     return;
   }
   if (auto* welcome = std::get_if<Welcome>(&message); welcome != nullptr && phase_ == Phase::greeting) {
@@ -231,7 +231,7 @@
     out.push_back(Say{"control: version " + to_text(in_force_) + " in force"});
   } else {
     refused_ = trying_->place;
-    problem_ = clean(problem, kMostProblem);
+    problem_ = clean(problem, kMaxProblem);
     out.push_back(Say{"control: version " + to_text(refused_) + " refused: " + problem});
   }
   trying_.reset();
--- a/src/control/subscriber.hpp
+++ b/src/control/subscriber.hpp
@@ -43,11 +43,11 @@
 
 class Subscriber {
  public:
-  static constexpr Time kPing = std::chrono::seconds(2);     // between pings
-  static constexpr Time kSilence = std::chrono::seconds(5);  // without a word, the node counts as gone
-  static constexpr Time kDial = std::chrono::seconds(1);     // for a connection and its Welcome
-  static constexpr Time kLeastWait = std::chrono::milliseconds(100);  // back-off, with jitter
-  static constexpr Time kMostWait = std::chrono::seconds(4);
+  static constexpr Time kPing = std::chrono::seconds(2);            // between pings
+  static constexpr Time kSilence = std::chrono::seconds(5);         // without a word, the node counts as gone
+  static constexpr Time kDial = std::chrono::seconds(1);            // for a connection and its Welcome
+  static constexpr Time kMinWait = std::chrono::milliseconds(100);  // back-off, with jitter
+  static constexpr Time kMaxWait = std::chrono::seconds(4);
   static constexpr Time kHome =
       std::chrono::minutes(10);  // on another node than its first; half less or more
 
@@ -92,7 +92,7 @@
   std::size_t turn_ = 0;             // those of them that were dialled
   std::optional<std::size_t> lost_;  // the node whose stream broke last: the next round tries it last
   Time until_{};                     // waiting: of the wait; dialling and greeting: of the dial
-  Time span_ = kLeastWait;           // of the next back-off
+  Time span_ = kMinWait;             // of the next back-off
   Time heard_{}, pinged_{}, since_{}, home_{};
   std::vector<std::string> refusals_;  // by node: the Farewell that was told last
 
--- a/src/control/version.hpp
+++ b/src/control/version.hpp
@@ -12,8 +12,8 @@
 
 using Time = std::chrono::nanoseconds;  // a moment on a steady clock of any beginning, or a span
 
-// The most that a document may take, in bytes; it is that of hcl::kMostText.
-inline constexpr std::size_t kMostDocument = std::size_t{1} << 20;
+// The most that a document may take, in bytes; it is that of hcl::kMaxText.
+inline constexpr std::size_t kMaxDocument = std::size_t{1} << 20;
 
 // Versions are ordered by their writer's epoch, then by number. 0.0: none yet.
 struct Place {
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -38,7 +38,7 @@
   return pick(kNames, static_cast<std::size_t>(end));
 }
 
-const char* name(policy::Reason reason) {
+const char* name(policy::UnservedReason reason) {
   static constexpr std::array<const char*, kReasons> kNames{
       "unknown_class", "over_share",    "no_time",         "too_big", "overdue_on_arrival",
       "deadline",      "held_too_long", "no_attempt_left", "at_fault"};
@@ -62,7 +62,7 @@
   add_all<AnswerKind>(out, "answered", answered);
   add(out, "cancelled", cancelled);
   add(out, "half_closed", half_closed);
-  add_all<policy::Reason>(out, "unserved", unserved);
+  add_all<policy::UnservedReason>(out, "unserved", unserved);
   add_all<Verdict>(out, "turned_down", turned_down);
   add_all<AttemptEnd>(out, "attempt", attempts);
   add_all<Verdict>(out, "withheld", withheld);
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -8,7 +8,8 @@
 Verdict Guard::may_take(const Taking& taking) const {
   // One that is read while the program ends could not be finished.
   if (taking.phase >= Phase::stopping) return Verdict::stopping;
-  if (settings_.max_open != 0 && taking.owed >= settings_.max_open) return Verdict::too_many_open;
+  if (settings_.max_open_requests != 0 && taking.owed >= settings_.max_open_requests)
+    return Verdict::too_many_open;
   if (!taking.fits) return Verdict::no_memory;
   if (taking.ticket_in_use) return Verdict::ticket_in_use;
   return Verdict::allowed;
@@ -24,9 +25,9 @@
   for (const auto& earlier : sending.earlier) {
     if (!repeat_allowed(cls, earlier.attempt, *sending.engine, now, kWindowSlack))
       return Verdict::repeat_forbidden;
-    if (earlier.running && !settings_.second_copies) return Verdict::another_running;
+    if (earlier.running && !settings_.hedging) return Verdict::another_running;
   }
-  if (cls.in_order && key_in_use(sending.order_key, sending.request, now)) return Verdict::key_in_use;
+  if (cls.ordered_by_key && key_in_use(sending.order_key, sending.request, now)) return Verdict::key_in_use;
   return Verdict::allowed;
 }
 
--- a/src/core/guard.hpp
+++ b/src/core/guard.hpp
@@ -37,8 +37,8 @@
     ClassIndex cls = 0;
     std::uint64_t order_key = 0;  // 0: none
     bool answered = false, client_gone = false;
-    Time until{};                                 // its time is over then
-    const policy::EngineEntry* engine = nullptr;  // none: not known
+    Time until{};                              // its time is over then
+    const policy::Endpoint* engine = nullptr;  // none: not known
     std::span<const Earlier> earlier;
   };
   // Whether the attempt may begin, and whether its first byte may leave: asked for both.
--- a/src/core/lifecycle.hpp
+++ b/src/core/lifecycle.hpp
@@ -36,20 +36,20 @@
   // The platform kills the program no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s
   // after the request to stop. What is not answered by then is given up so long before that clients hear of
   // it, and ask elsewhere.
-  static constexpr Time kMostDeadline = std::chrono::seconds(3);
+  static constexpr Time kMaxDeadline = std::chrono::seconds(3);
   static constexpr Time kKill = std::chrono::milliseconds(700), kBeforeKill = std::chrono::milliseconds(400);
   // What is left to write, and what engines still have to be told, gets this long.
   static constexpr Time kFlush = std::chrono::milliseconds(300);
 
   // `deadline`: the longest of all classes, as the platform's own configuration has them: its kill goes by
   // them.
-  explicit Lifecycle(Time deadline = kMostDeadline) : most_drain_(drain_for(deadline)) {}
+  explicit Lifecycle(Time deadline = kMaxDeadline) : most_drain_(drain_for(deadline)) {}
 
   void listening() { listening_ = true; }
   void fleet_known() { fleet_known_ = true; }
   // `deadline`: the longest that counts by now. A version of the settings may have made it shorter; one that
   // makes it longer does not move the kill. What comes into force later moves nothing any more.
-  void stop(Time now, Time deadline = kMostDeadline) {
+  void stop(Time now, Time deadline = kMaxDeadline) {
     if (phase_ != Phase::starting && phase_ != Phase::serving) return;
     most_drain_ = std::min(most_drain_, drain_for(deadline));
     phase_ = Phase::draining;
@@ -76,7 +76,7 @@
 
  private:
   static constexpr Time drain_for(Time deadline) {
-    return std::max(std::min(deadline, kMostDeadline) + kKill - kBeforeKill, kLinger);
+    return std::max(std::min(deadline, kMaxDeadline) + kKill - kBeforeKill, kLinger);
   }
 
   Phase phase_ = Phase::starting;
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -9,8 +9,8 @@
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
+using policy::AttemptResult;
 using policy::EngineState;
-using policy::Result;
 
 // Should the module have left a request without its answer, it fails so long before the client gives up.
 constexpr Time kLastCall = 15ms;
@@ -21,38 +21,39 @@
 constexpr Time kSweep = 1s;  // between looks for keys that rest no more
 std::size_t weight(const Submission& asked) {
   constexpr std::size_t kEach = 1024;  // for what stands beside the texts
-  return kEach + asked.body.size() + asked.parameters.size() + asked.nonce.size();
+  return kEach + asked.body.size() + asked.parameters.size() + asked.idempotency_key.size();
 }
 
 Time longest_deadline(const policy::Settings& settings) {
   Time out{};
-  for (const auto& cls : settings.classes) out = std::max(out, cls.give_up);
+  for (const auto& cls : settings.classes) out = std::max(out, cls.client_timeout);
   return out;
 }
 
 // The result proves that the attempt never ran.
-bool never_ran(Result result) {
-  return result == Result::turned_away || result == Result::not_connected || result == Result::moot;
+bool never_ran(AttemptResult result) {
+  return result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
+         result == AttemptResult::not_started;
 }
 
-Result result_of(AttemptEnd end, bool timed_out) {
+AttemptResult result_of(AttemptEnd end, bool timed_out) {
   switch (end) {
     case AttemptEnd::served:
-      return Result::served;
+      return AttemptResult::served;
     case AttemptEnd::error:
-      return Result::error;
-    case AttemptEnd::turned_away:
-      return Result::turned_away;
+      return AttemptResult::error;
+    case AttemptEnd::rejected:
+      return AttemptResult::rejected;
     case AttemptEnd::expired:
-      return Result::moot;
-    case AttemptEnd::not_connected:
-      return Result::not_connected;
+      return AttemptResult::not_started;
+    case AttemptEnd::connect_failed:
+      return AttemptResult::connect_failed;
     case AttemptEnd::reset:
-      return Result::reset;
-    case AttemptEnd::withdrawn:
+      return AttemptResult::reset;
+    case AttemptEnd::cancelled:
       break;
   }
-  return timed_out ? Result::timed_out : Result::called_off;
+  return timed_out ? AttemptResult::timed_out : AttemptResult::cancelled;
 }
 }  // namespace
 
@@ -78,14 +79,14 @@
 
 std::optional<Time> Reducer::next_call() const {
   if (news_.empty()) return std::nullopt;
-  return called_ + settings_.step;
+  return called_ + settings_.min_call_interval;
 }
 
 // Calls the module with all that has happened, and does what it says. Calls lie a step apart at the least.
 void Reducer::consult() {
   called_ = now_;
   for (auto& event : news_) {
-    if (auto* arrival = std::get_if<policy::Arrival>(&event)) {
+    if (auto* arrival = std::get_if<policy::RequestArrival>(&event)) {
       const auto* request = find(arrival->request);
       arrival->time_left =
           request == nullptr ? Time::zero() : std::max(Time::zero(), request->deadline - now_);
@@ -109,10 +110,10 @@
 
 // ---- events
 
-void Reducer::on(const Listening&) { lifecycle_.listening(); }
+void Reducer::on(const ListenersReady&) { lifecycle_.listening(); }
 
-void Reducer::on(Arrived& arrived) {
-  auto& asked = arrived.asked;
+void Reducer::on(RequestReceived& arrived) {
+  auto& asked = arrived.submission;
   const auto bytes = weight(asked);
   const auto verdict = guard_.may_take({lifecycle_.phase(), owed_, held_bytes_ + bytes <= most_bytes_,
                                         !asked.ticket.empty() && tickets_.contains(asked.ticket)});
@@ -121,7 +122,7 @@
     trace(last_request_, "ticket ", asked.ticket, " is turned down: ", name(verdict));
     const bool again = verdict != Verdict::ticket_in_use;
     return put(Answer{asked.client,
-                      again ? AnswerKind::refused : AnswerKind::failed,
+                      again ? AnswerKind::rejected : AnswerKind::failed,
                       again ? settings_.max_retry_after : Time::zero(),
                       {},
                       {}});
@@ -129,11 +130,11 @@
   if (!asked.ticket.empty()) tickets_.insert(asked.ticket);
   ++counters_.taken;
   const auto id = ++last_request_;
-  trace(id, "ticket ", asked.ticket, " is taken, class ", asked.cls, ", for ", asked.limit / 1ms, " ms");
+  trace(id, "ticket ", asked.ticket, " is taken, class ", asked.cls, ", for ", asked.time_limit / 1ms, " ms");
   by_client_[asked.client] = id;
   auto& request = requests_[id];
   request.since = arrived.since == Time::zero() ? now_ : std::min(arrived.since, now_);
-  request.deadline = request.since + asked.limit;
+  request.deadline = request.since + asked.time_limit;
   request.asked = std::move(asked);
   held_bytes_ += bytes;
   ++owed_;
@@ -142,7 +143,7 @@
   hand_over(id, request);
 }
 
-void Reducer::on(const Stalled& stalled) {
+void Reducer::on(const ProcessStalled& stalled) {
   ++counters_.stalls;
   // One that follows at once is taken for the same: what fell due in the first has not had its turn yet.
   const bool goes_on = stalled.since <= stalled_.since + stalled_.length + kLateAnswer;
@@ -160,7 +161,7 @@
   return now_ > due && !(stalled_.length > Time::zero() && due >= stalled_.since && now_ <= ran_again);
 }
 
-void Reducer::on(const Cancelled& cancelled) {
+void Reducer::on(const ClientCancelled& cancelled) {
   const auto found = by_client_.find(cancelled.client);
   if (found == by_client_.end()) return;
   const auto id = found->second;
@@ -170,7 +171,7 @@
   request.answered = true;  // nothing is owed any more
   by_client_.erase(found);
   --owed_;
-  if (request.place == Place::module) news_.push_back(policy::ClientLeft{id});
+  if (request.place == Place::module) news_.push_back(policy::RequestCancelled{id});
   step_out(id, request);
   withdraw_unsent(id, request);
   forget_if_done(id);
@@ -178,7 +179,7 @@
 
 // A half-close can't be told from a close. What is out may run on, and its answer is written; what is not has
 // its answer now, and nothing begins for it any more.
-void Reducer::on(const HalfClosed& half) {
+void Reducer::on(const ClientHalfClosed& half) {
   const auto found = by_client_.find(half.client);
   if (found == by_client_.end()) return;
   const auto id = found->second;
@@ -218,11 +219,11 @@
   Guard::Sending sending;
   sending.request = id.request;
   sending.cls = request.asked.cls;
-  sending.order_key = request.asked.order_key;
+  sending.order_key = request.asked.ordering_key;
   sending.answered = request.answered;
   sending.client_gone = request.half_closed;
   sending.until = attempt.until;
-  sending.engine = member == members_.end() ? nullptr : &member->second.entry;
+  sending.engine = member == members_.end() ? nullptr : &member->second.endpoint;
   sending.earlier = earlier;
   return guard_.may_send(sending, now_);
 }
@@ -243,7 +244,7 @@
 }
 
 // The engine's state is looked at once more here: the list may have changed while a connection was made.
-void Reducer::on(const AttemptReady& ready) {
+void Reducer::on(const AttemptConnected& ready) {
   auto* attempt = find(ready.id);
   if (attempt == nullptr || attempt->stage != Stage::waiting) return;
   const auto& request = requests_.at(ready.id.request);
@@ -256,20 +257,20 @@
   }
   attempt->stage = Stage::out;
   attempt->may_run_since = now_;
-  guard_.sent(request.asked.order_key, ready.id.request);
+  guard_.sent(request.asked.ordering_key, ready.id.request);
   trace(ready.id.request, "attempt ", ready.id.index, " leaves for engine ", attempt->engine);
   attempt->priority = request.priority;
   const auto& asked = request.asked;
   put(Transmit{ready.id, asked.cls, attempt->until - now_, request.memory_mb, request.priority, asked.ticket,
-               asked.nonce, asked.body, asked.parameters});
+               asked.idempotency_key, asked.body, asked.parameters});
 }
 
 // A note without a figure: neither the attempt nor its engine is lost, however long it takes.
-void Reducer::on(const AttemptHeard& heard) {
+void Reducer::on(const AttemptProgressed& heard) {
   const auto* attempt = find(heard.id);
   if (attempt == nullptr || attempt->stage != Stage::out) return;
-  news_.push_back(
-      policy::Note{heard.id.request, heard.id.index, attempt->engine, policy::NoteKind::waiting, 0});
+  news_.push_back(policy::AttemptProgress{heard.id.request, heard.id.index, attempt->engine,
+                                          policy::ProgressKind::waiting, 0});
 }
 
 void Reducer::on(AttemptEnded& ended) {
@@ -278,21 +279,21 @@
   // What was given up before its first byte has never run.
   const bool unsent = ended.end == AttemptEnd::expired;
   conclude(ended.id, requests_.at(ended.id.request),
-           unsent ? Result::moot : result_of(ended.end, attempt->timed_out), &ended);
+           unsent ? AttemptResult::not_started : result_of(ended.end, attempt->timed_out), &ended);
 }
 
-void Reducer::conclude(AttemptId id, Request& request, Result result, AttemptEnded* told) {
+void Reducer::conclude(AttemptId id, Request& request, AttemptResult result, AttemptEnded* told) {
   auto& attempt = request.attempts[id.index];
   if (told != nullptr) {
     ++counters_.attempts[static_cast<std::size_t>(told->end)];
-    attempt.lingers = now_ + told->lingers;
+    attempt.lingers = now_ + told->may_run_for;
     trace(id.request, "attempt ", id.index, " ended: ", name(told->end));
   }
   if (attempt.stage == Stage::out || attempt.may_run_since)
-    guard_.ended(request.asked.order_key, id.request, attempt.lingers);
+    guard_.ended(request.asked.ordering_key, id.request, attempt.lingers);
   attempt.stage = Stage::over;
   if (never_ran(result)) attempt.may_run_since.reset();
-  policy::Outcome outcome;
+  policy::AttemptOutcome outcome;
   outcome.request = id.request;
   outcome.attempt = id.index;
   outcome.engine = attempt.engine;
@@ -301,23 +302,23 @@
   if (told != nullptr) {
     outcome.work = told->work;
     outcome.memory_mb = told->memory_mb;
-    outcome.load = std::move(told->load);
-    outcome.lingers = told->lingers;
-    if (result == Result::served && !request.answered)
+    outcome.load_report = std::move(told->load_report);
+    outcome.may_run_for = told->may_run_for;
+    if (result == AttemptResult::served && !request.answered)
       answer(id.request, request, AnswerKind::served, Time::zero(), std::move(told->body),
              std::move(told->shape));
-    if (result != Result::served && !told->body.empty()) request.last_word = std::move(told->body);
+    if (result != AttemptResult::served && !told->body.empty()) request.last_word = std::move(told->body);
   }
   const auto out = [](const Attempt& other) { return other.stage == Stage::out; };
   if (request.half_closed && !request.answered && std::ranges::none_of(request.attempts, out))
     answer_unserved(id.request, request);
-  outcome.closed = request.answered;
+  outcome.request_closed = request.answered;
   news_.push_back(std::move(outcome));
   forget_if_done(id.request);
 }
 
-void Reducer::on(ProbeEnded& ended) {
-  policy::ProbeResult probe;
+void Reducer::on(HealthCheckEnded& ended) {
+  policy::HealthCheckResult probe;
   auto& sent = probes_[ended.engine];
   if (!sent.empty()) {
     probe.latency = now_ - sent.front();
@@ -330,11 +331,11 @@
   news_.push_back(std::move(probe));
 }
 
-void Reducer::on(PeerHeard& heard) {
-  news_.push_back(policy::PeerMessage{heard.from, std::move(heard.bytes)});
+void Reducer::on(GossipReceived& heard) {
+  news_.push_back(policy::GossipMessage{heard.from, std::move(heard.bytes)});
 }
 
-void Reducer::on(const StopAsked& asked) {
+void Reducer::on(const ShutdownRequested& asked) {
   // Requests taken before a version that made deadlines shorter keep theirs.
   Time longest = longest_deadline(settings_);
   for (const auto& [id, request] : requests_) {
@@ -374,11 +375,11 @@
     gateway_.reconfigure(offered.settings);
   } catch (const std::invalid_argument& error) {
     put(Log{"settings of version " + version + " can't be used, the old ones stay: " + error.what()});
-    return put(SettingsRefused{offered.epoch, offered.number, error.what()});
+    return put(SettingsRejected{offered.epoch, offered.number, error.what()});
   }
   settings_ = std::move(offered.settings);
   named_changelog_ = std::move(offered.changelog);
-  put(SettingsInForce{offered.epoch, offered.number, settings_,
+  put(SettingsApplied{offered.epoch, offered.number, settings_,
                       named_changelog_.empty() ? own_changelog_ : named_changelog_,
                       std::move(offered.names)});
   put(Log{"settings of version " + version + " are in force"});
@@ -401,7 +402,7 @@
   // What stays in the table without an answer owed waits for engines to hear that it was given up.
   if (!lifecycle_.advance(now_, owed_ > 0, tick.unwritten || !requests_.empty())) return;
   put(Log{std::string("phase: ") + name(lifecycle_.phase())});
-  if (lifecycle_.phase() == Phase::stopping) put(CloseFronts{});
+  if (lifecycle_.phase() == Phase::stopping) put(CloseClientConnections{});
   if (lifecycle_.phase() != Phase::exited) return;
   if (owed_ > 0) violated(Violation::lost_at_exit, 0);
   put(Exit{});
@@ -418,7 +419,7 @@
 
 // One request, at once and whole: its answer, its attempts, its place with the module.
 void Reducer::give_up(RequestId id, Request& request) {
-  if (request.place == Place::module) news_.push_back(policy::ClientLeft{id});
+  if (request.place == Place::module) news_.push_back(policy::RequestCancelled{id});
   answer_unserved(id, request);
   for (std::size_t n = 0; n < request.attempts.size(); ++n)
     abandon({id, static_cast<AttemptIndex>(n)}, request.attempts[n], false);
@@ -427,22 +428,22 @@
 
 // Refused, where trying again is harmless; else it has failed.
 void Reducer::answer_unserved(RequestId id, Request& request) {
-  const Time pause = settings_.retry_after ? settings_.max_retry_after : Time::zero();
-  may_refuse(request) ? answer(id, request, AnswerKind::refused, pause, {})
+  const Time pause = settings_.sends_retry_after ? settings_.max_retry_after : Time::zero();
+  may_refuse(request) ? answer(id, request, AnswerKind::rejected, pause, {})
                       : answer(id, request, AnswerKind::failed, {}, {});
 }
 
 void Reducer::on(const Alarm& alarm) {
   switch (alarm.kind) {
     case Alarm::Kind::wake:
-      news_.push_back(policy::Wake{});
+      news_.push_back(policy::TimerFired{});
       return;
     case Alarm::Kind::attempt:
       if (auto* attempt = find(alarm.id); attempt != nullptr) abandon(alarm.id, *attempt, true);
       return;
     case Alarm::Kind::deadline:
       if (auto* request = find(alarm.id.request); request != nullptr && !request->answered) {
-        if (request->place == Place::module) news_.push_back(policy::ClientLeft{alarm.id.request});
+        if (request->place == Place::module) news_.push_back(policy::RequestCancelled{alarm.id.request});
         answer(alarm.id.request, *request, AnswerKind::timed_out, Time::zero(), {});
         forget_if_done(alarm.id.request);
       }
@@ -452,17 +453,18 @@
 
 // ---- the module's actions
 
-void Reducer::act(const policy::Send& send) {
+void Reducer::act(const policy::SendAttempt& send) {
   auto* request = find(send.request);
   if (request == nullptr) return;
   const AttemptId id{send.request, static_cast<AttemptIndex>(request->attempts.size())};
   Attempt attempt;
   attempt.engine = send.engine;
   attempt.begun = now_;
-  attempt.until = std::min(send.until == Time::zero() ? request->deadline : send.until, request->deadline);
+  attempt.until =
+      std::min(send.give_up_at == Time::zero() ? request->deadline : send.give_up_at, request->deadline);
   if (const auto member = members_.find(send.engine); member != members_.end()) {
-    attempt.zone = member->second.entry.zone;
-    attempt.cell = member->second.entry.cell;
+    attempt.zone = member->second.endpoint.zone;
+    attempt.cell = member->second.endpoint.cell;
   }
   request->attempts.push_back(attempt);
   const auto verdict = may_send(id, *request);
@@ -470,13 +472,13 @@
     if (Guard::breaks_a_rule(verdict)) violated(Violation::unsafe_send, id.request);
     ++counters_.withheld[static_cast<std::size_t>(verdict)];
     trace(id.request, "attempt ", id.index, " is not begun: ", name(verdict));
-    return conclude(id, *request, Result::moot, nullptr);
+    return conclude(id, *request, AttemptResult::not_started, nullptr);
   }
   wheel_.arm(attempt.until, {Alarm::Kind::attempt, id});
   put(StartAttempt{id, send.engine});
 }
 
-void Reducer::act(const policy::CallOff& off) {
+void Reducer::act(const policy::CancelAttempt& off) {
   const AttemptId id{off.request, off.attempt};
   if (auto* attempt = find(id); attempt != nullptr) abandon(id, *attempt, false);
 }
@@ -485,10 +487,10 @@
   if (attempt.stage != Stage::waiting && attempt.stage != Stage::out) return;
   attempt.stage = Stage::leaving;
   attempt.timed_out = timed_out;
-  put(Abandon{id});
+  put(CancelAttempt{id});
 }
 
-void Reducer::act(const policy::Refuse& refuse) {
+void Reducer::act(const policy::Reject& refuse) {
   auto* request = find(refuse.request);
   if (request == nullptr || request->answered) return;
   ++counters_.unserved[static_cast<std::size_t>(refuse.reason)];
@@ -498,7 +500,7 @@
     answer(refuse.request, *request, AnswerKind::failed, Time::zero(), {});
     return forget_if_done(refuse.request);
   }
-  answer(refuse.request, *request, AnswerKind::refused, refuse.pause, {});
+  answer(refuse.request, *request, AnswerKind::rejected, refuse.retry_after, {});
   forget_if_done(refuse.request);
 }
 
@@ -512,7 +514,7 @@
   forget_if_done(fail.request);
 }
 
-void Reducer::act(const policy::Terms& terms) {
+void Reducer::act(const policy::AttemptTerms& terms) {
   auto* request = find(terms.request);
   if (request == nullptr) return;
   request->memory_mb = terms.memory_mb;
@@ -525,15 +527,17 @@
   }
 }
 
-void Reducer::act(const policy::WakeAfter& wake) { wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}}); }
+void Reducer::act(const policy::ScheduleTimer& wake) {
+  wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}});
+}
 
-void Reducer::act(const policy::Probe& probe) {
+void Reducer::act(const policy::SendHealthCheck& probe) {
   probes_[probe.engine].push_back(now_);
-  put(ProbeEngine{probe.engine});
+  put(SendHealthCheck{probe.engine});
 }
 
-void Reducer::act(policy::Tell& tell) { put(TellPeers{tell.to, std::move(tell.bytes)}); }
-void Reducer::act(policy::Trace& trace) { put(Log{std::move(trace.text)}); }
+void Reducer::act(policy::SendGossip& tell) { put(SendGossip{tell.to, std::move(tell.bytes)}); }
+void Reducer::act(policy::LogMessage& trace) { put(Log{std::move(trace.text)}); }
 
 void Reducer::answer(RequestId id, Request& request, AnswerKind kind, Time pause, std::string body,
                      std::string shape) {
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -9,7 +9,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 #include "core/counters.hpp"
 #include "core/events.hpp"
 #include "core/guard.hpp"
@@ -79,20 +79,20 @@
     AttemptId id;
   };
 
-  void on(const Listening&);
-  void on(FleetChange& change);
-  void on(const FleetQuiet& quiet);
-  void on(Arrived& arrived);
-  void on(const Stalled& stalled);
-  void on(const Cancelled& cancelled);
-  void on(const HalfClosed& half);
-  void on(const AttemptReady& ready);
-  void on(const AttemptHeard& heard);
+  void on(const ListenersReady&);
+  void on(EndpointUpdate& change);
+  void on(const EndpointListPolled& quiet);
+  void on(RequestReceived& arrived);
+  void on(const ProcessStalled& stalled);
+  void on(const ClientCancelled& cancelled);
+  void on(const ClientHalfClosed& half);
+  void on(const AttemptConnected& ready);
+  void on(const AttemptProgressed& heard);
   void on(AttemptEnded& ended);
-  void on(ProbeEnded& ended);
-  void on(PeerHeard& heard);
-  void on(const StopAsked& asked);
-  void on(const ReloadAsked&) { put(ReadConfiguration{}); }
+  void on(HealthCheckEnded& ended);
+  void on(GossipReceived& heard);
+  void on(const ShutdownRequested& asked);
+  void on(const ReloadRequested&) { put(ReadConfiguration{}); }
   void on(ConfigurationRead& read);
   void on(SettingsOffered& offered);
   void on(HookRan& ran) { hooks_.ran(now_, std::move(ran.ran)); }
@@ -101,16 +101,16 @@
   void on(const Tick& tick);
   void on(const Alarm& alarm);
 
-  void act(const policy::Send& send);
-  void act(const policy::CallOff& off);
-  void act(const policy::Refuse& refuse);
+  void act(const policy::SendAttempt& send);
+  void act(const policy::CancelAttempt& off);
+  void act(const policy::Reject& refuse);
   void act(const policy::Fail& fail);
-  void act(const policy::Terms& terms);
-  void act(const policy::WakeAfter& wake);
-  void act(const policy::Probe& probe);
-  void act(policy::Tell& tell);
-  void act(const policy::Observe&) {}  // the change log is always asked
-  void act(policy::Trace& trace);
+  void act(const policy::AttemptTerms& terms);
+  void act(const policy::ScheduleTimer& wake);
+  void act(const policy::SendHealthCheck& probe);
+  void act(policy::SendGossip& tell);
+  void act(const policy::PollEndpointList&) {}  // the change log is always asked
+  void act(policy::LogMessage& trace);
 
   void consult();
   void settle_hooks();
@@ -132,11 +132,11 @@
   template <class... Parts>
   void trace(RequestId id, const Parts&... parts);
   [[nodiscard]] bool is_news(bool live) const;
-  [[nodiscard]] Time start_of(const Member& member, bool live);
+  [[nodiscard]] Time start_of(const EndpointRecord& member, bool live);
   void read_starts_anew();
   void answer(RequestId id, Request& request, AnswerKind kind, Time pause, std::string body,
               std::string shape = {});
-  void conclude(AttemptId id, Request& request, policy::Result result, AttemptEnded* told);
+  void conclude(AttemptId id, Request& request, policy::AttemptResult result, AttemptEnded* told);
   void abandon(AttemptId id, Attempt& attempt, bool timed_out);
   void forget_if_done(RequestId id);
   Request* find(RequestId id);
@@ -144,7 +144,7 @@
   void put(Effect effect) { out_->push_back(std::move(effect)); }
 
   policy::Settings settings_;
-  policy::Gateway gateway_;
+  policy::Scheduler gateway_;
   Guard guard_{settings_};
   Counters counters_;
   bool tells_all_ = false;
@@ -154,9 +154,9 @@
   Lifecycle lifecycle_;
   TimerWheel<Alarm> wheel_{kTick};
   std::unordered_map<RequestId, Request> requests_;
-  std::unordered_map<Client, RequestId> by_client_;
+  std::unordered_map<ClientHandle, RequestId> by_client_;
   std::unordered_set<std::string> tickets_;  // of the requests held
-  std::unordered_map<EngineId, Member> members_;
+  std::unordered_map<EngineId, EndpointRecord> members_;
   std::unordered_map<EngineId, std::vector<Time>> probes_;  // when each one that is out was sent
   std::vector<policy::Event> news_;                         // for the module's next call
   std::vector<policy::Action> actions_;
@@ -170,8 +170,8 @@
   std::size_t owed_ = 0, most_bytes_, held_bytes_ = 0;
   bool fleet_told_ = false;
   StartClock starts_;
-  Stalled stalled_;  // the last one
-  Time heard_{};     // the change log's last answer; 0: none yet
+  ProcessStalled stalled_;  // the last one
+  Time heard_{};            // the change log's last answer; 0: none yet
   Time now_{}, called_{};
   Effects* out_ = nullptr;
 };
--- a/src/core/reducer_hooks.cpp
+++ b/src/core/reducer_hooks.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 // Lines of the log about tagged requests in a second.
-constexpr unsigned kMostTagged = 50;
+constexpr unsigned kMaxTagged = 50;
 
 // What hooks of all phases are shown of a request.
 hooks::Subject subject_of(const Submission& asked) {
@@ -29,36 +29,36 @@
   const auto& taken = request.asked;
   auto subject = subject_of(taken);
   subject.statement_size = taken.body.size();
-  subject.limit = taken.limit;
-  subject.cpu = taken.cost;
-  subject.ram = taken.memory_mb;
+  subject.limit = taken.time_limit;
+  subject.cpu = taken.estimated_work;
+  subject.ram = taken.estimated_memory_mb;
   subject.group = taken.data_group;
-  subject.second = taken.repeat;
+  subject.second = taken.is_client_retry;
   const bool inside = hooks_.enter(now_, id, std::move(subject), taken.body);
   // One that comes behind another of its key stays behind it, whether a hook is for it or not.
-  const bool behind = in_line(taken) && (inside || lines_.contains(taken.order_key));
-  if (behind) lines_[taken.order_key].push_back(id);
+  const bool behind = in_line(taken) && (inside || lines_.contains(taken.ordering_key));
+  if (behind) lines_[taken.ordering_key].push_back(id);
   request.place = inside ? Place::hooks : behind ? Place::line : Place::module;
   return request.place != Place::module;
 }
 
 bool Reducer::in_line(const Submission& asked) const {
-  return asked.order_key != 0 && settings_.classes[asked.cls].in_order;
+  return asked.ordering_key != 0 && settings_.classes[asked.cls].ordered_by_key;
 }
 
 // The module hears of it.
 void Reducer::hand_over(RequestId id, Request& request) {
   request.place = Place::module;
   const auto& asked = request.asked;
-  policy::Arrival arrival;
+  policy::RequestArrival arrival;
   arrival.request = id;
   arrival.cls = asked.cls;
   arrival.tenant = asked.tenant;
-  arrival.order_key = asked.order_key;
-  arrival.cost = asked.cost;
-  arrival.memory_mb = asked.memory_mb;
+  arrival.ordering_key = asked.ordering_key;
+  arrival.estimated_work = asked.estimated_work;
+  arrival.estimated_memory_mb = asked.estimated_memory_mb;
   arrival.data_group = asked.data_group;
-  arrival.repeat = asked.repeat;
+  arrival.is_client_retry = asked.is_client_retry;
   news_.push_back(arrival);
 }
 
@@ -67,7 +67,7 @@
   if (request.place == Place::module) return;
   if (request.place == Place::hooks) hooks_.leave(id);
   request.place = Place::module;
-  const auto line = lines_.find(request.asked.order_key);
+  const auto line = lines_.find(request.asked.ordering_key);
   if (line == lines_.end() || !in_line(request.asked)) return;
   std::erase(line->second, id);
   moved_lines_.push_back(line->first);
@@ -92,17 +92,17 @@
   request->tags = std::move(passed.subject.tags);
   if (passed.refused) {
     const Time pause =
-        settings_.retry_after ? std::min(*passed.refused, settings_.max_retry_after) : Time::zero();
-    answer(passed.owner, *request, AnswerKind::refused, pause, {});
+        settings_.sends_retry_after ? std::min(*passed.refused, settings_.max_retry_after) : Time::zero();
+    answer(passed.owner, *request, AnswerKind::rejected, pause, {});
     return forget_if_done(passed.owner);
   }
   auto& asked = request->asked;
-  asked.cost = passed.subject.cpu;
-  asked.memory_mb = passed.subject.ram;
-  asked.repeat = passed.subject.second;
+  asked.estimated_work = passed.subject.cpu;
+  asked.estimated_memory_mb = passed.subject.ram;
+  asked.is_client_retry = passed.subject.second;
   if (!in_line(asked)) return hand_over(passed.owner, *request);
   request->place = Place::line;
-  moved_lines_.push_back(asked.order_key);
+  moved_lines_.push_back(asked.ordering_key);
 }
 
 // What the hooks' decisions have come to, until there is nothing more to be done about them in this step.
@@ -141,7 +141,7 @@
     tags_second_ = now_;
     tags_lines_ = tags_unsaid_ = 0;
   }
-  if (++tags_lines_ > kMostTagged) {
+  if (++tags_lines_ > kMaxTagged) {
     ++tags_unsaid_;
     return;
   }
--- a/src/core/start_clock.hpp
+++ b/src/core/start_clock.hpp
@@ -25,9 +25,9 @@
 class StartClock {
  public:
   // How late an event may enter the change log. A clock that is off by less is not noticed.
-  static constexpr Time kMostDelay = std::chrono::seconds(2);
+  static constexpr Time kMaxDelay = std::chrono::seconds(2);
   // A wall clock is off by less: an engine that began longer ago by it is not new.
-  static constexpr Time kMostOff = std::chrono::hours(24);
+  static constexpr Time kMaxOff = std::chrono::hours(24);
 
   // To be told of each start that was known when the program began, before any of them is read.
   void note_known(Time started_unix) { newest_known_ = std::max(newest_known_, started_unix); }
@@ -35,7 +35,7 @@
   // Of an engine that was known when the program began: nothing tells when it was not there yet.
   [[nodiscard]] Time of_known(Time started_unix, Time now) const {
     const Time by_wall_clock = started_unix + offset_;
-    const bool surely_old = now - by_wall_clock > kMostOff;
+    const bool surely_old = now - by_wall_clock > kMaxOff;
     return std::clamp(surely_old ? by_wall_clock : now - (newest_known_ - started_unix), Time(1), now);
   }
 
@@ -47,7 +47,7 @@
   // Of an engine that news tell of. `absent`: the change log had not told of it by then.
   [[nodiscard]] Time of_news(Time started_unix, Time now, Time absent) {
     const Time age = now - (started_unix + offset_);
-    const Time most_age = now - absent + kMostDelay;
+    const Time most_age = now - absent + kMaxDelay;
     if (age < Time::zero() || age > most_age) {
       offset_ = now - started_unix;
       was_off_ = true;
--- a/src/core/verdict.hpp
+++ b/src/core/verdict.hpp
@@ -28,6 +28,6 @@
 [[nodiscard]] const char* name(Verdict verdict);
 [[nodiscard]] const char* name(AnswerKind kind);
 [[nodiscard]] const char* name(AttemptEnd end);
-[[nodiscard]] const char* name(policy::Reason reason);
+[[nodiscard]] const char* name(policy::UnservedReason reason);
 
 }  // namespace bellstair::core
--- a/src/directory/ldap.cpp
+++ b/src/directory/ldap.cpp
@@ -15,8 +15,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostOpen = 32;  // questions at a time; each has a connection of its own
-constexpr std::size_t kMostKnown = 4096;
+constexpr std::size_t kMaxOpen = 32;  // questions at a time; each has a connection of its own
+constexpr std::size_t kMaxKnown = 4096;
 
 struct MessageDeleter {
   void operator()(LDAPMessage* message) const { ldap_msgfree(message); }
@@ -191,7 +191,7 @@
   if (const auto found = known_.find(key(user, password));
       found != known_.end() && now_ < found->second.until)
     return done(found->second.verdict);
-  if (open_.size() >= kMostOpen) return done({Verdict::Kind::unavailable, {}});
+  if (open_.size() >= kMaxOpen) return done({Verdict::Kind::unavailable, {}});
   open_.push_back(std::make_unique<Question>(*this, user, password, std::move(done)));
   auto& question = *open_.back();
   if (!question.start()) answer(question, {Verdict::Kind::unavailable, {}});
@@ -204,7 +204,7 @@
   gone_.push_back(std::move(*at));
   open_.erase(at);
   if (verdict.kind == Verdict::Kind::granted) {
-    if (known_.size() >= kMostKnown) known_.clear();
+    if (known_.size() >= kMaxKnown) known_.clear();
     known_[key(question.user(), question.password())] = {verdict, now_ + config_.cache};
   }
   question.take_done()(verdict);
--- a/src/hcl/parse.cpp
+++ b/src/hcl/parse.cpp
@@ -30,8 +30,8 @@
   std::string word;  // of a heredoc's end
 
   void deepen(Position at) {
-    if (open.size() + marks.size() > kMostDepth)
-      throw Refused{{at, "is nested more than " + std::to_string(kMostDepth) + " deep"}};
+    if (open.size() + marks.size() > kMaxDepth)
+      throw Refused{{at, "is nested more than " + std::to_string(kMaxDepth) + " deep"}};
   }
   void push(Position at, decltype(Value::is) value) { values.push_back({at, std::move(value)}); }
 };
@@ -564,8 +564,8 @@
       problems(std::move(found)) {}
 
 Body parse(std::string_view text, const std::string& file) {
-  if (text.size() > kMostText)
-    throw Invalid(file, {{{}, "is longer than " + std::to_string(kMostText) + " bytes"}});
+  if (text.size() > kMaxText)
+    throw Invalid(file, {{{}, "is longer than " + std::to_string(kMaxText) + " bytes"}});
   if (text.starts_with("\xef\xbb\xbf")) text.remove_prefix(3);
   State state;
   state.open.emplace_back();
--- a/src/hcl/parse.hpp
+++ b/src/hcl/parse.hpp
@@ -9,8 +9,8 @@
 
 namespace bellstair::hcl {
 
-inline constexpr std::size_t kMostText = std::size_t{1} << 20;  // bytes; more is refused
-inline constexpr std::size_t kMostDepth =
+inline constexpr std::size_t kMaxText = std::size_t{1} << 20;  // bytes; more is refused
+inline constexpr std::size_t kMaxDepth =
     32;  // of lists, objects and blocks: the parser's own stack is bounded
 
 // Throws Invalid. Templates, functions, references and operators are refused by name.
--- a/src/hooks/chain.cpp
+++ b/src/hooks/chain.cpp
@@ -29,7 +29,7 @@
   if (verdict.ram) subject.ram = *verdict.ram;
   if (verdict.second) subject.second = *verdict.second;
   for (const auto& tag : verdict.tags) {
-    if (subject.tags.size() < kMostTags && std::ranges::find(subject.tags, tag) == subject.tags.end())
+    if (subject.tags.size() < kMaxTags && std::ranges::find(subject.tags, tag) == subject.tags.end())
       subject.tags.push_back(tag);
   }
   if (!verdict.refuse) return;
--- a/src/hooks/chain.hpp
+++ b/src/hooks/chain.hpp
@@ -1,6 +1,6 @@
 // The hooks of one request, in their order, and what comes of them together:
 // - labels (cpu, ram, second): each hook sees what those before it have set; the last one to set it wins;
-// - tags add up, the first kMostTags of them;
+// - tags add up, the first kMaxTags of them;
 // - the first refusal ends the chain, and no later hook is called;
 // - a hook that fails has said nothing, whatever it had said; its on_failure decides, and it is blamed.
 #pragma once
--- a/src/hooks/control.cpp
+++ b/src/hooks/control.cpp
@@ -61,7 +61,7 @@
 }
 
 bool Control::enter(Time now, Owner owner, Subject subject, std::string_view statement) {
-  statement = statement.substr(0, kMostStatement);
+  statement = statement.substr(0, kMaxStatement);
   std::vector<HookId> called;
   for (const auto id : phased_[static_cast<std::size_t>(Phase::request)]) {
     if (fits(hooks_.at(id).spec.match, subject, statement)) called.push_back(id);
@@ -158,7 +158,7 @@
 }
 
 void Control::told(Time now, const Subject& end, std::string_view statement) {
-  statement = statement.substr(0, kMostStatement);
+  statement = statement.substr(0, kMaxStatement);
   for (const auto id : phased_[static_cast<std::size_t>(Phase::answer)]) {
     auto& hook = hooks_.at(id);
     if (!fits(hook.spec.match, end, statement)) continue;
--- a/src/hooks/load.cpp
+++ b/src/hooks/load.cpp
@@ -35,13 +35,13 @@
       continue;
     }
     spec.source = std::move(text).str();
-    if (spec.source.size() > kMostScript) {
-      wrong("the script is longer than " + std::to_string(kMostScript) + " bytes");
+    if (spec.source.size() > kMaxScript) {
+      wrong("the script is longer than " + std::to_string(kMaxScript) + " bytes");
       continue;
     }
     spec.digest = sha256(spec.source);
     std::string problem;
-    auto machine = Machine::make(spec, words, kMostLoad, problem);
+    auto machine = Machine::make(spec, words, kMaxLoad, problem);
     if (machine) problem = machine->rehearse();
     if (!problem.empty()) wrong(problem);
     out.machines.push_back(std::move(machine));
--- a/src/hooks/load.hpp
+++ b/src/hooks/load.hpp
@@ -11,8 +11,8 @@
 
 namespace bellstair::hooks {
 
-inline constexpr std::size_t kMostScript = std::size_t{256} << 10;  // bytes
-inline constexpr Time kMostLoad = std::chrono::milliseconds(200);   // for a script's own body
+inline constexpr std::size_t kMaxScript = std::size_t{256} << 10;  // bytes
+inline constexpr Time kMaxLoad = std::chrono::milliseconds(200);   // for a script's own body
 
 struct Loaded {
   Set set;  // with each script's text and digest, and ids that no hook has had
--- a/src/hooks/machine.cpp
+++ b/src/hooks/machine.cpp
@@ -17,12 +17,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr int kCheckEvery = 100;                // instructions between looks at the clock
-constexpr std::size_t kMostText = 64 * 1024;    // bytes that a text function works on, in C
-constexpr std::size_t kMostBlock = 128 * 1024;  // bytes in one piece: bounds each copy, compare, rehash
-constexpr std::size_t kLookAfter = 64 * 1024;   // bytes newly held between looks at the clock
-constexpr std::size_t kMostMessage = 400, kMostSaid = 4;  // bytes; lines of one slice
-constexpr int kMostUnpacked = 200;
+constexpr int kCheckEvery = 100;               // instructions between looks at the clock
+constexpr std::size_t kMaxText = 64 * 1024;    // bytes that a text function works on, in C
+constexpr std::size_t kMaxBlock = 128 * 1024;  // bytes in one piece: bounds each copy, compare, rehash
+constexpr std::size_t kLookAfter = 64 * 1024;  // bytes newly held between looks at the clock
+constexpr std::size_t kMaxMessage = 400, kMaxSaid = 4;  // bytes; lines of one slice
+constexpr int kMaxUnpacked = 200;
 
 Time thread_cpu() {
   timespec at{};
@@ -189,7 +189,7 @@
       return nullptr;
     }
     if (new_size > held) {
-      if (new_size > kMostBlock || self.used + (new_size - held) > self.most) {
+      if (new_size > kMaxBlock || self.used + (new_size - held) > self.most) {
         self.hurry();
         return nullptr;
       }
@@ -241,8 +241,8 @@
     for (int i = 1; i <= count; ++i) {
       if (lua_type(at, i) == LUA_TSTRING) sum += lua_rawlen(at, i);
     }
-    if (sum > kMostText)
-      return luaL_error(at, "texts of more than %d bytes are too long for this", static_cast<int>(kMostText));
+    if (sum > kMaxText)
+      return luaL_error(at, "texts of more than %d bytes are too long for this", static_cast<int>(kMaxText));
     lua_pushvalue(at, lua_upvalueindex(1));
     lua_insert(at, 1);
     lua_call(at, count, LUA_MULTRET);
@@ -253,16 +253,16 @@
     luaL_checklstring(at, 1, &size);
     const auto times = luaL_checkinteger(at, 2);
     luaL_optlstring(at, 3, "", &between);
-    const auto most = static_cast<lua_Integer>(kMostText);
+    const auto most = static_cast<lua_Integer>(kMaxText);
     if (times > most || (times > 0 && times * static_cast<lua_Integer>(size + between) > most))
-      return luaL_error(at, "the text would be longer than %d bytes", static_cast<int>(kMostText));
+      return luaL_error(at, "the text would be longer than %d bytes", static_cast<int>(kMaxText));
     return bounded(at);
   }
   static int unpacked(lua_State* at) {
     const auto first = luaL_optinteger(at, 2, 1);
     const auto last = luaL_opt(at, luaL_checkinteger, 3, luaL_len(at, 1));
-    if (last >= first && static_cast<lua_Unsigned>(last) - static_cast<lua_Unsigned>(first) >= kMostUnpacked)
-      return luaL_error(at, "too many values to unpack: at most %d", kMostUnpacked);
+    if (last >= first && static_cast<lua_Unsigned>(last) - static_cast<lua_Unsigned>(first) >= kMaxUnpacked)
+      return luaL_error(at, "too many values to unpack: at most %d", kMaxUnpacked);
     return bounded(at);
   }
   static std::string_view text_at(lua_State* at, int index) {
@@ -286,7 +286,7 @@
     auto& self = of(at);
     std::size_t size = 0;
     const char* text = luaL_checklstring(at, 1, &size);
-    if (self.said.size() < kMostSaid) self.said.emplace_back(text, std::min(size, kMostMessage));
+    if (self.said.size() < kMaxSaid) self.said.emplace_back(text, std::min(size, kMaxMessage));
     return 0;
   }
   static int clock(lua_State* at) {
@@ -302,13 +302,13 @@
   }
   static std::string_view key_at(lua_State* at) {
     const auto key = text_at(at, 1);
-    if (key.empty() || key.size() > Store::kMostKey)
-      luaL_error(at, "a key of the state has 1 to %d bytes", static_cast<int>(Store::kMostKey));
+    if (key.empty() || key.size() > Store::kMaxKey)
+      luaL_error(at, "a key of the state has 1 to %d bytes", static_cast<int>(Store::kMaxKey));
     return key;
   }
   static Time ttl_at(lua_State* at, int index) {
     const double seconds = luaL_checknumber(at, index);
-    const double most = std::chrono::duration<double>(Store::kMostTtl).count();
+    const double most = std::chrono::duration<double>(Store::kMaxTtl).count();
     if (!(seconds > 0 && seconds <= most))
       luaL_error(at, "what is kept is kept for more than 0 and at most %f seconds", most);
     return Time(static_cast<std::int64_t>(seconds * 1e9));
@@ -341,9 +341,9 @@
       kept = store.set(of(at).now, key, lua_tonumber(at, 2), ttl);
     } else {
       const auto text = text_at(at, 2);
-      if (text.size() > Store::kMostValue)
+      if (text.size() > Store::kMaxValue)
         return luaL_error(at, "a value of the state has at most %d bytes",
-                          static_cast<int>(Store::kMostValue));
+                          static_cast<int>(Store::kMaxValue));
       kept = store.set(of(at).now, key, std::string(text), ttl);
     }
     return kept ? 0 : luaL_error(at, "the state is full");
@@ -465,7 +465,7 @@
     if (lua_type(at, -1) != LUA_TSTRING) return "it failed, and did not say why";
     std::size_t size = 0;
     const char* text = lua_tolstring(at, -1, &size);
-    return {text, std::min(size, kMostMessage)};
+    return {text, std::min(size, kMaxMessage)};
   }
 
   struct Start {
@@ -604,7 +604,7 @@
     lua_rawgeti(at, LUA_REGISTRYINDEX, keys[kTags]);
     lua_rawget(at, -2);
     if (lua_istable(at, -1)) {
-      for (std::size_t i = 1; i <= kMostTags; ++i) {
+      for (std::size_t i = 1; i <= kMaxTags; ++i) {
         lua_rawgeti(at, -1, static_cast<lua_Integer>(i));
         std::size_t size = 0;
         const char* text = lua_type(at, -1) == LUA_TSTRING ? lua_tolstring(at, -1, &size) : nullptr;
@@ -613,7 +613,7 @@
         lua_pop(at, 1);
         if (last) break;
         const auto plain = [](unsigned char c) { return c > 0x20 && c < 0x7f && c != ','; };
-        if (text == nullptr || size == 0 || size > kMostTag || !std::ranges::all_of(out.tags.back(), plain))
+        if (text == nullptr || size == 0 || size > kMaxTag || !std::ranges::all_of(out.tags.back(), plain))
           wrong = "'tags' holds what is no tag";
       }
     } else if (!lua_isnil(at, -1)) {
--- a/src/hooks/runner.cpp
+++ b/src/hooks/runner.cpp
@@ -38,7 +38,7 @@
   if (found == held_.end()) return;
   later([this, spec = found->second.spec, words = words_]() -> std::function<void()> {
     auto problem = std::make_shared<std::string>();
-    std::shared_ptr<Machine> fresh = Machine::make(spec, *words, kMostLoad, *problem);
+    std::shared_ptr<Machine> fresh = Machine::make(spec, *words, kMaxLoad, *problem);
     return [this, problem, fresh, id = spec.id] {
       const auto held = held_.find(id);
       if (held == held_.end()) return;
--- a/src/hooks/spec.hpp
+++ b/src/hooks/spec.hpp
@@ -20,9 +20,9 @@
 inline constexpr std::size_t kPhases = 3;
 inline constexpr std::array<const char*, kPhases> kPhaseNames{"request", "answer", "timer"};
 
-inline constexpr std::size_t kMostTags = 8, kMostTag = 64;  // bytes for each
-inline constexpr std::size_t kMostStatement = 32 * 1024;    // bytes that a hook is shown
-inline constexpr std::size_t kMostHooks = 64;
+inline constexpr std::size_t kMaxTags = 8, kMaxTag = 64;  // bytes for each
+inline constexpr std::size_t kMaxStatement = 32 * 1024;   // bytes that a hook is shown
+inline constexpr std::size_t kMaxHooks = 64;
 
 // Which requests a hook is called for; what is empty fits all.
 struct Match {
@@ -74,7 +74,7 @@
   std::uint16_t cls = 0;
   std::uint32_t tenant = 0;
   std::uint8_t front = 0;
-  std::shared_ptr<const std::string> statement;  // at most kMostStatement of it
+  std::shared_ptr<const std::string> statement;  // at most kMaxStatement of it
   std::size_t statement_size = 0;                // of the whole, in bytes
   Time limit{};
   std::optional<Time> cpu;
--- a/src/hooks/store.cpp
+++ b/src/hooks/store.cpp
@@ -37,7 +37,7 @@
   }
   if (bytes_ + needed > most_) return false;
   const auto made = entries_.emplace(std::string(key), Entry{std::move(value), {}}).first;
-  made->second.expiry = expiries_.emplace(now + std::clamp(ttl, Time(1), kMostTtl), &made->first);
+  made->second.expiry = expiries_.emplace(now + std::clamp(ttl, Time(1), kMaxTtl), &made->first);
   bytes_ += needed;
   return true;
 }
--- a/src/hooks/store.hpp
+++ b/src/hooks/store.hpp
@@ -17,9 +17,9 @@
 class Store {
  public:
   using Item = std::variant<double, std::string>;
-  static constexpr std::size_t kMostKey = 256, kMostValue = 1024;  // bytes
-  static constexpr std::size_t kEach = 128;  // bytes an entry is charged beside its texts
-  static constexpr Time kMostTtl = std::chrono::hours(24);
+  static constexpr std::size_t kMaxKey = 256, kMaxValue = 1024;  // bytes
+  static constexpr std::size_t kEach = 128;                      // bytes an entry is charged beside its texts
+  static constexpr Time kMaxTtl = std::chrono::hours(24);
 
   explicit Store(std::size_t most_bytes) : most_(most_bytes) {}
   void bound(std::size_t most_bytes) { most_ = most_bytes; }
--- a/src/link/hub.cpp
+++ b/src/link/hub.cpp
@@ -7,7 +7,7 @@
 namespace bellstair::link {
 namespace {
 // Descriptors of those that have been told to go and have not gone.
-constexpr std::size_t kMostLeaving = 256;
+constexpr std::size_t kMaxLeaving = 256;
 }  // namespace
 
 Hub::Hub(ev::loop_ref loop, Limits limits, std::size_t most_accepted, Handlers handlers)
@@ -101,7 +101,7 @@
     lingerer_.take(held->channel.stream());
   held->channel.close();
   gone_.push_back(std::move(held));
-  lingerer_.trim(kMostLeaving);
+  lingerer_.trim(kMaxLeaving);
 }
 
 void Hub::close(ChannelId id) {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -20,8 +20,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostQueued = 512;  // lines that wait to be written
-constexpr auto kLook = 2ms;               // between looks at whether all has been written
+constexpr std::size_t kMaxQueued = 512;  // lines that wait to be written
+constexpr auto kLook = 2ms;              // between looks at whether all has been written
 // With the time in UTC: whoever reads the log may be anywhere.
 constexpr const char* kPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
 
@@ -84,7 +84,7 @@
   sigfillset(&all);
   pthread_sigmask(SIG_BLOCK, &all, &before);
   made->pool = std::make_shared<spdlog::details::thread_pool>(
-      kMostQueued, 1U, [] { pthread_setname_np(pthread_self(), "log"); });
+      kMaxQueued, 1U, [] { pthread_setname_np(pthread_self(), "log"); });
   pthread_sigmask(SIG_SETMASK, &before, nullptr);
   made->sink->set_formatter(
       std::make_unique<spdlog::pattern_formatter>(kPattern, spdlog::pattern_time_type::utc));
--- a/src/mysql/engines.cpp
+++ b/src/mysql/engines.cpp
@@ -10,9 +10,9 @@
 using core::AttemptEnd;
 using core::AttemptId;
 
-constexpr std::size_t kMostPacket = std::size_t{4} << 20;
-constexpr std::size_t kMostResult = std::size_t{4} << 20;
-constexpr std::size_t kMostPrepared = 128;  // on one connection; then the one prepared first is closed
+constexpr std::size_t kMaxPacket = std::size_t{4} << 20;
+constexpr std::size_t kMaxResult = std::size_t{4} << 20;
+constexpr std::size_t kMaxPrepared = 128;  // on one connection; then the one prepared first is closed
 constexpr core::Time kAside = 500ms;
 constexpr std::uint32_t kWanted = kLongPassword | kProtocol41 | kTransactions | kSecureConnection |
                                   kPluginAuth | kLenencAuth | kQueryAttributes;
@@ -27,7 +27,7 @@
 }  // namespace
 
 struct Engines::Session : net::Session {
-  PacketReader reader{kMostPacket};
+  PacketReader reader{kMaxPacket};
   std::uint32_t connection = 0, capabilities = 0;
   bool answered = false;  // the greeting
   std::string nonce;
@@ -99,7 +99,7 @@
 
 // ---- effects
 
-void Engines::run(const core::EngineMoved& effect) {
+void Engines::run(const core::EndpointChanged& effect) {
   effect.usable ? pool_.place(effect.engine, effect.address) : pool_.retire(effect.engine);
   if (effect.accepting) return;
   // A statement that is being prepared has not been sent yet, and must not be once the engine drains.
@@ -107,7 +107,7 @@
   for (const auto& [id, attempt] : attempts_) {
     if (attempt.engine == effect.engine && attempt.stage == Stage::preparing) unsent.push_back(id);
   }
-  for (const auto id : unsent) run(core::Abandon{id});
+  for (const auto id : unsent) run(core::CancelAttempt{id});
 }
 
 void Engines::tick(core::Time now) {
@@ -133,13 +133,13 @@
   attempt.engine = effect.engine;
   attempt.result.id = id;
   attempt.ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
-    if (connection == nullptr) return end(id, AttemptEnd::not_connected);
+    if (connection == nullptr) return end(id, AttemptEnd::connect_failed);
     auto& taken = attempts_.at(id);
     taken.connection = connection;
     taken.stage = Stage::ready;
     connection->data = [this, id](std::string_view bytes) { take(id, bytes); };
     connection->lost = [this, id](bool) { lost(id); };
-    post_(core::AttemptReady{id});
+    post_(core::AttemptConnected{id});
   });
 }
 
@@ -185,7 +185,7 @@
   attempt.connection->stream.write(frame(0, payload));
 }
 
-void Engines::run(const core::Abandon& effect) {
+void Engines::run(const core::CancelAttempt& effect) {
   const auto id = effect.id;
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
@@ -203,7 +203,7 @@
     case Stage::executing: {
       attempt.stage = Stage::leaving;
       const auto number = static_cast<Session&>(*attempt.connection->session).connection;
-      return kill(attempt.engine, number, [this, id] { end(id, AttemptEnd::withdrawn); });
+      return kill(attempt.engine, number, [this, id] { end(id, AttemptEnd::cancelled); });
     }
     case Stage::leaving:
       return;
@@ -215,13 +215,13 @@
         [done = std::move(done)](bool, bool) { done(); });
 }
 
-void Engines::run(const core::ProbeEngine& effect) {
+void Engines::run(const core::SendHealthCheck& effect) {
   const auto engine = effect.engine;
   aside(engine, command(kPing, {}), [this, engine](bool had, bool answered) {
-    const auto result = !had       ? policy::Result::not_connected
-                        : answered ? policy::Result::served
-                                   : policy::Result::timed_out;
-    post_(core::ProbeEnded{engine, result, {}});
+    const auto result = !had       ? policy::AttemptResult::connect_failed
+                        : answered ? policy::AttemptResult::served
+                                   : policy::AttemptResult::timed_out;
+    post_(core::HealthCheckEnded{engine, result, {}});
   });
 }
 
@@ -308,7 +308,7 @@
       const bool busy =
           error.code == kTooManyConnections || error.code == kShuttingDown || error.code == kTooManyOfUser;
       // It was never executed; but a statement that is wrong is wrong on every engine.
-      return end(id, busy ? AttemptEnd::turned_away : AttemptEnd::error, error.message);
+      return end(id, busy ? AttemptEnd::rejected : AttemptEnd::error, error.message);
     }
     attempt.prepared = read_prepared(payload);
     const auto parts = [](std::size_t count) {
@@ -317,7 +317,7 @@
     attempt.definitions = parts(attempt.prepared.parameters) + parts(attempt.prepared.columns);
     if (attempt.definitions > 0) return;
   }
-  if (session.order.size() >= kMostPrepared) {
+  if (session.order.size() >= kMaxPrepared) {
     const auto oldest = session.prepared.find(session.order.front());
     attempt.connection->stream.write(
         frame(0, Writer().u8(kCloseStatement).u32(oldest->second.statement).take()));
@@ -364,7 +364,7 @@
   if (!attempt.rows) throw Malformed("rows before the end of the columns");
   append_row(attempt.result.body,
              binary ? read_binary_row(payload, attempt.types) : read_text_row(payload, attempt.columns));
-  if (attempt.result.body.size() > kMostResult) throw Malformed("a result is too large");
+  if (attempt.result.body.size() > kMaxResult) throw Malformed("a result is too large");
 }
 
 // The connection is gone, or nothing on it can be trusted any more.
@@ -377,11 +377,11 @@
     case Stage::waiting:
     case Stage::ready:
     case Stage::preparing:
-      return end(id, AttemptEnd::not_connected);  // it was never executed
+      return end(id, AttemptEnd::connect_failed);  // it was never executed
     case Stage::executing:
       return end(id, AttemptEnd::reset);  // it may have been
     case Stage::leaving:
-      return end(id, AttemptEnd::withdrawn);
+      return end(id, AttemptEnd::cancelled);
   }
 }
 
@@ -393,7 +393,7 @@
   if (attempt.connection != nullptr) {
     // A connection that was killed, or that still has something to say, is of no more use.
     const bool clean = how == AttemptEnd::served || how == AttemptEnd::expired || how == AttemptEnd::error ||
-                       how == AttemptEnd::turned_away;
+                       how == AttemptEnd::rejected;
     // What came behind an answer would be taken for the next one's.
     const auto& reader = static_cast<Session&>(*attempt.connection->session).reader;
     clean&& reader.buffered() == 0 ? pool_.release(*attempt.connection) : pool_.discard(*attempt.connection);
--- a/src/mysql/engines.hpp
+++ b/src/mysql/engines.hpp
@@ -25,10 +25,10 @@
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
-  void run(const core::Abandon& effect) override;
+  void run(const core::CancelAttempt& effect) override;
   void run(const core::Reprioritize&) override {}  // the protocol knows no priorities
-  void run(const core::ProbeEngine& effect) override;
-  void run(const core::EngineMoved& effect) override;
+  void run(const core::SendHealthCheck& effect) override;
+  void run(const core::EndpointChanged& effect) override;
   void settle() override { pool_.settle(); }
   void tick(core::Time now) override;
   void wake(core::Time now) override;
--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -17,8 +17,8 @@
                                    kSecureConnection | kPluginAuth | kConnectAttributes | kLenencAuth |
                                    kQueryAttributes;
 constexpr core::Time kLoginTime = 10s;
-constexpr std::size_t kMostBuffered = std::size_t{2} << 20;  // of what a client sends ahead
-constexpr std::size_t kPlatformColumns = 3;                  // of the platform's results
+constexpr std::size_t kMaxBuffered = std::size_t{2} << 20;  // of what a client sends ahead
+constexpr std::size_t kPlatformColumns = 3;                 // of the platform's results
 constexpr std::uint8_t kSwitch = 0xfe, kMore = 0x01, kFastDone = 0x03;
 
 // 20 bytes that no client can foresee, free of zeros, which end a text on this wire.
@@ -55,7 +55,7 @@
 
 void Front::accept(net::Fd fd) {
   if (connections_.size() >= options_.most_connections) {
-    net::Stream turned_away(loop_, std::move(fd), false, kMostUnwritten);
+    net::Stream turned_away(loop_, std::move(fd), false, kMaxUnwritten);
     turned_away.write(frame(0, write_error({kTooManyConnections, "08004", "too many connections"})));
     lingerer_.take(turned_away);
     return trim();
@@ -70,7 +70,7 @@
       .data =
           [this, &connection](std::string_view bytes) {
             connection.reader.feed(bytes);
-            if (connection.reader.buffered() > kMostBuffered) connection.stream.pause(true);
+            if (connection.reader.buffered() > kMaxBuffered) connection.stream.pause(true);
             take(connection);
           },
       .ended =
@@ -78,7 +78,7 @@
             // It may only have closed its side, or have gone: what runs has its answer written, but nothing
             // more is begun.
             connection.ended = true;
-            if (connection.phase == Phase::running) return post_(core::HalfClosed{connection.client});
+            if (connection.phase == Phase::running) return post_(core::ClientHalfClosed{connection.client});
             if (connection.stream.unwritten() == 0) close(connection);
           },
       .closed = [this, &connection] { close(connection); },
@@ -131,7 +131,7 @@
     refuse(connection, {kMalformedPacket, "HY000", error.what()});
   }
   connection.taking = false;
-  if (connection.stream.open() && connection.reader.buffered() <= kMostBuffered)
+  if (connection.stream.open() && connection.reader.buffered() <= kMaxBuffered)
     connection.stream.pause(false);
 }
 
@@ -244,7 +244,7 @@
 void Front::prepare(Connection& connection, std::string text) {
   if (sql::first_word(text).empty())
     return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
-  if (connection.statements.size() >= kMostStatements)
+  if (connection.statements.size() >= kMaxStatements)
     return send_error(connection, {1461, "42000", "too many prepared statements on this connection"});
   const auto id = ++connection.last_statement;
   auto& statement = connection.statements[id];
@@ -286,7 +286,7 @@
     connection.binary = binary;
     connection.reads = word == "select" || word == "with" || word == "show";
     running_[asked.client] = connection.serial;
-    post_(core::Arrived{std::move(asked)});
+    post_(core::RequestReceived{std::move(asked)});
   } catch (const Refusal& refusal) {
     send_error(connection, refusal.error);
   }
@@ -371,7 +371,7 @@
 
 // At the end no descriptor is needed any more.
 void Front::trim() {
-  if (!finishing_) lingerer_.trim(options_.most_connections + kMostLingering - connections_.size());
+  if (!finishing_) lingerer_.trim(options_.most_connections + kMaxLingering - connections_.size());
 }
 
 void Front::settle() {
@@ -382,7 +382,7 @@
 void Front::close(Connection& connection) {
   if (connection.client != 0) {
     running_.erase(connection.client);
-    post_(core::Cancelled{connection.client});
+    post_(core::ClientCancelled{connection.client});
   }
   connection.stream.close();
   const auto found = connections_.find(connection.serial);
--- a/src/mysql/front.hpp
+++ b/src/mysql/front.hpp
@@ -45,10 +45,10 @@
   [[nodiscard]] bool unwritten() const;
 
  private:
-  static constexpr std::size_t kMostPacket = std::size_t{1} << 20;
-  static constexpr std::size_t kMostUnwritten = std::size_t{16} << 20;
-  static constexpr std::size_t kMostStatements = 1024;  // prepared, on one connection
-  static constexpr std::size_t kMostLingering = 16;     // beyond what the connections' room leaves
+  static constexpr std::size_t kMaxPacket = std::size_t{1} << 20;
+  static constexpr std::size_t kMaxUnwritten = std::size_t{16} << 20;
+  static constexpr std::size_t kMaxStatements = 1024;  // prepared, on one connection
+  static constexpr std::size_t kMaxLingering = 16;     // beyond what the connections' room leaves
 
   enum class Phase { login, switched, clear_password, looked_up, idle, running };
   struct Statement {
@@ -59,20 +59,20 @@
   struct Connection {
     std::uint64_t serial = 0;
     net::Stream stream;
-    PacketReader reader{kMostPacket};
+    PacketReader reader{kMaxPacket};
     Phase phase = Phase::login;
     std::string nonce, user, tenant;  // the tenant by name: it may leave the settings and come back
     std::uint32_t capabilities = 0;
     std::uint8_t sequence = 0;
     bool taking = false;
-    bool closing = false;     // what more comes is dropped; closed once what runs has its answer
-    bool ended = false;       // the client writes no more: it has closed its side, or all of it
-    core::Client client = 0;  // while one of its statements runs
-    bool binary = false;      // it was prepared
+    bool closing = false;           // what more comes is dropped; closed once what runs has its answer
+    bool ended = false;             // the client writes no more: it has closed its side, or all of it
+    core::ClientHandle client = 0;  // while one of its statements runs
+    bool binary = false;            // it was prepared
     bool reads = false;
     std::map<std::uint32_t, Statement> statements;
     std::uint32_t last_statement = 0;
-    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMostUnwritten) {}
+    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnwritten) {}
     [[nodiscard]] bool attributes() const { return (capabilities & kQueryAttributes) != 0; }
   };
 
@@ -107,7 +107,7 @@
   Post post_;
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::Client, std::uint64_t> running_;
+  std::unordered_map<core::ClientHandle, std::uint64_t> running_;
   std::vector<std::unique_ptr<Connection>> gone_;
   net::Lingerer lingerer_;
   bool finishing_ = false;
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -80,7 +80,8 @@
     return found->second;
   }
   // A statement that only reads may go without: it is of the first class that is safe to repeat.
-  const auto safe = std::ranges::find(settings.classes, policy::Effect::safe, &policy::ClassSettings::effect);
+  const auto safe = std::ranges::find(settings.classes, policy::Idempotency::idempotent,
+                                      &policy::ClassSettings::idempotency);
   if (!reads(statement) || safe == settings.classes.end()) wrong("class is missing");
   return static_cast<core::ClassIndex>(safe - settings.classes.begin());
 }
@@ -100,21 +101,21 @@
   out.cls = class_of(options, statement, names, settings);
   const auto& cls = settings.classes.at(out.cls);
   out.tenant = tenant;
-  const double most = std::chrono::duration<double, std::milli>(cls.give_up).count();
-  out.limit = core::Time(static_cast<std::int64_t>(number(options, "limit", most) * 1e6));
+  const double most = std::chrono::duration<double, std::milli>(cls.client_timeout).count();
+  out.time_limit = core::Time(static_cast<std::int64_t>(number(options, "limit", most) * 1e6));
   if (options.contains("cpu"))
-    out.cost = core::Time(static_cast<std::int64_t>(number(options, "cpu", 0) * 1e6));
-  out.memory_mb = number(options, "ram", 0);
-  out.repeat = number(options, "second", 0) != 0;
-  out.nonce = options["unique"];
+    out.estimated_work = core::Time(static_cast<std::int64_t>(number(options, "cpu", 0) * 1e6));
+  out.estimated_memory_mb = number(options, "ram", 0);
+  out.is_client_retry = number(options, "second", 0) != 0;
+  out.idempotency_key = options["unique"];
   const auto fine = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
-  if (out.nonce.size() > 128 || !std::ranges::all_of(out.nonce, fine))
+  if (out.idempotency_key.size() > 128 || !std::ranges::all_of(out.idempotency_key, fine))
     wrong("unique holds what no key may hold");
   // Without a key of the client's, its own repeat could not be told from a new request.
-  if (cls.effect == policy::Effect::keyed && out.nonce.empty())
+  if (cls.idempotency == policy::Idempotency::keyed && out.idempotency_key.empty())
     wrong("unique is missing: " + cls.name + " needs it");
   if (const auto& item = options["item"]; !item.empty()) {
-    const auto [end, error] = std::from_chars(item.data(), item.data() + item.size(), out.order_key, 16);
+    const auto [end, error] = std::from_chars(item.data(), item.data() + item.size(), out.ordering_key, 16);
     if (error != std::errc() || end != item.data() + item.size()) wrong("item is not up to 16 hex digits");
   }
   out.body = statement;
@@ -126,8 +127,8 @@
 Error error_of(const core::Answer& answer) {
   const auto more = answer.body.empty() ? std::string() : ": " + answer.body;
   switch (answer.kind) {
-    case core::AnswerKind::refused: {
-      const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(answer.pause).count();
+    case core::AnswerKind::rejected: {
+      const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(answer.retry_after).count();
       // 40001: drivers know it as "nothing has happened, try again".
       return {kRefused, "40001", "refused; come back after " + std::to_string(pause) + " ms" + more};
     }
--- a/src/mysql/packet.cpp
+++ b/src/mysql/packet.cpp
@@ -160,7 +160,7 @@
   return ((static_cast<unsigned char>(bits[i / 8]) >> (i % 8)) & 1U) != 0;
 }
 
-constexpr std::size_t kMostParameters = 4096;
+constexpr std::size_t kMaxParameters = 4096;
 
 }  // namespace
 
@@ -451,7 +451,7 @@
   const bool counted = attributes && (flags & kParameterCountSent) != 0;
   std::size_t count = parameters;
   if (counted) count = in.lenenc();
-  if (count < parameters || count > kMostParameters) throw Malformed("a wrong number of parameters");
+  if (count < parameters || count > kMaxParameters) throw Malformed("a wrong number of parameters");
   if (count == 0) {
     if (!in.empty()) throw Malformed("values without parameters");
     return out;
@@ -505,7 +505,7 @@
   if (attributes) {
     const auto count = in.lenenc();
     if (in.lenenc() != 1) throw Malformed("more than one set of attributes");
-    if (count > kMostParameters) throw Malformed("too many attributes");
+    if (count > kMaxParameters) throw Malformed("too many attributes");
     if (count > 0) {
       const auto nulls = in.text((count + 7) / 8);
       if (in.u8() != 1) throw Malformed("attributes without types");
--- a/src/net/driver.hpp
+++ b/src/net/driver.hpp
@@ -14,10 +14,10 @@
   virtual ~EngineDriver() = default;
   virtual void run(const core::StartAttempt& effect) = 0;
   virtual void run(core::Transmit& effect) = 0;
-  virtual void run(const core::Abandon& effect) = 0;
+  virtual void run(const core::CancelAttempt& effect) = 0;
   virtual void run(const core::Reprioritize& effect) = 0;
-  virtual void run(const core::ProbeEngine& effect) = 0;
-  virtual void run(const core::EngineMoved& effect) = 0;
+  virtual void run(const core::SendHealthCheck& effect) = 0;
+  virtual void run(const core::EndpointChanged& effect) = 0;
   virtual void settle() = 0;  // once in each turn of the loop
   virtual void tick(core::Time now) = 0;
   // The clock, after a time without a tick: nothing falls due before what has come meanwhile is read.
--- a/src/net/lingerer.hpp
+++ b/src/net/lingerer.hpp
@@ -35,9 +35,9 @@
     Stream stream;
     core::Time until;
     Leaving(ev::loop_ref loop, Fd fd, core::Time until_time)
-        : stream(loop, std::move(fd), false, kMostRest), until(until_time) {}
+        : stream(loop, std::move(fd), false, kMaxRest), until(until_time) {}
   };
-  static constexpr std::size_t kMostRest = std::size_t{16} << 20;  // a front's own bound lies below
+  static constexpr std::size_t kMaxRest = std::size_t{16} << 20;  // a front's own bound lies below
   using Place = std::list<std::unique_ptr<Leaving>>::iterator;
   void close(Place place);
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,7 +9,7 @@
 
 namespace bellstair::net {
 namespace {
-constexpr int kMostInATurn = 64;  // connections accepted in one turn of the loop
+constexpr int kMaxInATurn = 64;  // connections accepted in one turn of the loop
 }  // namespace
 
 AcceptError classify_accept_error(int error) {
@@ -53,7 +53,7 @@
 
 void Listener::on_io(int) {
   open_reserve();
-  for (int i = 0; i < kMostInATurn; ++i) {
+  for (int i = 0; i < kMaxInATurn; ++i) {
     if (!accept_one()) return;
   }
 }
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -15,7 +15,7 @@
 // Of the dial limit: a dial that takes longer has another made beside it, twice at the most. Connections come
 // up in milliseconds or late, so that this costs nothing otherwise, and the waiter takes whichever is first.
 constexpr int kSlowPart = 4;
-constexpr std::size_t kMostSlow = 2;  // for each waiter
+constexpr std::size_t kMaxSlow = 2;  // for each waiter
 // Without a descriptor, dials are tried again after so long, should nothing of this pool's be closed.
 constexpr Time kStarved = 100ms;
 // After the network did not carry a dial, the next one to that engine is made no sooner. Errors of this
@@ -239,7 +239,7 @@
       continue;
     }
     if (now_ < engine.next_dial) return;
-    const auto slow = std::min(engine.slow, kMostSlow * engine.waiting.size());
+    const auto slow = std::min(engine.slow, kMaxSlow * engine.waiting.size());
     if (engine.dialling - slow >= engine.waiting.size()) return;
     if (!make_room()) {
       starved_ = true;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -36,7 +36,7 @@
 
 // Want of descriptors or memory passes; an address that is in use, or not of this machine, does not.
 namespace {
-constexpr int kMostTries = 40;
+constexpr int kMaxTries = 40;
 constexpr std::chrono::milliseconds kBetweenTries{50};
 
 bool may_pass(int error) {
@@ -47,7 +47,7 @@
 Fd make_patiently(Make make) {
   for (int tries = 1;; ++tries) {
     auto fd = make();
-    if (fd || !may_pass(errno) || tries == kMostTries) return fd;
+    if (fd || !may_pass(errno) || tries == kMaxTries) return fd;
     std::this_thread::sleep_for(kBetweenTries);
   }
 }
--- a/src/platform/changelog.cpp
+++ b/src/platform/changelog.cpp
@@ -21,7 +21,7 @@
 // nothing.
 constexpr auto kHold = 1000ms;
 constexpr core::Time kPatience = kHold + 400ms;
-constexpr std::size_t kMostAnswer = std::size_t{4} << 20;
+constexpr std::size_t kMaxAnswer = std::size_t{4} << 20;
 }  // namespace
 
 ChangeLog::ChangeLog(ev::loop_ref loop, std::string address, const config::Names& names, std::uint64_t since,
@@ -31,7 +31,7 @@
       names_(names),
       since_(since),
       post_(std::move(post)),
-      reader_(kMostAnswer),
+      reader_(kMaxAnswer),
       backoff_(kRetryLeast, kRetryMost, seed),
       waiting_(true) {}
 
@@ -91,10 +91,10 @@
   try {
     auto news = config::parse_changes(answer.body, names_);
     for (auto& change : news.changes) {
-      change.live = true;
+      change.from_change_log = true;
       post_(std::move(change));
     }
-    post_(core::FleetQuiet{true});
+    post_(core::EndpointListPolled{true});
     since_ = std::max(since_, news.seq);
     first_ = nonsense_ = false;
     backoff_.succeeded();
@@ -121,7 +121,7 @@
   next_try_ = now_ + backoff_.after_failure();
   // A broker that has just started serves on what it was told until the change log can be asked.
   if (first_ && (++failures_ >= kFailuresToServe || now_ >= *began_ + kLongToServe))
-    post_(core::FleetQuiet{});
+    post_(core::EndpointListPolled{});
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -13,10 +13,10 @@
 using core::AttemptId;
 using net::steady_now;  // that of ticks may lie a turn back
 
-constexpr std::size_t kMostBody = std::size_t{64} * 1024;  // of any answer
-constexpr std::size_t kMostPage = 6000;
-constexpr std::size_t kMostResult = 48'000;
-constexpr std::size_t kMostPages = 4096;
+constexpr std::size_t kMaxBody = std::size_t{64} * 1024;  // of any answer
+constexpr std::size_t kMaxPage = 6000;
+constexpr std::size_t kMaxResult = 48'000;
+constexpr std::size_t kMaxPages = 4096;
 // An engine answers within 250 ms, if only that there is no news; a query unasked for 2 s dies. A call that
 // hears nothing for so long is made again on another connection while there is time.
 constexpr core::Time kSilence = 700ms;
@@ -33,12 +33,12 @@
 constexpr core::Time kOrphanLife = 2000ms + 250ms + 50ms;
 
 struct HttpSession : net::Session {
-  HttpReader reader{kMostBody};
+  HttpReader reader{kMaxBody};
 };
 
 // Rows of three columns, each with its line feed.
 bool whole_rows(std::string_view page) {
-  if (page.size() > kMostPage || (!page.empty() && page.back() != '\n')) return false;
+  if (page.size() > kMaxPage || (!page.empty() && page.back() != '\n')) return false;
   int tabs = 0;
   for (const char c : page) {
     tabs += c == '\t' ? 1 : 0;
@@ -136,10 +136,10 @@
   attempt.result.id = id;
   attempt.ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
-    if (connection == nullptr) return end(id, AttemptEnd::not_connected);
+    if (connection == nullptr) return end(id, AttemptEnd::connect_failed);
     found->second.stage = Stage::ready;
     keep(id, connection);
-    post_(core::AttemptReady{id});
+    post_(core::AttemptConnected{id});
   });
 }
 
@@ -171,7 +171,7 @@
       kSilence, [this, id](End end, HttpAnswer& answer, Connection* fit) { answered(id, end, answer, fit); });
 }
 
-void Engines::run(const core::Abandon& effect) {
+void Engines::run(const core::CancelAttempt& effect) {
   const auto found = attempts_.find(effect.id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
@@ -190,12 +190,12 @@
       if (attempt.connection->stream.unwritten() > 0) {
         pool_.discard(*attempt.connection);  // the engine never gets it whole
         calls_.erase(attempt.call);
-        return end(effect.id, AttemptEnd::withdrawn);
+        return end(effect.id, AttemptEnd::cancelled);
       }
       patience_.arm(now_ + kAside, attempt.call);
       return;
     case Stage::paging:
-      return end(effect.id, AttemptEnd::withdrawn);  // it has ended there
+      return end(effect.id, AttemptEnd::cancelled);  // it has ended there
     case Stage::polling:
       return give_up(effect.id);
     case Stage::leaving:
@@ -223,9 +223,9 @@
   auto& attempt = found->second;
   // Given up, or not known there any more. A statement whose arrival nothing has proved may come after this.
   const bool over = how == End::answered && (answer.status == 204 || answer.status == 500);
-  if (over && !attempt.doubtful) return end(id, AttemptEnd::withdrawn);
+  if (over && !attempt.doubtful) return end(id, AttemptEnd::cancelled);
   if (over || attempt.connection == nullptr || attempt.stage == Stage::recalling)
-    return let_go(id, AttemptEnd::withdrawn);
+    return let_go(id, AttemptEnd::cancelled);
   attempt.stage = Stage::recalling;
   if (!calls_.contains(attempt.call)) recall(id);
 }
@@ -254,7 +254,7 @@
 // connection was closed; nothing does after that.
 void Engines::let_go(AttemptId id, AttemptEnd how) {
   auto& attempt = attempts_.at(id);
-  attempt.result.lingers =
+  attempt.result.may_run_for =
       std::max(core::Time::zero(), attempt.quiet_since + transit_ + kOrphanLife - steady_now());
   end(id, how);
 }
@@ -271,35 +271,35 @@
         [](End, HttpAnswer&) {});
 }
 
-void Engines::run(const core::ProbeEngine& effect) { probe(effect.engine, kProbeAgain); }
+void Engines::run(const core::SendHealthCheck& effect) { probe(effect.engine, kProbeAgain); }
 
 // To ask again does no harm, and one reset connection tells nothing of its engine.
 void Engines::probe(core::EngineId engine, int again) {
   aside(engine, http_call("GET", "/-/gauges", host(engine), {}, {}), kAside,
         [this, engine, again](End end, HttpAnswer& answer) {
-          core::ProbeEnded probe{engine, policy::Result::served, {}};
+          core::HealthCheckEnded probe{engine, policy::AttemptResult::served, {}};
           switch (end) {
             case End::answered:
-              if (answer.status != 200) probe.result = policy::Result::turned_away;
+              if (answer.status != 200) probe.result = policy::AttemptResult::rejected;
               take_load(answer, probe.load);
               break;
             case End::not_connected:
-              probe.result = policy::Result::not_connected;
+              probe.result = policy::AttemptResult::connect_failed;
               break;
             case End::unsent:
             case End::broken:
               if (again > 0) return this->probe(engine, again - 1);
-              probe.result = policy::Result::reset;
+              probe.result = policy::AttemptResult::reset;
               break;
             case End::silent:
-              probe.result = policy::Result::timed_out;
+              probe.result = policy::AttemptResult::timed_out;
               break;
           }
           post_(std::move(probe));
         });
 }
 
-void Engines::run(const core::EngineMoved& effect) {
+void Engines::run(const core::EndpointChanged& effect) {
   if (!effect.usable) {
     addresses_.erase(effect.engine);
     return pool_.retire(effect.engine);
@@ -320,8 +320,8 @@
   if (attempt.stage == Stage::deleting) return;  // the answer to that call ends it
   if (attempt.stage == Stage::recalling) {
     if (how == End::answered && (answer.status == 200 || answer.status == 500))
-      return end(id, AttemptEnd::withdrawn);  // it has ended
-    return attempt.connection != nullptr ? recall(id) : let_go(id, AttemptEnd::withdrawn);
+      return end(id, AttemptEnd::cancelled);  // it has ended
+    return attempt.connection != nullptr ? recall(id) : let_go(id, AttemptEnd::cancelled);
   }
   if (how != End::answered) {
     if (posting && how == End::unsent) return end(id, AttemptEnd::expired);
@@ -333,13 +333,13 @@
     attempt.stage = attempt.stage == Stage::posted ? Stage::polling : attempt.stage;
     return reconnect(id);
   }
-  take_load(answer, attempt.result.load);
+  take_load(answer, attempt.result.load_report);
   if (answer.status == 202) {
     attempt.reconnects = 0;
     attempt.doubtful = false;
     if (attempt.stage == Stage::leaving) return give_up(id);
     attempt.stage = Stage::polling;
-    post_(core::AttemptHeard{id});
+    post_(core::AttemptProgressed{id});
     if (attempt.rank) run(core::Reprioritize{id, *std::exchange(attempt.rank, std::nullopt)});
     return ask(id);
   }
@@ -347,13 +347,13 @@
     if (!take_page(attempt, answer)) {
       // Spoilt on its way: the engine has it still, and gives it again. The connection is of no further use.
       if (attempt.connection != nullptr) pool_.discard(*std::exchange(attempt.connection, nullptr));
-      if (attempt.stage == Stage::leaving) return let_go(id, AttemptEnd::withdrawn);
+      if (attempt.stage == Stage::leaving) return let_go(id, AttemptEnd::cancelled);
       if (attempt.stage == Stage::posted) attempt.stage = Stage::polling;
       return reconnect(id);
     }
     attempt.reconnects = 0;
     if (attempt.next_page == attempt.pages) return end(id, AttemptEnd::served);
-    if (attempt.stage == Stage::leaving) return end(id, AttemptEnd::withdrawn);
+    if (attempt.stage == Stage::leaving) return end(id, AttemptEnd::cancelled);
     attempt.stage = Stage::paging;
     return ask(id);
   }
@@ -363,17 +363,17 @@
   if (answer.status == 500) return end(id, AttemptEnd::error);
   // Only the mark proves that nothing ran; whoever else writes a 503 proves nothing.
   const bool never_ran = answer.header("x-shed") == "1" && attempt.next_page == 0;
-  if (never_ran && answer.status == 503) return end(id, AttemptEnd::turned_away);
+  if (never_ran && answer.status == 503) return end(id, AttemptEnd::rejected);
   if (never_ran && answer.status == 504) return end(id, AttemptEnd::expired);
   let_go(id, AttemptEnd::error);
 }
 
 bool Engines::take_page(Attempt& attempt, HttpAnswer& answer) {
   auto& result = attempt.result;
-  if (!whole_rows(answer.body) || result.body.size() + answer.body.size() > kMostResult) return false;
+  if (!whole_rows(answer.body) || result.body.size() + answer.body.size() > kMaxResult) return false;
   if (attempt.next_page == 0) {
     const double pages = answer.number("result-pages").value_or(0);
-    if (pages < 1 || pages > kMostPages || pages != std::floor(pages)) return false;
+    if (pages < 1 || pages > kMaxPages || pages != std::floor(pages)) return false;
     attempt.pages = static_cast<std::size_t>(pages);
     if (const auto cost = answer.number("query-cost"); cost && *cost >= 0 && *cost < 1e9)
       result.work = core::Time(static_cast<std::int64_t>(*cost * 1e6));
--- a/src/platform/engines.hpp
+++ b/src/platform/engines.hpp
@@ -23,10 +23,10 @@
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
-  void run(const core::Abandon& effect) override;
+  void run(const core::CancelAttempt& effect) override;
   void run(const core::Reprioritize& effect) override;
-  void run(const core::ProbeEngine& effect) override;
-  void run(const core::EngineMoved& effect) override;
+  void run(const core::SendHealthCheck& effect) override;
+  void run(const core::EndpointChanged& effect) override;
 
   void settle() override { pool_.settle(); }
   void tick(core::Time now) override;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -74,8 +74,8 @@
 
 void Front::accept(net::Fd fd, core::Time waited) {
   const bool room = make_room();
-  if (!room && connections_.size() >= most_connections_ + kMostRefusing) {
-    net::Stream turned_away(loop_, std::move(fd), false, kMostUnwritten);
+  if (!room && connections_.size() >= most_connections_ + kMaxRefusing) {
+    net::Stream turned_away(loop_, std::move(fd), false, kMaxUnwritten);
     turned_away.write(rpc_error(std::nullopt, kRpcRefused, "too many connections"));
     lingerer_.take(turned_away);
     return trim();
@@ -102,7 +102,7 @@
             // It may only have closed its side, or have gone: what runs for it has its answer written, but
             // nothing more is begun.
             connection.ended = true;
-            for (const auto& [id, client] : connection.open) post_(core::HalfClosed{client});
+            for (const auto& [id, client] : connection.open) post_(core::ClientHalfClosed{client});
             if (connection.open.empty()) finish(connection);
           },
       .closed = [this, &connection] { close(connection); },
@@ -148,7 +148,7 @@
 void Front::close(Connection& connection) {
   for (const auto& [id, client] : connection.open) {
     open_.erase(client);
-    post_(core::Cancelled{client});
+    post_(core::ClientCancelled{client});
   }
   connection.open.clear();
   partial_ -= std::exchange(connection.in, {}).size();
@@ -178,7 +178,7 @@
 // At the end no descriptor is needed any more.
 void Front::trim() {
   if (finishing_) return;
-  const auto room = most_connections_ + kMostLingering;
+  const auto room = most_connections_ + kMaxLingering;
   lingerer_.trim(room > connections_.size() ? room - connections_.size() : 0);
 }
 
@@ -192,13 +192,13 @@
   partial_ -= std::exchange(connection.in, {}).size();
   connection.closing = true;
   // A cancel would not be read any more, so that nothing further may be begun for it.
-  for (const auto& [id, client] : connection.open) post_(core::HalfClosed{client});
+  for (const auto& [id, client] : connection.open) post_(core::ClientHalfClosed{client});
   if (connection.open.empty()) finish(connection);
 }
 
 void Front::strike(Connection& connection, const std::string& reply) {
   connection.stream.write(reply);
-  if (++connection.strikes == kMostStrikes) dismiss(connection, "too many lines of no use");
+  if (++connection.strikes == kMaxStrikes) dismiss(connection, "too many lines of no use");
 }
 
 void Front::read(Connection& connection, std::string_view bytes) {
@@ -224,7 +224,7 @@
   if (connection.refuses && connection.spoken && bytes.empty()) return finish(connection);
   rank(connection);
   if (bytes.empty()) return;
-  if (connection.in.size() + bytes.size() > kMostLine || partial_ + bytes.size() > kMostPartial)
+  if (connection.in.size() + bytes.size() > kMaxLine || partial_ + bytes.size() > kMaxPartial)
     return dismiss(connection, "a line is too long");
   if (connection.in.empty() && connection.spoken) {
     connection.since = now_;
@@ -253,7 +253,7 @@
     if (connection.open.contains(request.id)) {
       return strike(connection, rpc_error(std::nullopt, -32600, "the id is in use"));
     }
-    if (connection.open.size() >= kMostOpen) {
+    if (connection.open.size() >= kMaxOpen) {
       return strike(connection, rpc_error(request.id, kRpcRefused, "too many open requests"));
     }
     connection.asked = true;
@@ -262,7 +262,7 @@
     connection.open[request.id] = client;
     open_[client] = {connection.serial, request.id, request.asked.ticket};
     request.asked.client = client;
-    post_(core::Arrived{std::move(request.asked), connection.unread_since});
+    post_(core::RequestReceived{std::move(request.asked), connection.unread_since});
   }
 }
 
@@ -280,7 +280,7 @@
     const auto client = found->second;
     connection.open.erase(found);
     open_.erase(client);
-    post_(core::Cancelled{client});
+    post_(core::ClientCancelled{client});
   }
   // An id that a request has had gets no answer: it would be a second one.
   if (own_id)
@@ -299,14 +299,14 @@
     case core::AnswerKind::served:
       connection.stream.write(rpc_result(open.id, answer.body));
       break;
-    case core::AnswerKind::refused:
-      connection.stream.write(rpc_error(open.id, kRpcRefused, "refused", answer.pause));
+    case core::AnswerKind::rejected:
+      connection.stream.write(rpc_error(open.id, kRpcRefused, "refused", answer.retry_after));
       break;
     case core::AnswerKind::failed:
-      connection.stream.write(rpc_error(open.id, kRpcFailed, "failed", answer.pause));
+      connection.stream.write(rpc_error(open.id, kRpcFailed, "failed", answer.retry_after));
       break;
     case core::AnswerKind::timed_out:
-      connection.stream.write(rpc_error(open.id, kRpcTimedOut, "timed out", answer.pause));
+      connection.stream.write(rpc_error(open.id, kRpcTimedOut, "timed out", answer.retry_after));
       break;
   }
   if (connection.open.empty() && (connection.closing || connection.ended || finishing_)) {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -41,14 +41,14 @@
   [[nodiscard]] bool unwritten() const;
 
  private:
-  static constexpr std::size_t kMostLine = std::size_t{256} * 1024;
-  static constexpr std::size_t kMostUnwritten = std::size_t{4} << 20;
-  static constexpr std::size_t kMostPartial = std::size_t{4}
-                                              << 20;  // of lines cut in two, all clients together
-  static constexpr unsigned kMostStrikes = 64;        // lines of no use, on one connection
-  static constexpr std::size_t kMostOpen = 32;
-  static constexpr std::size_t kMostLingering = 16;  // beyond what the connections' room leaves
-  static constexpr std::size_t kMostRefusing = 16;   // connections beyond the room, each request refused
+  static constexpr std::size_t kMaxLine = std::size_t{256} * 1024;
+  static constexpr std::size_t kMaxUnwritten = std::size_t{4} << 20;
+  static constexpr std::size_t kMaxPartial = std::size_t{4}
+                                             << 20;  // of lines cut in two, all clients together
+  static constexpr unsigned kMaxStrikes = 64;        // lines of no use, on one connection
+  static constexpr std::size_t kMaxOpen = 32;
+  static constexpr std::size_t kMaxLingering = 16;  // beyond what the connections' room leaves
+  static constexpr std::size_t kMaxRefusing = 16;   // connections beyond the room, each request refused
 
   // In the order in which they are closed to make room. Busy ones never are.
   enum class Rank { stranger, idle, busy };
@@ -69,8 +69,8 @@
         unread_since{};  // what is read first may have come then, before it was accepted; 0: not before
     Rank rank = Rank::stranger;
     std::list<Connection*>::iterator place;
-    std::unordered_map<std::uint64_t, core::Client> open;  // by the client's id
-    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMostUnwritten) {}
+    std::unordered_map<std::uint64_t, core::ClientHandle> open;  // by the client's id
+    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnwritten) {}
   };
   struct Open {
     std::uint64_t connection = 0, id = 0;
@@ -104,7 +104,7 @@
   Post post_;
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::Client, Open> open_;
+  std::unordered_map<core::ClientHandle, Open> open_;
   std::vector<std::unique_ptr<Connection>> gone_;
   net::Lingerer lingerer_;
   bool finishing_ = false;
--- a/src/platform/http.cpp
+++ b/src/platform/http.cpp
@@ -98,7 +98,7 @@
     expect();
     begun_ = true;
     header_bytes_ = heads;
-    return heads <= kMostHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
+    return heads <= kMaxHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
   }
   if (complete_) {
     if (used < bytes.size()) answer_.keep_alive = false;
@@ -123,7 +123,7 @@
   in_value_ = false;
 }
 
-bool HttpReader::count(std::size_t bytes) { return (header_bytes_ += bytes) <= kMostHeaderBytes; }
+bool HttpReader::count(std::size_t bytes) { return (header_bytes_ += bytes) <= kMaxHeaderBytes; }
 
 std::map<std::string, double, std::less<>> parse_meter(std::string_view text) {
   std::map<std::string, double, std::less<>> out;
--- a/src/platform/http.hpp
+++ b/src/platform/http.hpp
@@ -31,7 +31,7 @@
 // Reads the answer to one call at a time.
 class HttpReader {
  public:
-  static constexpr std::size_t kMostHeaderBytes = std::size_t{16} * 1024;
+  static constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 
   explicit HttpReader(std::size_t most_body) : most_body_(most_body) { expect(); }
   void expect();  // a new answer
--- a/src/platform/jsonrpc.cpp
+++ b/src/platform/jsonrpc.cpp
@@ -14,11 +14,11 @@
 
 constexpr int kParseError = -32700, kInvalidRequest = -32600, kUnknownMethod = -32601,
               kInvalidParams = -32602;
-constexpr double kMostLimitMs = 3'600'000;
+constexpr double kMaxLimitMs = 3'600'000;
 // Estimates beyond these are no estimates, and would mislead the module about all other requests.
-constexpr double kMostCpuMs = 1e7, kMostRamMb = 1e7;
-constexpr int kMostDepth = 8;  // of brackets
-constexpr std::size_t kMostKey = 128;
+constexpr double kMaxCpuMs = 1e7, kMaxRamMb = 1e7;
+constexpr int kMaxDepth = 8;  // of brackets
+constexpr std::size_t kMaxKey = 128;
 
 struct Bad {
   std::string what;
@@ -46,7 +46,7 @@
 // Passed on in a header: nothing that could end one.
 void printable(const std::string& value, const char* key) {
   const auto fine = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
-  if (value.size() > kMostKey || !std::ranges::all_of(value, fine))
+  if (value.size() > kMaxKey || !std::ranges::all_of(value, fine))
     throw Bad{std::string(key) + " holds what no id may hold"};
 }
 
@@ -65,9 +65,9 @@
   // It is part of a path too.
   if (out.ticket.size() != 16) throw Bad{"txn is not 16 hex digits"};
   hex(out.ticket, "txn");
-  const auto limit = number(params, "limit", kMostLimitMs);
+  const auto limit = number(params, "limit", kMaxLimitMs);
   if (!limit) throw Bad{"limit is missing"};
-  out.limit = core::Time(static_cast<std::int64_t>(*limit * 1e6));
+  out.time_limit = core::Time(static_cast<std::int64_t>(*limit * 1e6));
   out.tenant = names.no_tenant;
   if (const auto team = text(params, "team", false); !team.empty()) {
     const auto found = names.tenants.find(team);
@@ -75,13 +75,13 @@
     out.tenant = found->second;
   }
   if (const auto second = params.find("second"); second != params.end() && !second->is_null())
-    out.repeat = second->is_boolean() ? second->get<bool>() : !(second->is_number() && *second == 0);
-  out.nonce = text(params, "unique", false);
-  printable(out.nonce, "unique");
-  if (const auto cpu = number(params, "cpu", kMostCpuMs))
-    out.cost = core::Time(static_cast<std::int64_t>(*cpu * 1e6));
-  out.memory_mb = number(params, "ram", kMostRamMb).value_or(0);
-  if (const auto item = text(params, "item", false); !item.empty()) out.order_key = hex(item, "item");
+    out.is_client_retry = second->is_boolean() ? second->get<bool>() : !(second->is_number() && *second == 0);
+  out.idempotency_key = text(params, "unique", false);
+  printable(out.idempotency_key, "unique");
+  if (const auto cpu = number(params, "cpu", kMaxCpuMs))
+    out.estimated_work = core::Time(static_cast<std::int64_t>(*cpu * 1e6));
+  out.estimated_memory_mb = number(params, "ram", kMaxRamMb).value_or(0);
+  if (const auto item = text(params, "item", false); !item.empty()) out.ordering_key = hex(item, "item");
   auto body = from_base64(text(params, "data", true));
   if (!body) throw Bad{"data is not base64"};
   out.body = std::move(*body);
@@ -100,7 +100,7 @@
 RpcMessage parse_rpc(std::string_view in, const config::Names& names) {
   bool deep = false;  // what nests without end is dropped as it is read
   const auto shallow = [&deep](int depth, json::parse_event_t, json&) {
-    deep = deep || depth > kMostDepth;
+    deep = deep || depth > kMaxDepth;
     return !deep;
   };
   const json message = json::parse(in, shallow, false);
--- a/src/platform/peers.cpp
+++ b/src/platform/peers.cpp
@@ -10,13 +10,16 @@
 
 namespace bellstair::platform {
 namespace {
-constexpr std::size_t kMostBytes = 256;  // a longer datagram voids all
+constexpr std::size_t kMaxBytes = 256;  // a longer datagram voids all
 
 std::uint64_t place(const sockaddr_in& at) { return std::uint64_t{at.sin_addr.s_addr} << 16 | at.sin_port; }
 }  // namespace
 
 Peers::Peers(ev::loop_ref loop, const config::Config& config, Post post)
-    : io_(loop), all_(net::parse_address(config.peers_all)), me_(config.settings.me), post_(std::move(post)) {
+    : io_(loop),
+      all_(net::parse_address(config.peers_all)),
+      me_(config.settings.broker_index),
+      post_(std::move(post)) {
   for (const auto& peer : config.peers) {
     const auto at = net::parse_address(peer);
     if (at && peers_.size() != me_)
@@ -35,8 +38,8 @@
   io_.watch(fd_.get(), ev::READ);
 }
 
-void Peers::run(const core::TellPeers& effect) {
-  if (!fd_ || effect.bytes.size() > kMostBytes) return;
+void Peers::run(const core::SendGossip& effect) {
+  if (!fd_ || effect.bytes.size() > kMaxBytes) return;
   const auto send = [&](const sockaddr_in& to) {
     ::sendto(fd_.get(), effect.bytes.data(), effect.bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
              reinterpret_cast<const sockaddr*>(&to), sizeof to);  // lost is lost
@@ -49,7 +52,7 @@
 }
 
 void Peers::on_io(int) {
-  std::array<char, kMostBytes + 1> buffer{};
+  std::array<char, kMaxBytes + 1> buffer{};
   for (int i = 0; i < 64; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -59,10 +62,10 @@
       if (errno != EAGAIN && errno != EINTR) io_.pause();  // the loop would report it in each of its turns
       return;
     }
-    if (static_cast<std::size_t>(got) > kMostBytes) continue;
+    if (static_cast<std::size_t>(got) > kMaxBytes) continue;
     const auto sender = numbers_.find(place(from));
     if (sender == numbers_.end()) continue;  // a stranger
-    post_(core::PeerHeard{sender->second, {buffer.data(), static_cast<std::size_t>(got)}});
+    post_(core::GossipReceived{sender->second, {buffer.data(), static_cast<std::size_t>(got)}});
   }
 }
 
--- a/src/platform/peers.hpp
+++ b/src/platform/peers.hpp
@@ -18,7 +18,7 @@
  public:
   using Post = std::function<void(core::Event)>;
   Peers(ev::loop_ref loop, const config::Config& config, Post post);
-  void run(const core::TellPeers& effect);
+  void run(const core::SendGossip& effect);
 
  private:
   void on_io(int events);
