--- a/src/policy/gateway.cpp
+++ b/src/policy/scheduler.cpp
@@ -1,5 +1,6 @@
-// All decisions. The interface is include/bellstair/policy/gateway.hpp; what is remembered, src/policy/state.hpp.
-#include "bellstair/policy/gateway.hpp"
+// All decisions. The interface is include/bellstair/policy/scheduler.hpp; what is remembered,
+// src/policy/state.hpp.
+#include "bellstair/policy/scheduler.hpp"
 
 #include <algorithm>
 #include <array>
@@ -21,7 +22,7 @@
 constexpr double kZero = 0.30;      // r: how much of the last error is taken back
 constexpr double kGainPool = 0.10;  // the gain's unit as a share of the pool, so that it fits any fleet
 constexpr double kWaitAim = 0.30;   // wait aim as a share of the latency aim; the rest is for running
-constexpr double kMostError = 3.0;  // wait aims; one sample can't throw the budget across the pool
+constexpr double kMaxError = 3.0;   // wait aims; one sample can't throw the budget across the pool
 constexpr double kThreadsPerCore = 2.0;  // of the pool; near the peak of an engine's work for usual mixes
 
 // Letting go of queries.
@@ -42,12 +43,12 @@
 constexpr double kFewQueries = 4;   // of the widest class: a pool for fewer can't keep the ranks by budgets;
 constexpr double kLaterRanks = 0.7;
 constexpr double kJamPace = 1.5;                    // pace that tells the fleet is past its peak
-constexpr double kLeastEase = 0.5;                  // of the crowd limits, at the least
+constexpr double kMinEase = 0.5;                    // of the crowd limits, at the least
 constexpr double kEaseDown = 0.85, kEaseUp = 0.05;  // a period
 constexpr double kUsualSpeed = 1.5;   // answer time against the usual: up to here an engine is at usual speed
 constexpr double kSlow = 2.0;         // times slower than the fleet: what is less is chance
 constexpr Time kSlowLook = 4s;        // without an answer of a slow engine, it gets another chance
-constexpr double kMostSlow = 6.0;     // times slower than the fleet that an engine counts for at most
+constexpr double kMaxSlow = 6.0;      // times slower than the fleet that an engine counts for at most
 constexpr double kPaceStep = 0.1;     // weight of one answer in an engine's pace
 constexpr double kLevelStep = 0.1;    // weight of one report in the fleet's level, threads a core
 constexpr double kFleetStep = 0.04;   // weight of one answer in the fleet's pace
@@ -79,33 +80,33 @@
 constexpr std::size_t kTellPaces = 3;  // newest paces told, where reports of load tell nothing
 constexpr double kTellBytes = 250;     // of these reports, a query;
 constexpr double kTellHead = 28;       // and of each one's IP and UDP heads
-constexpr double kLeastRate = 0.2;     // queries a second that a gateway is taken to have, at the least
+constexpr double kMinRate = 0.2;       // queries a second that a gateway is taken to have, at the least
 constexpr unsigned kPeersNeeded = 10;  // messages before the gateways' own threads tell the fleet's level
 constexpr double kPeerMemory = 1.5;    // s in which one loses weight: a level must follow a restart
 constexpr double kApart = 0.25;        // of what a report differs from the others, believed at the least
 constexpr double kScatter = 1.5;  // variance of the queries told of an engine over their mean, if all is well
-constexpr double kMostScatter = 30, kScatterStep = 0.05;  // that one report counts for; weight of one
-constexpr double kLeastBlur = 0.01;  // threads a core that an engine may seem fuller by; and at most,
-constexpr double kBlur = 4.0;        // where reports mislead
-constexpr double kOwnMemory = 5.0;   // s, of the threads that run here
-constexpr double kCrowdAtFull = 4;   // threads a core of an engine that turned a query away, at the least
+constexpr double kMaxScatter = 30, kScatterStep = 0.05;  // that one report counts for; weight of one
+constexpr double kMinBlur = 0.01;   // threads a core that an engine may seem fuller by; and at most,
+constexpr double kBlur = 4.0;       // where reports mislead
+constexpr double kOwnMemory = 5.0;  // s, of the threads that run here
+constexpr double kCrowdAtFull = 4;  // threads a core of an engine that turned a query away, at the least
 constexpr double kThreadsAtFull = 1.6, kAllBusy = 0.95;  // threads a core when all are busy; told as that
 
 // Health.
 constexpr double kErrorStep = 0.25;  // weight of one outcome in an engine's error share
 constexpr double kErrorTop = 0.4;    // error share at which an engine is rested: two errors in a row;
 constexpr double kAlike = 4;         // and so many times the fleet's share on top: what all engines do alike
-constexpr double kFleetErrors = 0.01;            // weight of one outcome in the fleet's error share
-constexpr Time kAliveSoon = 500ms;               // no process ends and begins anew in less
-constexpr Time kFirstRest = 1s, kMostRest = 4s;  // before the first trial; doubled at each failed one
-constexpr double kSilentAnswers = 6;  // answers overdue, by usual times, before silence is believed
-constexpr double kSilentEach = 3;     // of them for one attempt: a single long query is no silence
-constexpr Time kSilentLeast = 800ms;  // and this long without a word
-constexpr Time kPlanLook = 900ms;     // an attempt is not judged by its progress before this
-constexpr double kBadPlan = 5;        // predicted length in usual answer times that tells a bad plan
-constexpr int kNoteGap = 2;           // note paces without a note of an attempt: it, or its answer, is lost
-constexpr double kMedianStep = 0.1;   // of the typical answer time that one answer moves it by
-constexpr double kLeastSize = 0.2, kMostSize = 40;  // of a query by its estimate, in its class's usual ones
+constexpr double kFleetErrors = 0.01;           // weight of one outcome in the fleet's error share
+constexpr Time kAliveSoon = 500ms;              // no process ends and begins anew in less
+constexpr Time kFirstRest = 1s, kMaxRest = 4s;  // before the first trial; doubled at each failed one
+constexpr double kSilentAnswers = 6;            // answers overdue, by usual times, before silence is believed
+constexpr double kSilentEach = 3;               // of them for one attempt: a single long query is no silence
+constexpr Time kSilentLeast = 800ms;            // and this long without a word
+constexpr Time kPlanLook = 900ms;               // an attempt is not judged by its progress before this
+constexpr double kBadPlan = 5;       // predicted length in usual answer times that tells a bad plan
+constexpr int kNoteGap = 2;          // note paces without a note of an attempt: it, or its answer, is lost
+constexpr double kMedianStep = 0.1;  // of the typical answer time that one answer moves it by
+constexpr double kMinSize = 0.2, kMaxSize = 40;  // of a query by its estimate, in its class's usual ones
 
 constexpr double kSizeCrowd = 1.5, kSizePower = 3;  // largest size taken: (first / threads a core) ^ second
 constexpr double kPaceAsLevel = 0.9;  // threads a core that the usual pace stands for, if none are told
@@ -124,25 +125,25 @@
 
 }  // namespace
 
-class Gateway::Choice {
+class Scheduler::Impl {
  public:
-  Choice(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
+  Impl(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
     check(s_);
     classes_.resize(s_.classes.size());
     for (std::size_t c = 0; c < classes_.size(); ++c) {
       rank_.push_back(static_cast<ClassIndex>(c));
       const auto& set = s_.classes[c];
-      classes_[c].usual = classes_[c].base = classes_[c].typical = secs(set.aim) * kFirstWork;
-      classes_[c].work = secs(set.aim) * kFirstWork * set.threads;
+      classes_[c].usual = classes_[c].base = classes_[c].typical = secs(set.latency_objective) * kFirstWork;
+      classes_[c].work = secs(set.latency_objective) * kFirstWork * set.threads;
       classes_[c].u = set.threads;
       widest_ = std::max(widest_, set.threads);
       mean_threads_ += set.threads / static_cast<double>(s_.classes.size());
       mean_work_ += classes_[c].work / static_cast<double>(s_.classes.size());
-      readers_wait_ = readers_wait_ || set.waits_for_group;
+      readers_wait_ = readers_wait_ || set.waits_for_data_group;
     }
-    for (const auto field : s_.load_fields)
-      tells_load_ = tells_load_ || field == LoadField::inflight || field == LoadField::util;
-    for (const auto& tenant : s_.tenants) arrival_rate_ += tenant.quota_per_s / s_.gateways;
+    for (const auto field : s_.load_report_fields)
+      tells_load_ = tells_load_ || field == LoadReportField::inflight || field == LoadReportField::util;
+    for (const auto& tenant : s_.tenants) arrival_rate_ += tenant.quota_per_s / s_.brokers;
     take_up({});
   }
 
@@ -151,7 +152,8 @@
     check_change(s_, settings);
     std::swap(s_, settings);
     for (std::size_t c = 0; c < classes_.size(); ++c)  // those of a shorter limit have not waited
-      if (s_.classes[c].give_up != settings.classes[c].give_up) classes_[c].most_left = Time::zero();
+      if (s_.classes[c].client_timeout != settings.classes[c].client_timeout)
+        classes_[c].most_left = Time::zero();
     take_up(settings.tenants);
   }
 
@@ -172,7 +174,7 @@
     while (release_one(true) || release_one(false)) continue;
   }
 
-  [[nodiscard]] ClassView view(ClassIndex c) const {
+  [[nodiscard]] ClassStatus view(ClassIndex c) const {
     return {classes_.at(c).queue.size(), classes_.at(c).running, classes_.at(c).budget};
   }
 
@@ -181,7 +183,7 @@
   // as their threads do here: with those of a mean gateway beside, since few threads of one tell little.
   [[nodiscard]] double level() const {
     if (level_ < 0) return now_ > level_at_ + kLevelLife ? -1 : told_level_;
-    const double mean = std::max(1.0, level_ * cores_ / s_.gateways);
+    const double mean = std::max(1.0, level_ * cores_ / s_.brokers);
     return level_ * (own_lately_ + mean) / (own_then_ + mean);
   }
 
@@ -189,15 +191,16 @@
   void start() {
     started_ = true;
     began_ = sampled_ = ticked_ = told_ = now_;
-    if (s_.ask_for_list) put(Observe{true});
-    put(WakeAfter{kTick});
+    if (s_.polls_endpoint_list) put(PollEndpointList{true});
+    put(ScheduleTimer{kTick});
   }
 
   void take_up(const std::vector<TenantSettings>& before) {  // ranks and buckets, as the settings have them
     std::ranges::sort(rank_);
     std::ranges::stable_sort(rank_, [this](ClassIndex a, ClassIndex b) {
       const auto &x = s_.classes[a], &y = s_.classes[b];
-      return x.aim != y.aim ? x.aim < y.aim : x.worth > y.worth;
+      return x.latency_objective != y.latency_objective ? x.latency_objective < y.latency_objective
+                                                        : x.priority_weight > y.priority_weight;
     });
     tokens_.carry_over(before, s_.tenants, kShareLeast, [this](std::size_t t) { return burst(t); });
   }
@@ -205,16 +208,16 @@
   double drawn() { return std::generate_canonical<double, 32>(random_); }  // from 0 to 1
   void put(Action action) { out_->push_back(std::move(action)); }
   void trace(const Engine& engine, const char* what) {
-    put(Trace{"engine " + std::to_string(engine.entry.engine) + " " + what});
+    put(LogMessage{"engine " + std::to_string(engine.entry.engine) + " " + what});
   }
 
-  void on(const Listing& list) {
-    if (list.kind == ListKind::failed) asked_again_ = now_ + 1s;
-    if (list.kind == ListKind::full || list.kind == ListKind::cached)
+  void on(const EndpointList& list) {
+    if (list.kind == EndpointListKind::failed) asked_again_ = now_ + 1s;
+    if (list.kind == EndpointListKind::full || list.kind == EndpointListKind::cached)
       for (auto& [id, engine] : engines_) engine.ready = false;
-    for (const auto& entry : list.engines) {
+    for (const auto& entry : list.endpoints) {
       auto& engine = engines_[entry.engine];
-      if (entry.last_start > engine.entry.last_start) begin_cold(engine, entry.last_start);
+      if (entry.started_at > engine.entry.started_at) begin_cold(engine, entry.started_at);
       engine.entry = entry;
       engine.ready = entry.state == EngineState::ready && entry.kind < s_.kinds.size();
     }
@@ -234,7 +237,7 @@
     for (auto& [id, engine] : engines_) {
       if (!engine.ready) continue;
       ready_.push_back(&engine);
-      if (!rested(engine)) pool_ += kThreadsPerCore * cores(engine) / s_.gateways;
+      if (!rested(engine)) pool_ += kThreadsPerCore * cores(engine) / s_.brokers;
     }
     few_ = pool_ < kFewQueries * widest_;
     sum_cores();
@@ -260,19 +263,19 @@
   // much less room. Reports of its memory and disks do not show it.
   double slowness(const Engine& engine) const {
     const double times = engine.pace / std::max(1.0, fleet_pace_);
-    return times <= kSlow ? 1 : std::min(times, kMostSlow);
+    return times <= kSlow ? 1 : std::min(times, kMaxSlow);
   }
   bool cold(const Engine& engine) const {
-    return engine.start.since() > Time::zero() && now_ < engine.start.since() + s_.ramp_time;
+    return engine.start.since() > Time::zero() && now_ < engine.start.since() + s_.slow_start_duration;
   }
   // Least share of its capacity an engine has had over the last `back`.
   double warmth(const Engine& engine, Time back) const {
     if (!cold(engine)) return 1;
-    const double age = std::max(0.0, secs(now_ - engine.start.since() - back)) / secs(s_.ramp_time);
-    return s_.cold_from + (1 - s_.cold_from) * std::min(1.0, age);
+    const double age = std::max(0.0, secs(now_ - engine.start.since() - back)) / secs(s_.slow_start_duration);
+    return s_.slow_start_capacity + (1 - s_.slow_start_capacity) * std::min(1.0, age);
   }
 
-  void on(const Arrival& asked) {
+  void on(const RequestArrival& asked) {
     taken_.push_back(now_);
     ++fresh_arrivals_;
     tell_bytes_ = std::min(tell_bytes_ + kTellBytes, 4 * kTellBytes);
@@ -281,44 +284,44 @@
     request.asked = asked;
     request.deadline = now_ + asked.time_left;
     deadlines_.insert({request.deadline - kAnswerEarly, asked.request});
-    if (asked.cls >= classes_.size()) return finish(request, Reason::unknown_class);
-    if (in_order(request)) turns_.join(asked.order_key, asked.request);
+    if (asked.cls >= classes_.size()) return finish(request, UnservedReason::unknown_class);
+    if (in_order(request)) turns_.join(asked.ordering_key, asked.request);
     request.size = size_of(asked);
     mean_work_ += kMixStep * (classes_[asked.cls].work - mean_work_);
     copy_work_ = std::min(copy_work_ + kCopyPart * classes_[asked.cls].work, kCopiesSaved * heaviest());
     if (over_share(asked) && (!classes_[asked.cls].queue.empty() || crowded()))
-      return finish(request, Reason::over_share);
-    if (too_late(asked)) return finish(request, Reason::overdue_on_arrival);
-    if (too_big(request)) return finish(request, Reason::too_big);
-    if (foretold(request) > secs(asked.time_left)) return finish(request, Reason::no_time);
+      return finish(request, UnservedReason::over_quota);
+    if (too_late(asked)) return finish(request, UnservedReason::overdue_on_arrival);
+    if (too_big(request)) return finish(request, UnservedReason::too_big);
+    if (foretold(request) > secs(asked.time_left)) return finish(request, UnservedReason::no_time);
     hold(request, false);
   }
 
   // What came while this gateway had no turn has waited already, as its time left tells: what can't be
   // answered within its aim any more is settled at once, so that no burst of such work follows.
-  bool too_late(const Arrival& asked) {
+  bool too_late(const RequestArrival& asked) {
     auto& cls = classes_[asked.cls];
     if (away_ == Time::zero()) cls.most_left = std::max(cls.most_left, asked.time_left);
     const double waited = secs(std::clamp(cls.most_left - asked.time_left, Time::zero(), away_));
     return waited > 0 && waited + cls.usual > whole_aim(asked.cls);
   }
   double whole_aim(ClassIndex c) const {
-    return secs(s_.classes[c].aim) + s_.classes[c].aim_stretch * classes_[c].base;
+    return secs(s_.classes[c].latency_objective) + s_.classes[c].objective_stretch * classes_[c].base;
   }
 
   // Estimates are off by class, so they only tell how a query compares to others of its class.
-  double size_of(const Arrival& asked) {
-    if (!asked.cost || *asked.cost <= Time::zero()) return 1;
+  double size_of(const RequestArrival& asked) {
+    if (!asked.estimated_work || *asked.estimated_work <= Time::zero()) return 1;
     auto& mean = classes_[asked.cls].estimate;
-    const double cost = secs(*asked.cost);
+    const double cost = secs(*asked.estimated_work);
     mean += mean > 0 ? 0.05 * (std::min(cost, 3 * mean) - mean) : cost;
-    return std::clamp(cost / mean, kLeastSize, kMostSize);
+    return std::clamp(cost / mean, kMinSize, kMaxSize);
   }
   // In a crowd the largest queries are refused: for the work of one, several others are answered. The limit
   // goes by the fleet's level or, where nothing tells that, by how slow answers are; a usual query always
   // passes. A class worth more for its work than the last in rank has a higher limit by that much.
   bool too_big(const Request& request) const {
-    const auto dear = [this](ClassIndex c) { return classes_[c].work / s_.classes[c].worth; };
+    const auto dear = [this](ClassIndex c) { return classes_[c].work / s_.classes[c].priority_weight; };
     const double load = level() >= 0 ? level() : fleet_pace_ * kPaceAsLevel;
     const double most = std::max(1.0, std::pow(kSizeCrowd / std::max(0.1, load), kSizePower));
     return request.size * std::min(1.0, dear(request.asked.cls) / dear(rank_.back())) > most;
@@ -335,7 +338,7 @@
     first ? queue.push_front(request.asked.request) : queue.push_back(request.asked.request);
   }
 
-  void on(const ClientLeft& left) {
+  void on(const RequestCancelled& left) {
     auto* request = find(left.request);
     if (request == nullptr || !request->open) return;
     // Withdrawn before it was sent anywhere, it has used nothing of its tenant's share.
@@ -348,11 +351,11 @@
     return found == requests_.end() ? nullptr : &found->second;
   }
 
-  void finish(Request& request, Reason reason) {
+  void finish(Request& request, UnservedReason reason) {
     if (!request.open) return;
     const auto id = request.asked.request;
-    const Time pause = s_.retry_after ? s_.max_retry_after : Time::zero();
-    may_refuse(request) ? put(Refuse{id, pause, reason}) : put(Fail{id, reason});
+    const Time pause = s_.sends_retry_after ? s_.max_retry_after : Time::zero();
+    may_refuse(request) ? put(Reject{id, pause, reason}) : put(Fail{id, reason});
     close(request);
   }
 
@@ -368,19 +371,20 @@
 
   void forget(Request& request) {
     const auto id = request.asked.request;
-    if (in_order(request)) turns_.leave(request.asked.order_key, id);
+    if (in_order(request)) turns_.leave(request.asked.ordering_key, id);
     requests_.erase(id);
   }
 
   void call_off(Request& request, std::size_t n) {
-    if (!s_.may_call_off || !request.attempts[n].awaited()) return;
+    if (!s_.may_cancel || !request.attempts[n].awaited()) return;
     request.attempts[n].called_off = true;
-    put(CallOff{request.asked.request, static_cast<AttemptIndex>(n)});
+    put(CancelAttempt{request.asked.request, static_cast<AttemptIndex>(n)});
   }
 
   const ClassSettings& set(const Request& request) const { return s_.classes[request.asked.cls]; }
   bool in_order(const Request& request) const {
-    return request.asked.order_key != 0 && request.asked.cls < classes_.size() && set(request).in_order;
+    return request.asked.ordering_key != 0 && request.asked.cls < classes_.size() &&
+           set(request).ordered_by_key;
   }
 
   // ---- the rules: every send passes may_send(), every refusal may_refuse() --------------------------------
@@ -398,7 +402,7 @@
 
   // Two are awaited at the most, of which one called off may still be out; or one, which is surely over.
   bool may_stand_beside(const Request& request) const {
-    return s_.second_copies ? request.awaited() < 2 : !request.out() && now_ >= request.over_by;
+    return s_.hedging ? request.awaited() < 2 : !request.out() && now_ >= request.over_by;
   }
 
   bool placed(const Request& request, const Engine& engine) const {
@@ -417,7 +421,7 @@
 
   bool in_turn(const Request& request) const {
     if (!in_order(request)) return true;
-    const auto key = request.asked.order_key;
+    const auto key = request.asked.ordering_key;
     return turns_.first(key, request.asked.request) &&
            (!request.attempts.empty() || !turns_.rests(key, now_));
   }
@@ -426,25 +430,26 @@
     if (!s_.retry_budget) return true;
     const auto& budget = *s_.retry_budget;
     forget_old();
-    const double most = budget.free + budget.ratio * static_cast<double>(taken_.size());
+    const double most = budget.min_retries + budget.ratio * static_cast<double>(taken_.size());
     return static_cast<double>(further_.size() + 1) <= most;
   }
 
   // Core-seconds that tip a cold engine over when it is sent them within the window.
   double tips_over(const Engine& engine) const {
-    return s_.tip_multiple * warmth(engine, s_.tip_window) * kFullCapacity * cores(engine) *
-           secs(s_.tip_window);
+    return s_.slow_start_overload_factor * warmth(engine, s_.slow_start_overload_window) * kFullCapacity *
+           cores(engine) * secs(s_.slow_start_overload_window);
   }
   slow_start::Capacity capacity(const Engine& engine) const {
-    return {tips_over(engine), secs(s_.tip_window), static_cast<double>(s_.gateways)};
+    return {tips_over(engine), secs(s_.slow_start_overload_window), static_cast<double>(s_.brokers)};
   }
   bool cold_room(const Request& request, Engine& engine) const {
-    if (s_.tip_multiple <= 0 || !cold(engine)) return true;
+    if (s_.slow_start_overload_factor <= 0 || !cold(engine)) return true;
     if (in_first_window()) return false;
-    return engine.budget.holds(now_, s_.tip_window, cold_work(request), capacity(engine).even_share());
+    return engine.budget.holds(now_, s_.slow_start_overload_window, cold_work(request),
+                               capacity(engine).even_share());
   }
   // What the process before this one has sent in the window that ends now is not known.
-  bool in_first_window() const { return now_ < began_ + s_.tip_window; }
+  bool in_first_window() const { return now_ < began_ + s_.slow_start_overload_window; }
   void charge(Engine& engine, double work) {
     if (cold(engine)) engine.budget.charge(now_, work, capacity(engine).even_share());
   }
@@ -454,11 +459,13 @@
   void draw_turns(double passed) {
     sum_cores();
     for (auto* engine : ready_) {
-      if (s_.tip_multiple <= 0 || !cold(*engine)) continue;
+      if (s_.slow_start_overload_factor <= 0 || !cold(*engine)) continue;
       const auto turns = slow_start::turn_rate(capacity(*engine), {lightest(), heaviest(), mean_work_});
       const bool drawn_now =
           drawn() < std::min(passed, slow_start::kTurnStep) * turns.work_per_second / turns.work;
-      if (!drawn_now || in_first_window() || !engine->budget.may_begin_turn(now_, s_.tip_window)) continue;
+      if (!drawn_now || in_first_window() ||
+          !engine->budget.may_begin_turn(now_, s_.slow_start_overload_window))
+        continue;
       engine->budget.begin_turn(now_, turns.work);
       invited_.push_back(engine);
     }
@@ -467,10 +474,10 @@
   // Granted less than it needs a query spills; estimates are off by class, by as much as answers have told.
   double grant(const Request& request) const {
     const auto& cls = classes_[request.asked.cls];
-    if (!(request.asked.memory_mb > 0)) return kGrant * cls.memory;
+    if (!(request.asked.estimated_memory_mb > 0)) return kGrant * cls.memory;
     const double right = cls.memory_told > 0 ? cls.memory / cls.memory_told : 1;
-    return (s_.shortage == Shortage::overcommit ? kGrantEstimate : kGrantKept) * right *
-           request.asked.memory_mb;
+    return (s_.memory_shortage == MemoryShortage::overcommit ? kGrantEstimate : kGrantKept) * right *
+           request.asked.estimated_memory_mb;
   }
 
   std::uint8_t priority(const Request& request) const {
@@ -488,12 +495,13 @@
       ++cls.released;
     }
     if (!request.attempts.empty()) further_.push_back(now_);
-    if (s_.grants || s_.priorities) put(Terms{request.asked.request, grant(request), priority(request)});
-    put(Send{request.asked.request, engine.entry.engine, request.deadline - kAnswerEarly});
+    if (s_.memory_grants || s_.priorities)
+      put(AttemptTerms{request.asked.request, grant(request), priority(request)});
+    put(SendAttempt{request.asked.request, engine.entry.engine, request.deadline - kAnswerEarly});
     charge(engine, cold_work(request));
     if (engine.out.empty()) engine.heard = now_;
     engine.out.insert({request.asked.request, static_cast<AttemptIndex>(request.attempts.size())});
-    if (set.holds_group) engine.held.insert(request.asked.data_group);
+    if (set.locks_data_group) engine.held.insert(request.asked.data_group);
     request.attempts.push_back({engine.entry.engine, engine.entry.zone, engine.entry.cell, now_, now_});
     request.held = false;
     cls.running += set.threads;
@@ -503,7 +511,7 @@
     return true;
   }
 
-  void on(const Outcome& outcome) {
+  void on(const AttemptOutcome& outcome) {
     auto* request = find(outcome.request);
     const auto at = engines_.find(outcome.engine);
     if (request == nullptr || outcome.attempt >= request->attempts.size() || at == engines_.end()) return;
@@ -513,19 +521,20 @@
     const auto& set = this->set(*request);
     attempt.out = false;
     attempt.result = outcome.result;
-    request->over_by = std::max(request->over_by, now_ + outcome.lingers);
+    request->over_by = std::max(request->over_by, now_ + outcome.may_run_for);
     engine.out.erase({outcome.request, outcome.attempt});
-    if (set.holds_group) engine.held.erase(request->asked.data_group);
+    if (set.locks_data_group) engine.held.erase(request->asked.data_group);
     classes_[request->asked.cls].running -= set.threads;
     engine.threads -= set.threads;
     if (--engine.queries == 0) busy_.erase(outcome.engine);
-    const bool may_run = outcome.result == Result::timed_out || outcome.result == Result::reset ||
-                         outcome.result == Result::called_off;
-    if (in_order(*request) && (may_run || outcome.lingers > Time::zero()))
-      turns_.rest(request->asked.order_key, now_ + std::max(may_run ? s_.order_rest : 0s, outcome.lingers));
-    take_load(engine, outcome.load);
+    const bool may_run = outcome.result == AttemptResult::timed_out ||
+                         outcome.result == AttemptResult::reset || outcome.result == AttemptResult::cancelled;
+    if (in_order(*request) && (may_run || outcome.may_run_for > Time::zero()))
+      turns_.rest(request->asked.ordering_key,
+                  now_ + std::max(may_run ? s_.ordering_key_hold : 0s, outcome.may_run_for));
+    take_load(engine, outcome.load_report);
     judge(engine, *request, outcome);
-    if (outcome.closed && request->open) return close(*request);
+    if (outcome.request_closed && request->open) return close(*request);
     if (request->out() || request->held) return;  // by another attempt
     if (!request->open) return forget(*request);
     again(*request);
@@ -533,11 +542,11 @@
 
   void again(Request& request) {
     const auto may = [&](const Engine* e) { return placed(request, *e) && repeat_allowed(request, *e); };
-    const bool soon = s_.second_copies || request.over_by <= now_ + most_hold(request);
+    const bool soon = s_.hedging || request.over_by <= now_ + most_hold(request);
     if (!std::ranges::any_of(ready_, may) || !soon || request.attempts.size() >= s_.max_attempts ||
         !within_retry_budget())
-      return finish(request, Reason::no_attempt_left);
-    if (at_fault(request)) return finish(request, Reason::at_fault);
+      return finish(request, UnservedReason::no_attempt_left);
+    if (at_fault(request)) return finish(request, UnservedReason::request_at_fault);
     hold(request, true);
   }
 
@@ -546,27 +555,28 @@
     std::set<EngineId> said;
     for (const auto& attempt : request.attempts) {
       const auto at = engines_.find(attempt.engine);
-      if (attempt.result == Result::error && !attempt.out && at != engines_.end() &&
+      if (attempt.result == AttemptResult::error && !attempt.out && at != engines_.end() &&
           at->second.errors < kErrorStep)
         said.insert(attempt.engine);
     }
     return said.size() > 1;
   }
 
-  void judge(Engine& engine, const Request& request, const Outcome& outcome) {
+  void judge(Engine& engine, const Request& request, const AttemptOutcome& outcome) {
     const auto result = outcome.result;
-    if (result == Result::served) return judge_served(engine, request, outcome);
+    if (result == AttemptResult::served) return judge_served(engine, request, outcome);
     // The statement may be at fault. Where another engine can be asked, its answer tells.
-    if (result == Result::error)
-      return set(request).effect == Effect::unsafe ? judge_failed(engine, kErrorStep) : void();
-    if (result == Result::turned_away && level() < 0) return rest(engine, "is full");
-    if (result == Result::turned_away)
+    if (result == AttemptResult::error)
+      return set(request).idempotency == Idempotency::not_idempotent ? judge_failed(engine, kErrorStep)
+                                                                     : void();
+    if (result == AttemptResult::rejected && level() < 0) return rest(engine, "is full");
+    if (result == AttemptResult::rejected)
       return take_report(engine, kCrowdAtFull * cores(engine), engine.heard = now_);
-    if (result != Result::not_connected && result != Result::reset) return;
+    if (result != AttemptResult::connect_failed && result != AttemptResult::reset) return;
     // Its process may have ended, and begin anew before any list tells.
-    engine.start.doubt(now_, result == Result::not_connected);
-    engine.broke = result == Result::reset ? now_ : Time::zero();
-    if (result == Result::not_connected) return rest(engine, "takes no connections");
+    engine.start.doubt(now_, result == AttemptResult::connect_failed);
+    engine.broke = result == AttemptResult::reset ? now_ : Time::zero();
+    if (result == AttemptResult::connect_failed) return rest(engine, "takes no connections");
     judge_failed(engine, ask(engine) ? kErrorStep : 2 * kErrorStep);
   }
 
@@ -575,7 +585,7 @@
     if (at > engine.broke) engine.broke = Time::zero();
   }
 
-  void judge_served(Engine& engine, const Request& request, const Outcome& outcome) {
+  void judge_served(Engine& engine, const Request& request, const AttemptOutcome& outcome) {
     const auto c = request.asked.cls;
     auto& cls = classes_[c];
     engine.heard = now_;
@@ -584,7 +594,7 @@
     fleet_errors_ -= kFleetErrors * fleet_errors_;
     for (const auto& attempt : request.attempts) {
       const auto failed = engines_.find(attempt.engine);
-      if (attempt.result == Result::error && !attempt.out && failed != engines_.end() &&
+      if (attempt.result == AttemptResult::error && !attempt.out && failed != engines_.end() &&
           &failed->second != &engine)
         judge_failed(failed->second, kErrorStep);
     }
@@ -598,9 +608,9 @@
     const double threads = s_.classes[c].threads;
     cls.usual += 0.05 * (took - cls.usual);
     cls.typical *= took > foretold(request) ? 1 + kMedianStep : 1 - kMedianStep;
-    if (s_.grants && outcome.work) {
+    if (s_.memory_grants && outcome.work) {
       cls.memory += (cls.memory > 0 ? 0.05 : 1) * (outcome.memory_mb - cls.memory);
-      const double told = request.asked.memory_mb;
+      const double told = request.asked.estimated_memory_mb;
       if (told > 0) cls.memory_told += (cls.memory_told > 0 ? 0.05 : 1) * (told - cls.memory_told);
     }
     const double work = outcome.work ? secs(*outcome.work) : took * threads;
@@ -640,7 +650,7 @@
     if (engine.health == Health::well) trace(engine, why);
     engine.health = Health::resting;
     fleet_changed_ = true;
-    engine.rest = engine.rest > Time::zero() ? std::min(2 * engine.rest, kMostRest) : kFirstRest;
+    engine.rest = engine.rest > Time::zero() ? std::min(2 * engine.rest, kMaxRest) : kFirstRest;
     engine.rest_until = now_ + span(secs(engine.rest) * (0.5 + drawn()));
     for (const auto& [id, n] : std::vector(engine.out.begin(), engine.out.end())) rescue(id, n);
   }
@@ -648,7 +658,7 @@
   // Takes a safe query back from an engine, to send it elsewhere once the call-off is confirmed.
   void rescue(RequestId id, std::size_t n) {
     auto& request = requests_.at(id);
-    if (!request.open || set(request).effect != Effect::safe) return;
+    if (!request.open || set(request).idempotency != Idempotency::idempotent) return;
     if (request.awaited() > 1 || (request.attempts.size() < s_.max_attempts && within_retry_budget()))
       call_off(request, n);
   }
@@ -660,7 +670,7 @@
     auto& request = requests_.at(id);
     const auto& attempt = request.attempts[n];
     const double times = secs(now_ - attempt.sent) / foretold(request);
-    if (!s_.second_copies || !request.open || times < kCopyAfter) return;
+    if (!s_.hedging || !request.open || times < kCopyAfter) return;
     if (times > kLostAfter && attempt.heard == attempt.sent) return rescue(id, n);
     if (n + 1 < request.attempts.size() || request.attempts.size() >= s_.max_attempts) return;
     if (request.held || crowded() || copy_work_ < work(request)) return;
@@ -679,17 +689,17 @@
       copy(id, n);
       const auto& request = requests_.at(id);
       const auto& attempt = request.attempts[n];
-      if (s_.progress_pace == Time::zero()) {
+      if (s_.progress_interval == Time::zero()) {
         const Time age = std::min(quiet, now_ - attempt.sent);
         overdue += std::min(secs(age) / classes_[request.asked.cls].usual, kSilentEach);
-      } else if (now_ - attempt.heard > kNoteGap * s_.progress_pace && attempt.awaited()) {
-        quiet > kNoteGap* s_.progress_pace ? rest(engine, "is silent") : rescue(id, n);
+      } else if (now_ - attempt.heard > kNoteGap * s_.progress_interval && attempt.awaited()) {
+        quiet > kNoteGap* s_.progress_interval ? rest(engine, "is silent") : rescue(id, n);
       }
     }
     if (quiet > kSilentLeast && overdue > kSilentAnswers) rest(engine, "is silent");
   }
 
-  void on(const Note& note) {
+  void on(const AttemptProgress& note) {
     const auto at = engines_.find(note.engine);
     auto* request = find(note.request);
     if (at == engines_.end() || request == nullptr || note.attempt >= request->attempts.size()) return;
@@ -698,19 +708,19 @@
     alive(at->second, now_, attempt.sent);
     const double age = secs(now_ - attempt.sent);
     // A bad plan, or an engine far too slow: what is left takes longer than to begin anew elsewhere.
-    const bool slow = note.kind == NoteKind::progress && note.attempt == 0 && age > secs(kPlanLook) &&
+    const bool slow = note.kind == ProgressKind::progress && note.attempt == 0 && age > secs(kPlanLook) &&
                       age / std::max(note.amount, 0.005) >
                           kBadPlan * std::max(1.0, request->size) * classes_[request->asked.cls].usual;
-    if (slow || (note.kind == NoteKind::waiting && note.amount > 1.5)) rescue(note.request, note.attempt);
+    if (slow || (note.kind == ProgressKind::waiting && note.amount > 1.5)) rescue(note.request, note.attempt);
   }
 
   void take_load(Engine& engine, const std::vector<double>& load) {
-    if (load.empty() || load.size() > s_.load_fields.size()) return;
+    if (load.empty() || load.size() > s_.load_report_fields.size()) return;
     double held = -1, waiting = 0, util = -1;
     for (std::size_t i = 0; i < load.size(); ++i) {
-      if (s_.load_fields[i] == LoadField::inflight) held = load[i];
-      if (s_.load_fields[i] == LoadField::queue) waiting = load[i];  // for memory: on no core
-      if (s_.load_fields[i] == LoadField::util) util = load[i];
+      if (s_.load_report_fields[i] == LoadReportField::inflight) held = load[i];
+      if (s_.load_report_fields[i] == LoadReportField::queue) waiting = load[i];  // for memory: on no core
+      if (s_.load_report_fields[i] == LoadReportField::util) util = load[i];
     }
     const double others = std::max(0.0, held - waiting - engine.queries) * mean_threads_;
     const double by_cores = util * kThreadsAtFull * cores(engine);
@@ -726,7 +736,7 @@
     if (level() >= 0) {
       const double usual = std::max(1.0, told_level_ * cores(engine) / mean_threads_);
       const double off = std::pow(threads / mean_threads_ - usual, 2) / usual;
-      scatter_ += kScatterStep * (std::min(off, kMostScatter) - scatter_);
+      scatter_ += kScatterStep * (std::min(off, kMaxScatter) - scatter_);
     }
     told_level_ = level() < 0 ? told : told_level_ + kLevelStep * (told - told_level_);
     level_at_ = now_;
@@ -743,17 +753,18 @@
     if (recent_.size() > kLooks) recent_.pop_back();
   }
 
-  void on(const ProbeResult& probe) {
+  void on(const HealthCheckResult& probe) {
     const auto at = engines_.find(probe.engine);
     if (at == engines_.end()) return;
     auto& engine = at->second;
-    if (probe.result != Result::served) return engine.broke > Time::zero() ? rest(engine, "is down") : void();
+    if (probe.result != AttemptResult::served)
+      return engine.broke > Time::zero() ? rest(engine, "is down") : void();
     alive(engine, now_, now_ - probe.latency);
     take_load(engine, probe.load);
   }
 
   // Few gateways tell all others their own threads; many tell a few their newest reports. Malformed: ignored.
-  void on(const PeerMessage& message) {
+  void on(const GossipMessage& message) {
     const auto text = decode(message.bytes);
     if (!text) return;
     if (!text->reports) {
@@ -762,13 +773,13 @@
       return;
     }
     // Busy gateways tell more often: each message weighs as the time that it speaks for.
-    const double gap = 1 / std::max(kLeastRate, text->rate / 16.0);
+    const double gap = 1 / std::max(kMinRate, text->rate / 16.0);
     const double kept = std::exp(-secs(now_ - std::exchange(peer_at_, now_)) / kPeerMemory);
     peer_gap_ = kept * peer_gap_ + gap;
     peer_threads_ = kept * peer_threads_ + gap * text->threads;
     own_then_ = own_lately_;
     if (++peers_heard_ >= kPeersNeeded)
-      level_ = peer_threads_ / peer_gap_ * s_.gateways / std::max(1.0, cores_);
+      level_ = peer_threads_ / peer_gap_ * s_.brokers / std::max(1.0, cores_);
     for (const auto& entry : text->entries) {
       const auto at = engines_.find(entry.engine);
       const Time told = now_ - entry.age * kTick;
@@ -782,13 +793,13 @@
   }
 
   void tell_peers() {
-    if (!s_.may_tell || s_.gateways < 2 || now_ < told_ + kTellPace) return;
+    if (!s_.may_gossip || s_.brokers < 2 || now_ < told_ + kTellPace) return;
     told_ = now_;
     PeerText text;
-    text.reports = s_.gateways > kTellAll;
+    text.reports = s_.brokers > kTellAll;
     if (!text.reports) {
       for (const auto id : busy_) text.entries.push_back({id, engines_.at(id).threads});
-      return put(Tell{std::nullopt, encode(text)});
+      return put(SendGossip{std::nullopt, encode(text)});
     }
     // Messages follow arrivals, when more runs than usual: the mean since the last ones is told.
     text.threads = static_cast<unsigned>(untold_ / std::max(1e-3, untold_time_) + drawn());
@@ -806,8 +817,8 @@
     const auto bytes = encode(text);
     untold_ = untold_time_ = 0;
     for (; tell_bytes_ >= size; tell_bytes_ -= size) {
-      const auto to = static_cast<std::uint32_t>(random_() % (s_.gateways - 1));
-      put(Tell{to < s_.me ? to : to + 1, bytes});
+      const auto to = static_cast<std::uint32_t>(random_() % (s_.brokers - 1));
+      put(SendGossip{to < s_.broker_index ? to : to + 1, bytes});
     }
   }
 
@@ -817,10 +828,10 @@
     return old && tells_load_ && probe_tokens_ >= 1 + spare && ask(engine);
   }
   bool ask(Engine& engine) {
-    if (!s_.may_probe || probe_tokens_ < 1) return false;
+    if (!s_.may_health_check || probe_tokens_ < 1) return false;
     engine.probed = now_;
     probe_tokens_ -= 1;
-    put(Probe{engine.entry.engine});
+    put(SendHealthCheck{engine.entry.engine});
     return true;
   }
 
@@ -894,7 +905,7 @@
     if (all && *all + 0.5 * threads > kTopCrowd * ease * size) return false;
     // A slow engine is still sent something by each gateway: its pace would never be seen to change.
     const double swift = size / slowness(engine);
-    if (own <= kThreadsPerCore * swift / s_.gateways || engine.threads == 0) return true;
+    if (own <= kThreadsPerCore * swift / s_.brokers || engine.threads == 0) return true;
     if (own > kThreadsPerCore * swift) return false;
     if (all) return *all + 0.5 * threads <= kPassCrowd * ease * swift;
     return engine.pace <= kUsualSpeed * std::max(1.0, std::min(fleet_pace_, 1.2));
@@ -903,18 +914,19 @@
   bool healthy(const Request& request, Engine& engine) const {
     if (engine.health == Health::well) return true;
     if (engine.health == Health::resting && now_ >= engine.rest_until) engine.health = Health::trial;
-    return engine.health == Health::trial && engine.queries == 0 && set(request).effect == Effect::safe;
+    return engine.health == Health::trial && engine.queries == 0 &&
+           set(request).idempotency == Idempotency::idempotent;
   }
 
   double crowding(const Request& request, Engine& engine) {
     const auto& set = this->set(request);
     // Reports are late and every gateway reads the same: by them alone all would run to one engine at once.
-    const double own = engine.threads * std::min<double>(s_.gateways, kOwnTimes);
+    const double own = engine.threads * std::min<double>(s_.brokers, kOwnTimes);
     const double all = kOwnPart * own + (1 - kOwnPart) * all_threads(engine).value_or(own);
     double score = (all + set.threads) * slowness(engine) / (cores(engine) * warmth(engine, 0s));
-    if (engine.entry.zone != s_.zone) score += kFarZone * s_.price_cross_zone;
+    if (engine.entry.zone != s_.zone) score += kFarZone * s_.cross_zone_cost;
     if (!readers_wait_ && home(request.asked.data_group, engine)) score -= kWarmHome;
-    if (set.waits_for_group && held(request, engine)) score += kHeldKeepOff;
+    if (set.waits_for_data_group && held(request, engine)) score += kHeldKeepOff;
     const auto there = [&](const Attempt& a) { return a.engine == engine.entry.engine; };
     return std::ranges::any_of(request.attempts, there) ? score + kSameAgain : score;
   }
@@ -965,12 +977,12 @@
     double least = 0;
     const auto& engines = candidates(request);
     if (look(request, engines)) return nullptr;
-    const double blur = tells_load_ ? kLeastBlur + kBlur * (1 - trust()) : kLeastBlur;
+    const double blur = tells_load_ ? kMinBlur + kBlur * (1 - trust()) : kMinBlur;
     for (auto* engine : engines) {
       const auto there = [&](const Attempt& a) { return a.awaited() && a.engine == engine->entry.engine; };
       if (!healthy(request, *engine) || !room(*engine, request.asked.cls) || !may_send(request, *engine) ||
           std::ranges::any_of(request.attempts, there) ||
-          (set(request).holds_group && held(request, *engine)))
+          (set(request).locks_data_group && held(request, *engine)))
         continue;
       const double score = crowding(request, *engine) + blur * drawn();
       if (best == nullptr || score < least) std::tie(best, least) = std::tuple(engine, score);
@@ -990,7 +1002,7 @@
       auto& request = requests_.at(*it);
       if (!in_turn(request) || !may_stand_beside(request)) continue;
       Engine* engine = pick(request);
-      if (engine == nullptr && set(request).holds_group) continue;  // another group's may go
+      if (engine == nullptr && set(request).locks_data_group) continue;  // another group's may go
       if (engine == nullptr || !transmit(request, *engine)) return false;
       cls.queue.erase(it);
       return true;
@@ -1013,7 +1025,7 @@
   // Not where priorities keep the short classes quick, nor where a gateway hears too little to tell.
   void ease() {
     if (s_.priorities || few_) return;
-    ease_ = fleet_pace_ > kJamPace ? std::max(kLeastEase, ease_ * kEaseDown) : std::min(1.0, ease_ + kEaseUp);
+    ease_ = fleet_pace_ > kJamPace ? std::max(kMinEase, ease_ * kEaseDown) : std::min(1.0, ease_ + kEaseUp);
   }
 
   void sample() {
@@ -1025,10 +1037,10 @@
     const double wanted = sum(&Class::u);
     for (const auto c : rank_) {
       auto& cls = classes_[c];
-      const double aim = kWaitAim * secs(s_.classes[c].aim);
+      const double aim = kWaitAim * secs(s_.classes[c].latency_objective);
       double waits = cls.waits, count = cls.released + static_cast<double>(cls.queue.size());
       for (const auto id : cls.queue) waits += secs(now_ - requests_.at(id).queued);  // they must show
-      const double error = std::max(-kMostError, (aim - (count > 0 ? waits / count : 0)) / aim);
+      const double error = std::max(-kMaxError, (aim - (count > 0 ? waits / count : 0)) / aim);
       const double before = wanted > all ? cls.budget : cls.u;
       const double least = s_.classes[c].threads;
       cls.u = std::clamp(before + kGain * kGainPool * all * (error - kZero * cls.error), least,
@@ -1038,14 +1050,14 @@
     }
   }
 
-  void on(const Wake&) {
+  void on(const TimerFired&) {
     if (now_ < ticked_ + kTick) return;
     const double passed = secs(now_ - ticked_);
     ticked_ = now_;
-    put(WakeAfter{kTick});
-    if (s_.ask_for_list && asked_again_ > Time::zero() && now_ >= asked_again_) {
+    put(ScheduleTimer{kTick});
+    if (s_.polls_endpoint_list && asked_again_ > Time::zero() && now_ >= asked_again_) {
       asked_again_ = Time::zero();
-      put(Observe{true});
+      put(PollEndpointList{true});
     }
     fill_tokens(passed);
     untold_ += running() * passed;
@@ -1053,10 +1065,10 @@
     own_threads_ += std::min(1.0, passed / kOwnMemory) * (running() - own_threads_);
     own_lately_ += std::min(1.0, passed / kPeerMemory) * (running() - own_lately_);
     while (!deadlines_.empty() && deadlines_.begin()->first <= now_)
-      finish(requests_.at(deadlines_.begin()->second), Reason::deadline);
+      finish(requests_.at(deadlines_.begin()->second), UnservedReason::deadline);
     drop_overdue();
     for (const auto id : std::vector(busy_.begin(), busy_.end())) watch(engines_.at(id));
-    if (!few_ && !s_.load_in_answers)  // these bring reports, too
+    if (!few_ && !s_.answers_report_load)  // these bring reports, too
       for (auto* engine : ready_) probe(*engine, 0);
     draw_turns(passed);
     tell_peers();
@@ -1069,7 +1081,7 @@
   }
 
   void forget_old() {
-    const Time back = s_.retry_budget ? s_.retry_budget->span : Time::zero();
+    const Time back = s_.retry_budget ? s_.retry_budget->window : Time::zero();
     while (!taken_.empty() && taken_.front() <= now_ - back) taken_.pop_front();
     while (!further_.empty() && further_.front() < now_ - back) further_.pop_front();
     turns_.forget(now_);
@@ -1080,8 +1092,10 @@
   Time most_hold(const Request& request) const {
     const auto c = request.asked.cls;
     const auto& set = s_.classes[c];
-    const double least = kHoldShare * secs(set.aim), stretch = set.aim_stretch - kRunShare;
-    if (request.asked.cost) return span(std::max(least, secs(set.aim) + stretch * foretold(request)));
+    const double least = kHoldShare * secs(set.latency_objective),
+                 stretch = set.objective_stretch - kRunShare;
+    if (request.asked.estimated_work)
+      return span(std::max(least, secs(set.latency_objective) + stretch * foretold(request)));
     return span(std::max(least, kHoldShare * whole_aim(c) - classes_[c].usual));
   }
 
@@ -1089,13 +1103,13 @@
     for (auto& cls : classes_)
       for (const auto id : std::vector(cls.queue.begin(), cls.queue.end()))
         if (auto& request = requests_.at(id); now_ - request.queued > most_hold(request))
-          finish(request, Reason::held_too_long);
+          finish(request, UnservedReason::queued_too_long);
   }
 
   double share_rate(std::size_t t) const {
-    const double own = s_.tenants[t].share * arrival_rate_;
+    const double own = s_.tenants[t].quota_fraction * arrival_rate_;
     // Of few queries, clumps would pass for more than a share.
-    if (few_) return kOverShareSlack * std::max(own, s_.tenants[t].quota_per_s / s_.gateways);
+    if (few_) return kOverShareSlack * std::max(own, s_.tenants[t].quota_per_s / s_.brokers);
     return (crowded() ? 1 : kOverShareSlack) * own;
   }
 
@@ -1116,7 +1130,9 @@
   }
 
   // A flood by one tenant takes nothing from the others: past its share it is refused once queries wait.
-  bool over_share(const Arrival& asked) { return s_.over_share_worth < 1 && !tokens_.take(asked.tenant); }
+  bool over_share(const RequestArrival& asked) {
+    return s_.over_quota_weight < 1 && !tokens_.take(asked.tenant);
+  }
 
   Settings s_;
   std::mt19937_64 random_;
@@ -1153,16 +1169,16 @@
   std::vector<Action>* out_ = nullptr;
 };
 
-Gateway::Gateway(Settings settings, std::uint64_t seed)
-    : choice_(std::make_unique<Choice>(std::move(settings), seed)) {}
-Gateway::~Gateway() = default;
-Gateway::Gateway(Gateway&&) noexcept = default;
-Gateway& Gateway::operator=(Gateway&&) noexcept = default;
-void Gateway::reconfigure(Settings settings) { choice_->reconfigure(std::move(settings)); }
-void Gateway::handle(Time now, const std::vector<Event>& events, std::vector<Action>& out) {
-  choice_->handle(now, events, out);
+Scheduler::Scheduler(Settings settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
+Scheduler::~Scheduler() = default;
+Scheduler::Scheduler(Scheduler&&) noexcept = default;
+Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
+void Scheduler::reconfigure(Settings settings) { impl_->reconfigure(std::move(settings)); }
+void Scheduler::handle(Time now, const std::vector<Event>& events, std::vector<Action>& out) {
+  impl_->handle(now, events, out);
 }
-ClassView Gateway::view(ClassIndex cls) const { return choice_->view(cls); }
-double Gateway::pool() const { return choice_->pool(); }
-double Gateway::level() const { return choice_->level(); }
+ClassStatus Scheduler::class_status(ClassIndex cls) const { return impl_->view(cls); }
+double Scheduler::thread_pool() const { return impl_->pool(); }
+double Scheduler::load_level() const { return impl_->level(); }
 }  // namespace bellstair::policy
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -14,7 +14,7 @@
 #include <deque>
 #include <utility>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 
 namespace bellstair::policy {
 
@@ -27,7 +27,7 @@
 // Turns a second of all gateways together, by how many of them a window bears at once: with more, chance
 // alone would have too many fall into one. Where it bears more than this lists, their mean work is what
 // counts.
-inline constexpr std::array<double, 6> kMostTurns = {0, 0.02, 0.15, 0.5, 0.9, 1.4};
+inline constexpr std::array<double, 6> kMaxTurns = {0, 0.02, 0.15, 0.5, 0.9, 1.4};
 
 // How many queries of mean work a window may hold whose budget is n of them (the operators' rule): chance may
 // pass it by twice the root of n and 2, or where n lies under 30 by three times it and 3.
@@ -66,7 +66,7 @@
   double share = part * capacity.budget / capacity.window / capacity.gateways;  // a second
   const double work = std::max(demand.heaviest, share * std::chrono::duration<double>(kTurn).count());
   const auto borne = turns_borne(capacity, demand, work, kSentPart - part);
-  if (borne < kMostTurns.size()) share = std::min(share, kMostTurns[borne] * work / capacity.gateways);
+  if (borne < kMaxTurns.size()) share = std::min(share, kMaxTurns[borne] * work / capacity.gateways);
   return {share, work};
 }
 
--- a/src/policy/state.cpp
+++ b/src/policy/state.cpp
@@ -5,7 +5,7 @@
 
 namespace bellstair::policy {
 namespace {
-constexpr std::size_t kMostBytes = 256;
+constexpr std::size_t kMaxBytes = 256;
 
 void add(std::string& bytes, unsigned value, int size) {
   for (; size > 0; --size, value >>= 8) bytes.push_back(static_cast<char>(value & 0xff));
@@ -20,23 +20,24 @@
 
 void check(const Settings& s) {
   const auto bad = [](const char* what) { throw std::invalid_argument(std::string("settings: ") + what); };
-  if (s.gateways == 0) bad("gateways must be 1 or more");
+  if (s.brokers == 0) bad("gateways must be 1 or more");
   if (s.classes.empty()) bad("classes must not be empty");
   if (s.kinds.empty()) bad("kinds must not be empty");
   if (s.max_attempts == 0) bad("max_attempts must be 1 or more");
-  if (s.cold_from <= 0 || s.cold_from > 1) bad("cold_from must lie above 0 and not above 1");
+  if (s.slow_start_capacity <= 0 || s.slow_start_capacity > 1)
+    bad("cold_from must lie above 0 and not above 1");
   for (const auto& c : s.classes) {
-    if (c.aim <= Time::zero()) bad("classes[].aim must be above 0");
+    if (c.latency_objective <= Time::zero()) bad("classes[].aim must be above 0");
     if (c.threads == 0) bad("classes[].threads must be 1 or more");
   }
   for (const auto& k : s.kinds) {
     if (!(k.cores > 0)) bad("kinds[].cores must be above 0");
   }
   for (const auto& t : s.tenants) {
-    if (!(t.share >= 0)) bad("tenants[].portion must not be below 0");
+    if (!(t.quota_fraction >= 0)) bad("tenants[].portion must not be below 0");
     if (!(t.quota_per_s >= 0)) bad("tenants[].quota-rps must not be below 0");
   }
-  if (s.retry_budget && s.retry_budget->span <= Time::zero()) bad("retry_budget.span must be above 0");
+  if (s.retry_budget && s.retry_budget->window <= Time::zero()) bad("retry_budget.span must be above 0");
 }
 
 void check_change(const Settings& from, const Settings& to) {
@@ -46,21 +47,22 @@
   };
   fixed(from.classes.size() == to.classes.size(), "the number of classes");
   fixed(from.kinds == to.kinds, "kinds");
-  fixed(from.gateways == to.gateways && from.me == to.me, "gateways");
+  fixed(from.brokers == to.brokers && from.broker_index == to.broker_index, "gateways");
   fixed(from.zone == to.zone && from.zones == to.zones, "zones");
-  fixed(from.step == to.step, "step");
+  fixed(from.min_call_interval == to.min_call_interval, "step");
   Settings may = from;  // with all that may differ as it is to be
   may.tenants = to.tenants;
   for (std::size_t c = 0; c < to.classes.size(); ++c) {
     auto& cls = may.classes[c];
     const auto& wanted = to.classes[c];
-    cls.aim = wanted.aim;
-    cls.give_up = wanted.give_up;
-    cls.worth = wanted.worth;
-    cls.late_share = wanted.late_share;
+    cls.latency_objective = wanted.latency_objective;
+    cls.client_timeout = wanted.client_timeout;
+    cls.priority_weight = wanted.priority_weight;
+    cls.late_weight = wanted.late_weight;
     fixed(cls.name == wanted.name, "classes[].name");
     fixed(cls.threads == wanted.threads, "classes[].threads");
-    fixed(cls.effect == wanted.effect && cls.group == wanted.group && cls.window == wanted.window,
+    fixed(cls.idempotency == wanted.idempotency && cls.deduplication_scope == wanted.deduplication_scope &&
+              cls.deduplication_window == wanted.deduplication_window,
           "classes[].semantics");
     fixed(cls == wanted, "classes[].in_order, zones, kinds, aim_stretch or groups");
   }
@@ -72,7 +74,7 @@
   for (const unsigned value : {text.threads, text.rate})
     if (text.reports) add(bytes, std::min(value, 0xffffU), 2);
   for (const auto& entry : text.entries) {
-    if (bytes.size() + 6 > kMostBytes) break;
+    if (bytes.size() + 6 > kMaxBytes) break;
     add(bytes, entry.engine, 4);
     add(bytes, std::min(entry.value, 0xffU), 1);
     if (text.reports) add(bytes, std::min(entry.age, 0xffU), 1);
@@ -85,7 +87,7 @@
   text.reports = !bytes.empty() && bytes[0] == 'r';
   const std::size_t head = text.reports ? 5 : 1, size = text.reports ? 6 : 5;
   const bool known = text.reports || (!bytes.empty() && bytes[0] == 'o');
-  if (!known || bytes.size() > kMostBytes || bytes.size() < head || (bytes.size() - head) % size != 0)
+  if (!known || bytes.size() > kMaxBytes || bytes.size() < head || (bytes.size() - head) % size != 0)
     return std::nullopt;
   if (text.reports) text.threads = number(bytes, 1, 2), text.rate = number(bytes, 3, 2);
   for (std::size_t i = head; i < bytes.size(); i += size)
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 #include "policy/slow_start.hpp"
 
 namespace bellstair::policy {
@@ -23,15 +23,15 @@
   Time sent{}, heard{};              // heard: it was sent, or the last note of it came
   bool out = true, called_off = false;
   [[nodiscard]] bool awaited() const { return out && !called_off; }
-  Result result = Result::moot;
+  AttemptResult result = AttemptResult::not_started;
   [[nodiscard]] bool proven_unrun() const {
-    return !out &&
-           (result == Result::turned_away || result == Result::not_connected || result == Result::moot);
+    return !out && (result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
+                    result == AttemptResult::not_started);
   }
 };
 
 struct Request {
-  Arrival asked;
+  RequestArrival asked;
   Time queued{};  // since when it is held here
   Time deadline{};
   bool open = true, held = false;  // held: stands in its class's queue
@@ -57,7 +57,7 @@
   }
   // refused: nobody was there, so that a word soon afterwards may be a new process's.
   void doubt(Time at, bool refused) {
-    if (doubts_.size() == kMostDoubts) {
+    if (doubts_.size() == kMaxDoubts) {
       begun_ = std::max(begun_, doubts_.front().at);
       doubts_.pop_front();
     }
@@ -80,13 +80,13 @@
     Time at{};
     bool refused = false;
   };
-  static constexpr std::size_t kMostDoubts = 16;  // beyond, the oldest stands for good
+  static constexpr std::size_t kMaxDoubts = 16;  // beyond, the oldest stands for good
   Time begun_{};
   std::deque<Doubt> doubts_;
 };
 
 struct Engine {
-  EngineEntry entry;
+  Endpoint entry;
   bool ready = false;
   unsigned threads = 0, queries = 0;                 // of this gateway
   std::set<std::pair<RequestId, AttemptIndex>> out;  // of this gateway
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -7,14 +7,14 @@
 #include <optional>
 #include <vector>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 #include "simulator/wire.hpp"
 
 namespace {
 
 using bellstair::policy::Action;
 using bellstair::policy::Event;
-using bellstair::policy::Gateway;
+using bellstair::policy::Scheduler;
 namespace wire = bellstair::simulator;
 
 // False at the end of input; a frame cut short is malformed.
@@ -50,10 +50,10 @@
       current = record.instance;
       if (const auto* start = std::get_if<wire::Start>(&record.what)) {
         flush();
-        gateways_.insert_or_assign(record.instance, Gateway(start->settings, start->seed));
+        schedulers_.insert_or_assign(record.instance, Scheduler(start->settings, start->seed));
       } else if (std::holds_alternative<wire::Stop>(record.what)) {
         events.clear();
-        gateways_.erase(record.instance);
+        schedulers_.erase(record.instance);
       } else {
         events.push_back(std::get<Event>(record.what));
       }
@@ -65,8 +65,8 @@
  private:
   void decide(bellstair::policy::Time now, std::uint32_t id, const std::vector<Event>& events,
               wire::ReplyWriter& reply) {
-    const auto found = gateways_.find(id);
-    if (found == gateways_.end())
+    const auto found = schedulers_.find(id);
+    if (found == schedulers_.end())
       throw wire::Malformed("frame: an event for an instance that is not running");
     std::vector<Action> actions;
     found->second.handle(now, events, actions);
@@ -75,7 +75,7 @@
     for (const auto& action : actions) reply.action(action);
   }
 
-  std::map<std::uint32_t, Gateway> gateways_;
+  std::map<std::uint32_t, Scheduler> schedulers_;
 };
 
 }  // namespace
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -98,16 +98,19 @@
   bad(key, "holds an unknown word");
 }
 
-constexpr Word<Effect> kEffects[] = {
-    {"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}};
-constexpr Word<RepeatGroup> kGroups[] = {
-    {"all", RepeatGroup::all}, {"zone", RepeatGroup::zone}, {"cell", RepeatGroup::cell}};
-constexpr Word<Shortage> kShortages[] = {
-    {"line_up", Shortage::wait}, {"cut", Shortage::shrink}, {"overcommit", Shortage::overcommit}};
-constexpr Word<LoadField> kFields[] = {{"busy_reqs", LoadField::inflight}, {"pending", LoadField::queue},
-                                       {"cpu_share", LoadField::util},     {"svc_ms", LoadField::latency_ms},
-                                       {"served_ps", LoadField::served},   {"failed_ps", LoadField::failed},
-                                       {"x0", LoadField::memory_share},    {"x1", LoadField::disk_share}};
+constexpr Word<Idempotency> kEffects[] = {{"safe", Idempotency::idempotent},
+                                          {"keyed", Idempotency::keyed},
+                                          {"unsafe", Idempotency::not_idempotent}};
+constexpr Word<DeduplicationScope> kGroups[] = {
+    {"all", DeduplicationScope::all}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}};
+constexpr Word<MemoryShortage> kShortages[] = {{"line_up", MemoryShortage::wait},
+                                               {"cut", MemoryShortage::shrink},
+                                               {"overcommit", MemoryShortage::overcommit}};
+constexpr Word<LoadReportField> kFields[] = {
+    {"busy_reqs", LoadReportField::inflight}, {"pending", LoadReportField::queue},
+    {"cpu_share", LoadReportField::util},     {"svc_ms", LoadReportField::latency_ms},
+    {"served_ps", LoadReportField::served},   {"failed_ps", LoadReportField::failed},
+    {"x0", LoadReportField::memory_share},    {"x1", LoadReportField::disk_share}};
 
 std::optional<std::vector<std::uint16_t>> only(const json& in, const char* key) {
   const json* value = find(in, key);
@@ -120,15 +123,15 @@
 ClassSettings parse_class(const json& in) {
   ClassSettings out;
   out.name = text_or(in, "name", "");
-  out.aim = time(need(in, "aim"), "classes[].aim");
-  out.aim_stretch = number_or(in, "aim-stretch", 0);
-  out.give_up = time(need(in, "give-up"), "classes[].give-up");
-  out.worth = number_or(in, "credit", 1);
-  out.late_share = number_or(in, "late-share", 0);
-  out.effect = one_of(text_or(in, "semantics", "unsafe"), kEffects, "classes[].semantics");
-  out.group = one_of(text_or(in, "group", "all"), kGroups, "classes[].group");
-  out.window = time_or(in, "window", Time::zero());
-  out.in_order = flag_or(in, "in-order", false);
+  out.latency_objective = time(need(in, "aim"), "classes[].aim");
+  out.objective_stretch = number_or(in, "aim-stretch", 0);
+  out.client_timeout = time(need(in, "give-up"), "classes[].give-up");
+  out.priority_weight = number_or(in, "credit", 1);
+  out.late_weight = number_or(in, "late-share", 0);
+  out.idempotency = one_of(text_or(in, "semantics", "unsafe"), kEffects, "classes[].semantics");
+  out.deduplication_scope = one_of(text_or(in, "group", "all"), kGroups, "classes[].group");
+  out.deduplication_window = time_or(in, "window", Time::zero());
+  out.ordered_by_key = flag_or(in, "in-order", false);
   out.zones = only(in, "zones-allowed");
   out.kinds = only(in, "bound-to");
   return out;
@@ -151,40 +154,40 @@
     return v.get<bool>();
   };
   each(find(in, "loads"), classes, "loads",
-       [&](std::size_t i, const json& v) { out.classes[i].holds_group = truth(v, "loads"); });
+       [&](std::size_t i, const json& v) { out.classes[i].locks_data_group = truth(v, "loads"); });
   each(find(in, "class-waits"), classes, "class-waits",
-       [&](std::size_t i, const json& v) { out.classes[i].waits_for_group = truth(v, "class-waits"); });
+       [&](std::size_t i, const json& v) { out.classes[i].waits_for_data_group = truth(v, "class-waits"); });
   each(find(in, "cpu-of-kind"), kinds, "cpu-of-kind",
        [&](std::size_t i, const json& v) { out.kinds[i].cores = number(v, "cpu-of-kind"); });
   each(find(in, "ram-of-kind-mb"), kinds, "ram-of-kind-mb",
        [&](std::size_t i, const json& v) { out.kinds[i].memory_mb = number(v, "ram-of-kind-mb"); });
-  out.grants = flag_or(in, "grants", false);
+  out.memory_grants = flag_or(in, "grants", false);
   out.priorities = flag_or(in, "takes-priority", false);
-  out.tells_cost = flag_or(in, "tells-cost", false);
-  out.max_grant_share = number_or(in, "max-grant-share", 1);
-  out.progress_pace = time_or(in, "progress-pace", Time::zero());
-  out.shortage = one_of(text_or(in, "out-of-memory", "line_up"), kShortages, "out-of-memory");
+  out.answers_report_cost = flag_or(in, "tells-cost", false);
+  out.max_memory_grant_fraction = number_or(in, "max-grant-share", 1);
+  out.progress_interval = time_or(in, "progress-pace", Time::zero());
+  out.memory_shortage = one_of(text_or(in, "out-of-memory", "line_up"), kShortages, "out-of-memory");
 }
 
 void parse_ceilings(const json& in, Settings& out) {
   out.max_attempts = whole_or<unsigned>(in, "max-attempts", 1);
-  out.max_open = whole_or<std::size_t>(in, "most-held", 0);
-  out.may_call_off = flag_or(in, "cancel", false);
-  out.may_probe = flag_or(in, "probing", false);
-  out.may_tell = flag_or(in, "may-tell", false);
-  out.second_copies = flag_or(in, "second-copies", false);
-  out.retry_after = flag_or(in, "retry-after", false);
+  out.max_open_requests = whole_or<std::size_t>(in, "most-held", 0);
+  out.may_cancel = flag_or(in, "cancel", false);
+  out.may_health_check = flag_or(in, "probing", false);
+  out.may_gossip = flag_or(in, "may-tell", false);
+  out.hedging = flag_or(in, "second-copies", false);
+  out.sends_retry_after = flag_or(in, "retry-after", false);
   out.max_retry_after = time_or(in, "max-retry-after", Time::zero());
 }
 
 void parse_safety(const json& in, Settings& out) {
   out.drain_grace = time_or(in, "drain-grace", Time::zero());
   out.answer_grace = time_or(in, "grace-to-answer", Time::zero());
-  out.cold_from = number_or(in, "cold-from", 1);
-  out.ramp_time = time_or(in, "ramp-time", Time::zero());
-  out.tip_multiple = number_or(in, "tip-multiple", 0);
-  out.tip_window = time_or(in, "fall", Time::zero());
-  out.order_rest = time_or(in, "turn-gap", Time::zero());
+  out.slow_start_capacity = number_or(in, "cold-from", 1);
+  out.slow_start_duration = time_or(in, "ramp-time", Time::zero());
+  out.slow_start_overload_factor = number_or(in, "tip-multiple", 0);
+  out.slow_start_overload_window = time_or(in, "fall", Time::zero());
+  out.ordering_key_hold = time_or(in, "turn-gap", Time::zero());
   out.ask_within = time_or(in, "ask-within", Time::zero());
   if (find(in, "resend-span") != nullptr) {
     out.retry_budget = RetryBudget{time_or(in, "resend-span", Time::zero()), number_or(in, "free-resends", 0),
@@ -194,17 +197,17 @@
 
 void parse_report(const json& in, Settings& out) {
   const std::string how = text_or(in, "how", "silent");
-  out.load_in_answers = how == "piggyback";
+  out.answers_report_load = how == "piggyback";
   if (how == "silent") return;
   const json* fields = find(in, "fields");
   if (fields == nullptr) return;
   for (const json& field : list(*fields, "report.fields")) {
     if (!field.is_string()) bad("report.fields", "is not a list of texts");
-    LoadField value = LoadField::unknown;
+    LoadReportField value = LoadReportField::unknown;
     for (const auto& word : kFields) {
       if (field.get<std::string>() == word.text) value = word.value;
     }
-    out.load_fields.push_back(value);
+    out.load_report_fields.push_back(value);
   }
 }
 
@@ -245,24 +248,24 @@
   std::size_t at_ = 0;
 };
 
-Result take_result(Bytes& in) {
+AttemptResult take_result(Bytes& in) {
   switch (const auto code = in.take<std::uint16_t>(); code) {
     case 100:
-      return Result::served;
+      return AttemptResult::served;
     case 301:
-      return Result::error;
+      return AttemptResult::error;
     case 302:
-      return Result::turned_away;
+      return AttemptResult::rejected;
     case 303:
-      return Result::timed_out;
+      return AttemptResult::timed_out;
     case 304:
-      return Result::not_connected;
+      return AttemptResult::connect_failed;
     case 305:
-      return Result::reset;
+      return AttemptResult::reset;
     case 306:
-      return Result::called_off;
+      return AttemptResult::cancelled;
     case 307:
-      return Result::moot;
+      return AttemptResult::not_started;
     default:
       throw Malformed("frame: unknown outcome " + std::to_string(code));
   }
@@ -276,8 +279,8 @@
   return out;
 }
 
-EngineEntry take_entry(Bytes& in) {
-  EngineEntry entry;
+Endpoint take_entry(Bytes& in) {
+  Endpoint entry;
   entry.engine = in.take<std::uint32_t>();
   entry.zone = in.take<std::uint16_t>();
   entry.kind = in.take<std::uint16_t>();
@@ -296,58 +299,58 @@
       throw Malformed("frame: unknown engine state " + std::to_string(state));
   }
   entry.weight = in.take_float();
-  entry.last_start = in.take_time();
+  entry.started_at = in.take_time();
   return entry;
 }
 
-Arrival take_arrival(Bytes& in) {
-  Arrival out;
+RequestArrival take_arrival(Bytes& in) {
+  RequestArrival out;
   out.request = in.take<std::uint32_t>();
   out.cls = in.take<std::uint16_t>();
   out.tenant = in.take<std::uint32_t>();
-  out.order_key = in.take<std::uint64_t>();
+  out.ordering_key = in.take<std::uint64_t>();
   out.time_left = in.take_time();
   const Time cost = in.take_time();
-  out.memory_mb = in.take_float();
+  out.estimated_memory_mb = in.take_float();
   const double group = in.take_float();
   out.data_group = group >= 0 && group < 1e9 ? static_cast<std::int64_t>(group) : 0;
   const auto flags = in.take<std::uint8_t>();
-  if ((flags & 1U) != 0) out.cost = cost;
-  out.repeat = (flags & 2U) != 0;
+  if ((flags & 1U) != 0) out.estimated_work = cost;
+  out.is_client_retry = (flags & 2U) != 0;
   return out;
 }
 
-Outcome take_outcome(Bytes& in) {
-  Outcome out;
+AttemptOutcome take_outcome(Bytes& in) {
+  AttemptOutcome out;
   out.request = in.take<std::uint32_t>();
   out.attempt = in.take<std::uint16_t>();
   out.engine = in.take<std::uint32_t>();
   out.result = take_result(in);
   out.latency = in.take_time();
-  out.closed = in.take<std::uint8_t>() != 0;
+  out.request_closed = in.take<std::uint8_t>() != 0;
   const auto used = in.take<std::uint32_t>();
   if (used != 0) {
     out.work = std::chrono::milliseconds(used / 4096);
     out.memory_mb = 4.0 * (used % 4096);
   }
-  out.load = take_load(in);
+  out.load_report = take_load(in);
   return out;
 }
 
-Note take_note(Bytes& in) {
-  Note out;
+AttemptProgress take_note(Bytes& in) {
+  AttemptProgress out;
   out.request = in.take<std::uint32_t>();
   const auto sort = in.take<std::uint8_t>();
   if (sort < 1 || sort > 3) throw Malformed("frame: unknown note " + std::to_string(sort));
-  out.kind = sort == 1 ? NoteKind::progress : sort == 2 ? NoteKind::spill : NoteKind::waiting;
+  out.kind = sort == 1 ? ProgressKind::progress : sort == 2 ? ProgressKind::spill : ProgressKind::waiting;
   out.amount = in.take_float();
   out.engine = in.take<std::uint32_t>();
   out.attempt = in.take<std::uint16_t>();
   return out;
 }
 
-ProbeResult take_probe(Bytes& in) {
-  ProbeResult out;
+HealthCheckResult take_probe(Bytes& in) {
+  HealthCheckResult out;
   out.result = take_result(in);
   out.engine = in.take<std::uint32_t>();
   out.latency = in.take_time();
@@ -376,51 +379,51 @@
   std::vector<std::uint8_t>& out;
 
   void code(std::uint8_t value) const { out.push_back(value); }
-  void operator()(const Send& a) const {
+  void operator()(const SendAttempt& a) const {
     code(100);
     put(out, a.request);
-    put_time(out, a.until);
+    put_time(out, a.give_up_at);
     put(out, a.engine);
   }
-  void operator()(const CallOff& a) const {
+  void operator()(const CancelAttempt& a) const {
     code(50);
     put(out, a.request);
     put(out, a.attempt);
   }
-  void operator()(const Refuse& a) const {
+  void operator()(const Reject& a) const {
     code(70);
     put(out, a.request);
-    put_time(out, a.pause);
+    put_time(out, a.retry_after);
   }
   void operator()(const Fail& a) const {
     code(80);
     put(out, a.request);
   }
-  void operator()(const Terms& a) const {
+  void operator()(const AttemptTerms& a) const {
     code(30);
     put(out, a.request);
     put(out, std::bit_cast<std::uint32_t>(static_cast<float>(a.memory_mb)));
     put(out, a.priority);
   }
-  void operator()(const WakeAfter& a) const {
+  void operator()(const ScheduleTimer& a) const {
     code(20);
     put(out, std::uint32_t{0});
     put_time(out, a.delay);
   }
-  void operator()(const Probe& a) const {
+  void operator()(const SendHealthCheck& a) const {
     code(40);
     put(out, a.engine);
   }
-  void operator()(const Tell& a) const {
+  void operator()(const SendGossip& a) const {
     code(10);
     put(out, a.to.value_or(std::numeric_limits<std::uint32_t>::max()));
     put_text(out, a.bytes);
   }
-  void operator()(const Observe& a) const {
+  void operator()(const PollEndpointList& a) const {
     code(60);
     put(out, static_cast<std::uint8_t>(a.on ? 1 : 0));
   }
-  void operator()(const Trace& a) const {
+  void operator()(const LogMessage& a) const {
     code(110);
     put_text(out, a.text);
   }
@@ -433,10 +436,10 @@
 Settings settings_from(const json& in) {
   if (in.is_discarded() || !in.is_object()) throw Malformed("settings: not a JSON object");
   Settings out;
-  out.gateways = whole<unsigned>(need(in, "balancers"), "balancers");
-  out.me = whole_or<unsigned>(in, "me", 0);
+  out.brokers = whole<unsigned>(need(in, "balancers"), "balancers");
+  out.broker_index = whole_or<unsigned>(in, "me", 0);
   out.zone = whole_or<std::uint16_t>(in, "az", 0);
-  out.step = time_or(in, "step", out.step);
+  out.min_call_interval = time_or(in, "step", out.min_call_interval);
   for (const json& item : list(need(in, "classes"), "classes")) out.classes.push_back(parse_class(item));
   for (const json& item : list(need(in, "kinds"), "kinds")) {
     if (!item.is_string()) bad("kinds", "holds something that is no text");
@@ -451,10 +454,10 @@
   }
   if (const json* zones = find(in, "zones"); zones != nullptr)
     out.zones = static_cast<unsigned>(list(*zones, "zones").size());
-  out.over_share_worth = number_or(in, "over-share-worth", 1);
+  out.over_quota_weight = number_or(in, "over-share-worth", 1);
   if (const json* prices = find(in, "prices"); prices != nullptr)
-    out.price_cross_zone = number_or(*prices, "cross-zone", 0);
-  out.ask_for_list = text_or(in, "membership-mode", "pushed") == "on_request";
+    out.cross_zone_cost = number_or(*prices, "cross-zone", 0);
+  out.polls_endpoint_list = text_or(in, "membership-mode", "pushed") == "on_request";
   parse_ceilings(need(in, "ceilings"), out);
   parse_safety(need(in, "safety"), out);
   parse_family(need(in, "family-info"), out);
@@ -464,7 +467,7 @@
 
 std::size_t frame_length(std::span<const std::uint8_t> first_bytes) {
   const std::size_t length = Bytes(first_bytes).take<std::uint32_t>();
-  if (length < kHeaderBytes || length > kMostFrameBytes)
+  if (length < kHeaderBytes || length > kMaxFrameBytes)
     throw Malformed("frame: a length of " + std::to_string(length) + " makes no sense");
   return length;
 }
@@ -513,11 +516,11 @@
         const auto number = in.take<std::uint32_t>();
         in.take<std::uint32_t>();
         if (mode > 3) throw Malformed("frame: unknown list mode " + std::to_string(mode));
-        Listing listing{static_cast<ListKind>(mode), {}};
-        if (listing.kind != ListKind::failed) {
+        EndpointList listing{static_cast<EndpointListKind>(mode), {}};
+        if (listing.kind != EndpointListKind::failed) {
           if (number >= lists_.size() || !known_[number])
             throw Malformed("frame: unknown list number " + std::to_string(number));
-          listing.engines = lists_[number];
+          listing.endpoints = lists_[number];
         }
         add(Event(std::move(listing)));
         break;
@@ -532,18 +535,18 @@
         add(Event(take_outcome(in)));
         break;
       case 60:
-        add(Event(ClientLeft{in.take<std::uint32_t>()}));
+        add(Event(RequestCancelled{in.take<std::uint32_t>()}));
         break;
       case 70:
         in.take<std::uint32_t>();
-        add(Event(Wake{}));
+        add(Event(TimerFired{}));
         break;
       case 80:
         add(Event(take_probe(in)));
         break;
       case 90: {
         const auto from = in.take<std::uint32_t>();
-        add(Event(PeerMessage{from, in.take_text(in.take<std::uint16_t>())}));
+        add(Event(GossipMessage{from, in.take_text(in.take<std::uint16_t>())}));
         break;
       }
       case 110:
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -11,12 +11,12 @@
 #include <variant>
 #include <vector>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 
 namespace bellstair::simulator {
 
 using policy::Action;
-using policy::EngineEntry;
+using policy::Endpoint;
 using policy::Event;
 using policy::Settings;
 using policy::Time;
@@ -45,7 +45,7 @@
 
 inline constexpr std::size_t kLengthBytes = 4;
 inline constexpr std::size_t kHeaderBytes = 20;
-inline constexpr std::size_t kMostFrameBytes = std::size_t{1} << 30;
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
 
 [[nodiscard]] Settings parse_settings(std::string_view json);
 [[nodiscard]] Settings settings_from(const nlohmann::json& in);
@@ -57,7 +57,7 @@
   [[nodiscard]] Batch read(std::span<const std::uint8_t> frame);
 
  private:
-  std::vector<std::vector<EngineEntry>> lists_ = std::vector<std::vector<EngineEntry>>(16);
+  std::vector<std::vector<Endpoint>> lists_ = std::vector<std::vector<Endpoint>>(16);
   std::vector<bool> known_ = std::vector<bool>(16, false);
 };
 
--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 
 namespace bellstair::policy::test {
 
@@ -14,31 +14,31 @@
 
 inline Settings plain_settings() {
   Settings s;
-  s.gateways = 1;
+  s.brokers = 1;
   s.max_attempts = 3;
-  s.retry_after = true;
+  s.sends_retry_after = true;
   s.max_retry_after = 500ms;
-  s.may_call_off = true;
+  s.may_cancel = true;
   s.kinds = {{"one", 4, 8192}, {"two", 4, 8192}};
   ClassSettings quick;
   quick.name = "quick";
-  quick.aim = 1s;
-  quick.give_up = 5s;
+  quick.latency_objective = 1s;
+  quick.client_timeout = 5s;
   ClassSettings once = quick;
   once.name = "once";
-  once.aim = 2s;
-  once.effect = Effect::unsafe;
+  once.latency_objective = 2s;
+  once.idempotency = Idempotency::not_idempotent;
   ClassSettings keyed = quick;
   keyed.name = "keyed";
-  keyed.aim = 3s;
-  keyed.effect = Effect::keyed;
-  keyed.group = RepeatGroup::zone;
-  keyed.window = 2s;
+  keyed.latency_objective = 3s;
+  keyed.idempotency = Idempotency::keyed;
+  keyed.deduplication_scope = DeduplicationScope::zone;
+  keyed.deduplication_window = 2s;
   s.classes = {quick, once, keyed};
-  s.cold_from = 0.4;
-  s.ramp_time = 10s;
-  s.tip_multiple = 2.5;
-  s.tip_window = 2s;
+  s.slow_start_capacity = 0.4;
+  s.slow_start_duration = 10s;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = 2s;
   s.drain_grace = 500ms;
   return s;
 }
@@ -52,40 +52,40 @@
     std::vector<Action> out;
     gateway.handle(now, events, out);
     for (const auto& action : out) {
-      if (const auto* send = std::get_if<Send>(&action)) sends.push_back(*send);
-      if (std::holds_alternative<WakeAfter>(action)) wake = now + std::get<WakeAfter>(action).delay;
-      if (const auto* refuse = std::get_if<Refuse>(&action)) ++refused[refuse->request];
+      if (const auto* send = std::get_if<SendAttempt>(&action)) sends.push_back(*send);
+      if (std::holds_alternative<ScheduleTimer>(action)) wake = now + std::get<ScheduleTimer>(action).delay;
+      if (const auto* refuse = std::get_if<Reject>(&action)) ++refused[refuse->request];
       if (const auto* fail = std::get_if<Fail>(&action)) ++failed[fail->request];
-      if (const auto* off = std::get_if<CallOff>(&action))
+      if (const auto* off = std::get_if<CancelAttempt>(&action))
         called_off.emplace_back(off->request, off->attempt);
     }
     return out;
   }
   // Lets the clock run; wakes come when they were asked for.
   void until(Time time) {
-    while (wake <= time) at(wake, {Wake{}});
+    while (wake <= time) at(wake, {TimerFired{}});
     at(time, {});
   }
-  void list(std::vector<EngineEntry> engines, ListKind kind = ListKind::full) {
-    at(now, {Listing{kind, std::move(engines)}});
+  void list(std::vector<Endpoint> engines, EndpointListKind kind = EndpointListKind::full) {
+    at(now, {EndpointList{kind, std::move(engines)}});
   }
   void ask(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
-    Arrival a;
+    RequestArrival a;
     a.request = id;
     a.cls = cls;
     a.time_left = left;
-    a.order_key = key;
+    a.ordering_key = key;
     a.data_group = group;
     at(now, {a});
   }
-  void ends(RequestId id, AttemptIndex n, EngineId engine, Result result, Time latency = 100ms) {
-    Outcome o;
+  void ends(RequestId id, AttemptIndex n, EngineId engine, AttemptResult result, Time latency = 100ms) {
+    AttemptOutcome o;
     o.request = id;
     o.attempt = n;
     o.engine = engine;
     o.result = result;
     o.latency = latency;
-    o.closed = result == Result::served;
+    o.request_closed = result == AttemptResult::served;
     at(now, {o});
   }
   [[nodiscard]] int sends_of(RequestId id) const {
@@ -98,16 +98,16 @@
   }
   [[nodiscard]] int answers(RequestId id) { return refused[id] + failed[id]; }
 
-  Gateway gateway;
+  Scheduler gateway;
   Time now{100s};
   Time wake{1000000s};
-  std::vector<Send> sends;
+  std::vector<SendAttempt> sends;
   std::map<RequestId, int> refused, failed;
   std::vector<std::pair<RequestId, AttemptIndex>> called_off;
 };
 
-inline EngineEntry engine(EngineId id, std::uint16_t zone = 0, std::uint16_t kind = 0) {
-  EngineEntry e;
+inline Endpoint engine(EngineId id, std::uint16_t zone = 0, std::uint16_t kind = 0) {
+  Endpoint e;
   e.engine = id;
   e.zone = zone;
   e.kind = kind;
@@ -115,7 +115,7 @@
   return e;
 }
 
-inline EngineEntry with_state(EngineEntry e, EngineState state) {
+inline Endpoint with_state(Endpoint e, EngineState state) {
   e.state = state;
   return e;
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -156,10 +156,10 @@
   policy::Settings settings;
   policy::ClassSettings lookup, load;
   lookup.name = "lookup";
-  lookup.give_up = std::chrono::seconds(2);
+  lookup.client_timeout = std::chrono::seconds(2);
   load.name = "load";
-  load.give_up = std::chrono::seconds(25);
-  load.effect = policy::Effect::keyed;
+  load.client_timeout = std::chrono::seconds(25);
+  load.idempotency = policy::Idempotency::keyed;
   settings.classes = {lookup, load};
   config::Names names;
   names.classes = {{"lookup", 0}, {"load", 1}};
@@ -169,16 +169,16 @@
   };
   const auto plain = map("SELECT a FROM sales_17.orders");
   EXPECT_EQ(plain.cls, 0);
-  EXPECT_EQ(plain.limit, std::chrono::seconds(2));
+  EXPECT_EQ(plain.time_limit, std::chrono::seconds(2));
   EXPECT_EQ(plain.data_group, 17);
   EXPECT_EQ(plain.tenant, 3U);
   const auto full =
       map("/* bellstair: class=load unique=?2 item=ff limit=900 */ INSERT INTO a_1.b VALUES (?, ?)",
           {std::int64_t{1}, "k-1"s}, {{"limit", std::int64_t{700}}, {"driver_name", "x"s}});
   EXPECT_EQ(full.cls, 1);
-  EXPECT_EQ(full.nonce, "k-1");
-  EXPECT_EQ(full.order_key, 255U);
-  EXPECT_EQ(full.limit, std::chrono::milliseconds(700));
+  EXPECT_EQ(full.idempotency_key, "k-1");
+  EXPECT_EQ(full.ordering_key, 255U);
+  EXPECT_EQ(full.time_limit, std::chrono::milliseconds(700));
   for (const auto* bad :
        {"INSERT INTO a_1.b VALUES (1)", "/* bellstair: class=load */ INSERT INTO a_1.b VALUES (1)",
         "/* bellstair: class=none */ SELECT 1", "/* bellstair: what=1 */ SELECT 1",
--- a/tests/control_client_test.cpp
+++ b/tests/control_client_test.cpp
@@ -31,7 +31,7 @@
     last = (dir / "last").string();
     // Stands in for a node: it welcomes whoever says Hello, and offers `newest`.
     node = std::make_unique<link::Hub>(
-        loop, link::Limits{control::kMostMessage, control::kMostMessage, 2 * control::kMostMessage}, 16,
+        loop, link::Limits{control::kMaxMessage, control::kMaxMessage, 2 * control::kMaxMessage}, 16,
         link::Hub::Handlers{.accepted = [this](link::ChannelId id) { broker = id; },
                             .connected = [](link::ChannelId) {},
                             .message = [this](link::ChannelId id, std::string_view body) { heard(id, body); },
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -161,7 +161,7 @@
       {R"({"kind":"status","node":"c","region":"","reign":{"epoch":0,"writer":""},"writes":true,)"
        R"("newest":{"epoch":0,"number":0},"digest":"","brokers":[7]})",
        "status.brokers[0]: not an object"},
-      {R"({"kind":"publish","text":")" + std::string(kMostDocument + 1, 'x') + "\"}",
+      {R"({"kind":"publish","text":")" + std::string(kMaxDocument + 1, 'x') + "\"}",
        "publish.text: 1048577 bytes"},
       {std::string(100'000, '['), "message: nested deeper"},
       {R"({"kind":"ping","x":[)" +
@@ -174,7 +174,7 @@
                         }()) +
            "]}",
        "message: "},
-      {std::string(kMostMessage + 1, ' '), "message: 4194305 bytes"},
+      {std::string(kMaxMessage + 1, ' '), "message: 4194305 bytes"},
   };
   for (const auto& [text, problem] : cases) {
     const auto error = error_of(text);
@@ -195,7 +195,7 @@
   EXPECT_EQ(clean("a\xFFz\xE2\x82", 9), "a?z??");
   EXPECT_EQ(clean("\xF0\x9F\x98\x80\xC0\xAF", 9), "\xF0\x9F\x98\x80??");
   const std::string long_problem(2000, '\xFF');
-  EXPECT_EQ(std::get<Report>(decode(encode(Report{{}, "", {}, long_problem}))).problem.size(), kMostProblem);
+  EXPECT_EQ(std::get<Report>(decode(encode(Report{{}, "", {}, long_problem}))).problem.size(), kMaxProblem);
   EXPECT_THROW((void)encode(Publish{"\xFF"}), Malformed);
 }
 
@@ -377,8 +377,8 @@
 TEST(ControlNode, ADocumentTooLongOnTheWireIsRejected) {
   NodeBench b;
   b.greet(kTool, b.hello(Role::tool, "tool"));
-  const Publish publish{std::string((kMostMessage - 40) / 6, '\x01')};  // six bytes each in JSON
-  ASSERT_LE(encode(publish).size(), kMostMessage);
+  const Publish publish{std::string((kMaxMessage - 40) / 6, '\x01')};  // six bytes each in JSON
+  ASSERT_LE(encode(publish).size(), kMaxMessage);
   const auto problem = sent<Rejected>(b.say(kTool, publish), kTool).at(0).problem;
   EXPECT_EQ(problem, "the document takes more than 4194304 bytes on the wire");
   EXPECT_TRUE(all_of<KeepVersion>(b.out).empty());
@@ -624,14 +624,14 @@
   NodeBench b;
   Hello hello = b.hello(Role::broker, "");
   b.greet(kBroker, b.hello(Role::broker, "stays"));
-  for (std::size_t i = 0; i < Node::kMostBrokers + 50; ++i) {
+  for (std::size_t i = 0; i < Node::kMaxBrokers + 50; ++i) {
     b.now += 1ms;
     hello.name = "b" + std::to_string(i);
     b.greet(100 + i, hello);
     b.node->closed(b.now, 100 + i, b.out);
   }
   const auto status = b.node->status(b.now);
-  EXPECT_EQ(status.brokers.size(), Node::kMostBrokers);
+  EXPECT_EQ(status.brokers.size(), Node::kMaxBrokers);
   std::set<std::string> names;
   for (const auto& broker : status.brokers) names.insert(broker.name);
   EXPECT_TRUE(names.contains("stays"));  // it is connected
@@ -641,7 +641,7 @@
 
 TEST(ControlNode, ConnectionsAreBounded) {
   NodeBench b;
-  for (PeerId id = 100; id < 100 + Node::kMostPeers; ++id) b.node->accepted(b.now, id, b.out);
+  for (PeerId id = 100; id < 100 + Node::kMaxPeers; ++id) b.node->accepted(b.now, id, b.out);
   b.out.clear();
   b.node->accepted(b.now, 50, b.out);
   EXPECT_TRUE(refused(b.out, 50, "full"));
@@ -654,14 +654,14 @@
   for (std::size_t i = 0; i < 4000; ++i) {
     const PeerId id = 100 + i;
     b.greet(id, b.hello(Role::broker, std::string(100, 'b') + std::to_string(i)));
-    b.say(id, Report{{3, 1}, std::string(64, 'a'), {3, 2}, std::string(kMostProblem, '"')});
+    b.say(id, Report{{3, 1}, std::string(64, 'a'), {3, 2}, std::string(kMaxProblem, '"')});
     b.node->closed(b.now, id, b.out);
   }
   b.greet(kTool, b.hello(Role::tool, "tool"));
   b.say(kTool, AskStatus{});
   const auto sends = all_of<Send>(b.out);
   ASSERT_EQ(sends.size(), 1U);
-  EXPECT_LE(sends[0].body.size(), kMostMessage);
+  EXPECT_LE(sends[0].body.size(), kMaxMessage);
   const auto status = std::get<Status>(decode(sends[0].body));
   EXPECT_EQ(status.brokers.size(), 4000U);
   EXPECT_EQ(status.brokers[0].problem, std::string(40, '"'));
@@ -834,7 +834,7 @@
     tried.push_back(b.dialled());
   }
   EXPECT_EQ(std::set<std::string>(tried.begin(), tried.end()).size(), 4U);
-  Time span = Subscriber::kLeastWait;
+  Time span = Subscriber::kMinWait;
   std::set<Time> waits;
   for (int round = 0; round < 8; ++round) {
     b.out.clear();
@@ -849,7 +849,7 @@
     EXPECT_GE(waited + 1ms, span / 2);
     EXPECT_LE(waited, span);
     waits.insert(waited);
-    span = std::min(2 * span, Subscriber::kMostWait);
+    span = std::min(2 * span, Subscriber::kMaxWait);
   }
   EXPECT_GE(waits.size(), 7U);  // drawn, not fixed
   b.connect();
@@ -858,7 +858,7 @@
   EXPECT_EQ(sent<Ping>(b.tick(Subscriber::kPing)).size(), 1U);
   EXPECT_TRUE(says(b.tick(Subscriber::kSilence - Subscriber::kPing), ": silent"));
   EXPECT_EQ(all_of<HangUp>(b.out).size(), 1U);
-  b.tick(Subscriber::kLeastWait);
+  b.tick(Subscriber::kMinWait);
   EXPECT_NE(b.dialled(), b.options.nodes[*on].name);
 }
 
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -8,7 +8,7 @@
 
 Settings copying() {
   Settings s = plain_settings();
-  s.second_copies = true;
+  s.hedging = true;
   return s;
 }
 
@@ -16,7 +16,7 @@
 void warm_up(Drive& d, ClassIndex cls = 0) {
   for (RequestId id = 1; id <= 20; ++id) {
     d.ask(id, cls);
-    d.ends(id, 0, d.sends.back().engine, Result::served);
+    d.ends(id, 0, d.sends.back().engine, AttemptResult::served);
   }
 }
 
@@ -30,7 +30,7 @@
 TEST(Copies, AnAttemptFarOverdueGetsOneElsewhereOnlyWhereAllowed) {
   for (const bool allowed : {true, false}) {
     Settings s = copying();
-    s.second_copies = allowed;
+    s.hedging = allowed;
     Drive d(s);
     d.list({engine(7), engine(8)});
     warm_up(d);
@@ -51,10 +51,10 @@
     d.ask(50, 0);
     d.until(d.now + 500ms);
     ASSERT_EQ(d.sends_of(50), 2);
-    d.ends(50, first, engine_of(d, 50, first), Result::served);
+    d.ends(50, first, engine_of(d, 50, first), AttemptResult::served);
     const std::vector<std::pair<RequestId, AttemptIndex>> other{{50, static_cast<AttemptIndex>(1 - first)}};
     EXPECT_EQ(d.called_off, other);
-    d.ends(50, other[0].second, engine_of(d, 50, other[0].second), Result::called_off);
+    d.ends(50, other[0].second, engine_of(d, 50, other[0].second), AttemptResult::cancelled);
     d.until(d.now + 6s);
     EXPECT_EQ(d.sends_of(50), 2);
     EXPECT_EQ(d.answers(50), 0) << "the client has its answer";
@@ -62,7 +62,8 @@
 }
 
 TEST(Copies, OneThatFailsNeitherEndsNorHoldsTheRequestWhileTheOtherRuns) {
-  for (const auto result : {Result::error, Result::reset, Result::turned_away, Result::called_off}) {
+  for (const auto result :
+       {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected, AttemptResult::cancelled}) {
     Settings s = copying();
     s.max_attempts = 2;
     Drive d(s);
@@ -73,9 +74,9 @@
     ASSERT_EQ(d.sends_of(50), 2);
     d.ends(50, 1, engine_of(d, 50, 1), result);
     EXPECT_EQ(d.answers(50), 0);
-    EXPECT_EQ(d.gateway.view(0).queued, 0U);
-    EXPECT_EQ(d.gateway.view(0).running, 1U);
-    d.ends(50, 0, engine_of(d, 50, 0), Result::error);
+    EXPECT_EQ(d.gateway.class_status(0).queued, 0U);
+    EXPECT_EQ(d.gateway.class_status(0).running, 1U);
+    d.ends(50, 0, engine_of(d, 50, 0), AttemptResult::error);
     EXPECT_EQ(d.answers(50), 1) << "no attempt is left";
   }
 }
@@ -100,7 +101,7 @@
   warm_up(d, 1);
   for (RequestId id = 21; id <= 40; ++id) {
     d.ask(id, 2);
-    d.ends(id, 0, d.sends.back().engine, Result::served);
+    d.ends(id, 0, d.sends.back().engine, AttemptResult::served);
   }
   d.ask(50, 1);
   d.ask(51, 2);
@@ -130,12 +131,12 @@
   EXPECT_EQ(further, 1U) << "a fifth of eight queries' work";
 }
 
-Arrival estimated(RequestId id, Time cost, double memory_mb = 0) {
-  Arrival a;
+RequestArrival estimated(RequestId id, Time cost, double memory_mb = 0) {
+  RequestArrival a;
   a.request = id;
   a.time_left = 5s;
-  a.cost = cost;
-  a.memory_mb = memory_mb;
+  a.estimated_work = cost;
+  a.estimated_memory_mb = memory_mb;
   return a;
 }
 
@@ -143,19 +144,19 @@
 TEST(Sizes, InACrowdTheLargestAreRefusedFirst) {
   Settings s = plain_settings();
   s.classes.resize(1);
-  s.load_fields = {LoadField::inflight};
+  s.load_report_fields = {LoadReportField::inflight};
   Drive d(s);
   d.list({engine(7), engine(8)});
   const auto play = [&d](RequestId from, double inflight) {
     for (RequestId id = from; id < from + 60; ++id) {
       d.at(d.now, {estimated(id, 100ms)});
       if (d.sends_of(id) == 1) {
-        Outcome o;
+        AttemptOutcome o;
         o.request = id;
         o.engine = engine_of(d, id, 0);
         o.latency = 100ms;
-        o.closed = true;
-        o.load = {inflight};
+        o.request_closed = true;
+        o.load_report = {inflight};
         d.at(d.now, {o});
       }
       d.until(d.now + 100ms);
@@ -164,7 +165,7 @@
   play(1, 1);
   d.at(d.now, {estimated(500, 400ms)});
   EXPECT_EQ(d.answers(500), 0) << "no crowd";
-  d.ends(500, 0, engine_of(d, 500, 0), Result::served);
+  d.ends(500, 0, engine_of(d, 500, 0), AttemptResult::served);
   play(101, 5.5);
   d.at(d.now, {estimated(501, 400ms), estimated(502, 100ms)});
   EXPECT_EQ(d.answers(501), 1);
@@ -176,7 +177,7 @@
   d.list({engine(7), engine(8)});
   for (RequestId id = 1; id <= 40; ++id) {
     d.at(d.now, {estimated(id, 100ms)});
-    d.ends(id, 0, engine_of(d, id, 0), Result::served, 400ms);
+    d.ends(id, 0, engine_of(d, id, 0), AttemptResult::served, 400ms);
   }
   d.at(d.now, {estimated(50, 3s)});
   EXPECT_EQ(d.refused[50], 1);
@@ -187,16 +188,17 @@
   for (const Time cost : {100ms, 2000ms}) {
     Settings s = plain_settings();
     s.classes.resize(1);
-    s.classes[0].give_up = 60s;
+    s.classes[0].client_timeout = 60s;
     Drive d(s);
     d.list({engine(7)});
     for (RequestId id = 1; id <= 40; ++id) {
       d.at(d.now, {estimated(id, 100ms)});
-      d.ends(id, 0, engine_of(d, id, 0), Result::served);
+      d.ends(id, 0, engine_of(d, id, 0), AttemptResult::served);
     }
-    d.until(d.now + s.tip_window);  // in its first one a process sends nothing to a cold engine
+    d.until(d.now +
+            s.slow_start_overload_window);  // in its first one a process sends nothing to a cold engine
     auto cold = engine(8);
-    cold.last_start = d.now;
+    cold.started_at = d.now;
     d.list({cold});
     d.until(d.now + 1s);
     auto asked = estimated(50, cost);
@@ -212,21 +214,21 @@
 TEST(Sizes, SmallQueriesAreChargedTheirClasssUsualWorkOnColdEngines) {
   Settings s = plain_settings();
   s.classes.resize(1);
-  s.gateways = 20;
+  s.brokers = 20;
   Drive d(s);
   d.list({engine(7)});
   const auto ask = [&d](RequestId id) {  // one in five is large, and is never served; 100 ms on average
     const Time work = id % 5 == 0 ? 400ms : 25ms;
     d.at(d.now, {estimated(id, work)});
-    if (d.sends_of(id) == 0) return d.at(d.now, {ClientLeft{id}});
-    if (id % 5 != 0) d.ends(id, 0, engine_of(d, id, 0), Result::served, work);
-    if (id % 5 == 0) d.at(d.now, {ClientLeft{id}});
-    if (id % 5 == 0) d.ends(id, 0, engine_of(d, id, 0), Result::called_off);
+    if (d.sends_of(id) == 0) return d.at(d.now, {RequestCancelled{id}});
+    if (id % 5 != 0) d.ends(id, 0, engine_of(d, id, 0), AttemptResult::served, work);
+    if (id % 5 == 0) d.at(d.now, {RequestCancelled{id}});
+    if (id % 5 == 0) d.ends(id, 0, engine_of(d, id, 0), AttemptResult::cancelled);
     return std::vector<Action>{};
   };
   for (RequestId id = 1; id <= 200; ++id) ask(id);
   auto cold = engine(8);
-  cold.last_start = d.now;
+  cold.started_at = d.now;
   d.list({cold});
   for (RequestId id = 1000; id < 3000; ++id) {
     d.until(d.now + 5ms);
@@ -246,7 +248,7 @@
     d.list({engine(7)});
     for (RequestId id = 1; id <= 60; ++id) {
       d.at(d.now, {estimated(id, 100ms)});
-      d.ends(id, 0, engine_of(d, id, 0), Result::served, 250ms);
+      d.ends(id, 0, engine_of(d, id, 0), AttemptResult::served, 250ms);
     }
     d.list({});
     d.at(d.now, {estimated(70, cost)});
@@ -260,18 +262,18 @@
   for (const bool slow : {false, true}) {
     Settings s = plain_settings();
     s.classes.resize(1);
-    s.over_share_worth = 0.1;
+    s.over_quota_weight = 0.1;
     s.tenants = {{"calm", 0.5, 5}, {"flood", 0.5, 5}};
     Drive d(s);
     d.list({engine(7), engine(8)});
     RequestId id = 0;
     const auto ask = [&](std::uint32_t tenant, Time took) {
-      Arrival a;
+      RequestArrival a;
       a.request = ++id;
       a.tenant = tenant;
       a.time_left = 5s;
       d.at(d.now, {a});
-      if (d.sends_of(id) == 1) d.ends(id, 0, engine_of(d, id, 0), Result::served, took);
+      if (d.sends_of(id) == 1) d.ends(id, 0, engine_of(d, id, 0), AttemptResult::served, took);
     };
     for (int n = 0; n < 60; ++n) {
       ask(0, 100ms);
@@ -288,9 +290,9 @@
   d.ask(1, 0);
   d.ask(2, 0);
   d.list({engine(7), engine(8)});
-  d.ends(2, 0, 7, Result::turned_away);
+  d.ends(2, 0, 7, AttemptResult::rejected);
   EXPECT_EQ(d.called_off, (std::vector<std::pair<RequestId, AttemptIndex>>{{1, 0}}));
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 8) << "of the other engine";
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 8) << "of the other engine";
 }
 
 // Lost answers passed for running queries until their deadlines; the level that all gateways go by rose, and
@@ -298,32 +300,32 @@
 TEST(Copies, InACrowdAnOverdueAttemptIsMovedThoughNoCopyIsSent) {
   for (const bool noted : {false, true}) {  // an attempt that gave notes runs
     Settings s = copying();
-    s.progress_pace = 10s;
-    s.load_fields = {LoadField::inflight};
+    s.progress_interval = 10s;
+    s.load_report_fields = {LoadReportField::inflight};
     Drive d(s);
     d.list({engine(7), engine(8)});
     for (RequestId id = 1; id <= 40; ++id) {
       d.ask(id, 0);
-      Outcome o;
+      AttemptOutcome o;
       o.request = id;
       o.engine = d.sends.back().engine;
       o.latency = 100ms;
-      o.closed = true;
-      o.load = {7};
+      o.request_closed = true;
+      o.load_report = {7};
       d.at(d.now, {o});
     }
     d.ask(50, 0);
     ASSERT_EQ(d.sends_of(50), 1);
     d.until(d.now + 100ms);
-    if (noted) d.at(d.now, {Note{50, 0, d.sends.back().engine, NoteKind::progress, 0.5}});
+    if (noted) d.at(d.now, {AttemptProgress{50, 0, d.sends.back().engine, ProgressKind::progress, 0.5}});
     d.until(d.now + 380ms);
     EXPECT_TRUE(d.called_off.empty());
     d.until(d.now + 250ms);
     EXPECT_EQ(d.sends_of(50), 1) << "no copy";
     EXPECT_EQ(d.called_off.size(), noted ? 0U : 1U);
     if (noted) continue;
-    d.ends(50, 0, engine_of(d, 50, 0), Result::called_off);
-    EXPECT_EQ(d.sends_of(50) + static_cast<int>(d.gateway.view(0).queued), 2)
+    d.ends(50, 0, engine_of(d, 50, 0), AttemptResult::cancelled);
+    EXPECT_EQ(d.sends_of(50) + static_cast<int>(d.gateway.class_status(0).queued), 2)
         << "sent again, or held for room";
   }
 }
@@ -331,7 +333,7 @@
 TEST(Sizes, OfLaterClassesSmallerQueriesGetPriority) {
   Settings s = plain_settings();
   s.priorities = true;
-  s.classes[1].effect = Effect::safe;
+  s.classes[1].idempotency = Idempotency::idempotent;
   Drive d(s);
   d.list({engine(7), engine(8)});
   std::vector<int> priorities;
@@ -339,8 +341,8 @@
     auto asked = estimated(id, cost);
     asked.cls = 1;
     for (const auto& action : d.at(d.now, {asked}))
-      if (const auto* terms = std::get_if<Terms>(&action)) priorities.push_back(terms->priority);
-    d.ends(id, 0, engine_of(d, id, 0), Result::served);
+      if (const auto* terms = std::get_if<AttemptTerms>(&action)) priorities.push_back(terms->priority);
+    d.ends(id, 0, engine_of(d, id, 0), AttemptResult::served);
   };
   for (RequestId id = 1; id <= 30; ++id) ask(id, 100ms);
   priorities.clear();
@@ -352,22 +354,22 @@
 
 TEST(Grants, EstimatesAreSetRightByWhatAnswersTell) {
   Settings s = plain_settings();
-  s.grants = true;
-  s.shortage = Shortage::overcommit;
+  s.memory_grants = true;
+  s.memory_shortage = MemoryShortage::overcommit;
   Drive d(s);
   d.list({engine(7), engine(8)});
   double granted = 0;
   for (RequestId id = 1; id <= 100; ++id) {
     for (const auto& action : d.at(d.now, {estimated(id, 100ms, 50)}))
-      if (const auto* terms = std::get_if<Terms>(&action)) granted = terms->memory_mb;
+      if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
     if (id == 1) {
       EXPECT_NEAR(granted, 100, 1) << "nothing told yet: twice the estimate";
     }
-    Outcome o;
+    AttemptOutcome o;
     o.request = id;
     o.engine = engine_of(d, id, 0);
     o.latency = 100ms;
-    o.closed = true;
+    o.request_closed = true;
     o.work = 100ms;
     o.memory_mb = 150;
     d.at(d.now, {o});
@@ -378,30 +380,30 @@
 // The need of queries without an estimate was set against an estimate of nothing: a grant without end.
 TEST(Grants, AnEstimateAfterAnswersToQueriesWithoutOneIsTakenAsItIs) {
   Settings s = plain_settings();
-  s.grants = true;
-  s.shortage = Shortage::overcommit;
+  s.memory_grants = true;
+  s.memory_shortage = MemoryShortage::overcommit;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 0);
-  Outcome o;
+  AttemptOutcome o;
   o.request = 1;
   o.engine = d.sends.back().engine;
   o.latency = 100ms;
-  o.closed = true;
+  o.request_closed = true;
   o.work = 100ms;
   o.memory_mb = 150;
   d.at(d.now, {o});
   double granted = 0;
   for (const auto& action : d.at(d.now, {estimated(2, 100ms, 50)}))
-    if (const auto* terms = std::get_if<Terms>(&action)) granted = terms->memory_mb;
+    if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
   EXPECT_NEAR(granted, 100, 1);
 }
 
 // Queries that stood in an engine's line gave notes all the time, and the engine was rested as silent.
 TEST(Notes, WhoGivesThemIsNotSilentAndAnAttemptWithoutThemIsLost) {
   Settings s = plain_settings();
-  s.progress_pace = 1s;
-  s.classes[0].give_up = 30s;
+  s.progress_interval = 1s;
+  s.classes[0].client_timeout = 30s;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0, 30s);
@@ -409,11 +411,12 @@
   for (int second = 1; second <= 4; ++second) {
     d.until(d.now + 1s);
     std::vector<Event> notes;
-    for (RequestId id = 1; id <= 3; ++id) notes.push_back(Note{id, 0, 7, NoteKind::waiting, 1});
+    for (RequestId id = 1; id <= 3; ++id)
+      notes.push_back(AttemptProgress{id, 0, 7, ProgressKind::waiting, 1});
     d.at(d.now, notes);
   }
   EXPECT_EQ(d.called_off, (std::vector<std::pair<RequestId, AttemptIndex>>{{4, 0}}));
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 16) << "the engine is well";
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 16) << "the engine is well";
 }
 
 }  // namespace
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -15,16 +15,16 @@
   auto s = test::small_settings();
   auto once = s.classes[0];
   once.name = "once";
-  once.effect = policy::Effect::unsafe;
+  once.idempotency = policy::Idempotency::not_idempotent;
   s.classes.push_back(once);
   auto keyed = once;
   keyed.name = "keyed";
-  keyed.effect = policy::Effect::keyed;
-  keyed.window = 2s;
+  keyed.idempotency = policy::Idempotency::keyed;
+  keyed.deduplication_window = 2s;
   s.classes.push_back(keyed);
-  for (auto& cls : s.classes) cls.give_up = 20s;
+  for (auto& cls : s.classes) cls.client_timeout = 20s;
   s.max_attempts = 4;
-  s.may_call_off = s.retry_after = true;
+  s.may_cancel = s.sends_retry_after = true;
   s.max_retry_after = 500ms;
   s.priorities = true;
   return s;
@@ -33,20 +33,20 @@
 // One of so many gateways that its turns at a cold engine are rare.
 policy::Settings cold_settings() {
   auto s = settings();
-  s.gateways = 100'000;
-  s.tip_multiple = 2.5;
-  s.tip_window = 1s;
-  s.cold_from = 0.4;
-  s.ramp_time = 10s;
+  s.brokers = 100'000;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = 1s;
+  s.slow_start_capacity = 0.4;
+  s.slow_start_duration = 10s;
   return s;
 }
 
 class Driven {
  public:
   explicit Driven(policy::Settings s = settings()) : with(std::move(s)) {
-    at(0ms, Listening{});
-    at(0ms, FleetChange{true, {member(7)}, true});
-    at(0ms, FleetQuiet{true});
+    at(0ms, ListenersReady{});
+    at(0ms, EndpointUpdate{true, {member(7)}, true});
+    at(0ms, EndpointListPolled{true});
     at(0ms, Tick{});
   }
   void at(Time after, Event event) {
@@ -57,13 +57,13 @@
   void pass(Time time) {
     for (const Time end = now + time; now < end;) at(std::min<Time>(5ms, end - now), Tick{});
   }
-  void ask(Client client, ClassIndex cls = 0, Time limit = 2s) {
+  void ask(ClientHandle client, ClassIndex cls = 0, Time limit = 2s) {
     Submission asked;
     asked.client = client;
     asked.cls = cls;
-    asked.limit = limit;
+    asked.time_limit = limit;
     asked.body = "SELECT 1";
-    at(10ms, Arrived{asked});
+    at(10ms, RequestReceived{asked});
   }
   template <class T>
   std::vector<T> all() const {
@@ -139,7 +139,7 @@
   const auto started = d.all<StartAttempt>();
   ASSERT_EQ(started.size(), 1U);
   EXPECT_TRUE(d.all<Transmit>().empty());  // not before there is a connection
-  d.at(1ms, AttemptReady{started[0].id});
+  d.at(1ms, AttemptConnected{started[0].id});
   ASSERT_EQ(d.all<Transmit>().size(), 1U);
   d.finish(started[0].id, AttemptEnd::served, "rows");
   d.finish(started[0].id, AttemptEnd::served, "again");
@@ -156,10 +156,10 @@
   Driven d;
   d.ask(1);
   const auto id = d.all<StartAttempt>().at(0).id;
-  d.at(1ms, FleetChange{false, {member(7, EngineState::draining), member(8)}, true});
-  d.at(1ms, AttemptReady{id});
+  d.at(1ms, EndpointUpdate{false, {member(7, EngineState::draining), member(8)}, true});
+  d.at(1ms, AttemptConnected{id});
   EXPECT_TRUE(d.all<Transmit>().empty());
-  ASSERT_EQ(d.all<Abandon>().size(), 1U);
+  ASSERT_EQ(d.all<CancelAttempt>().size(), 1U);
   d.finish(id, AttemptEnd::expired);
   d.pass(50ms);
   ASSERT_EQ(d.all<StartAttempt>().size(), 2U);
@@ -169,25 +169,25 @@
 TEST(Reducer, ASilentEngineMeansAnAnswerBeforeTheDeadline) {
   Driven d;
   d.ask(1, 1, 2s);
-  d.at(1ms, AttemptReady{d.all<StartAttempt>().at(0).id});
+  d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
   d.pass(1900ms);
   EXPECT_TRUE(d.all<Answer>().empty());
   d.pass(90ms);
   ASSERT_EQ(d.all<Answer>().size(), 1U);
   EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::timed_out);  // not refused: it may have run
-  EXPECT_EQ(d.all<Abandon>().size(), 1U);
+  EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
   EXPECT_EQ(d.reducer.owed(), 0U);
   EXPECT_EQ(d.reducer.held(), 1U);  // until the engine has been told
-  d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::withdrawn);
+  d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::cancelled);
   EXPECT_EQ(d.reducer.held(), 0U);
 }
 
 TEST(Reducer, AfterACancelNothingIsOwed) {
   Driven d;
   d.ask(1);
-  d.at(1ms, AttemptReady{d.all<StartAttempt>().at(0).id});
-  d.at(10ms, Cancelled{1});
-  EXPECT_EQ(d.all<Abandon>().size(), 1U);
+  d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
+  d.at(10ms, ClientCancelled{1});
+  EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
   d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::served, "too late");
   d.pass(3s);
   EXPECT_TRUE(d.all<Answer>().empty());
@@ -198,19 +198,19 @@
   for (const ClassIndex cls : {ClassIndex{0}, ClassIndex{1}}) {
     for (const bool out : {false, true}) {
       Driven d;
-      d.at(0ms, FleetChange{false, {member(8)}, true});
+      d.at(0ms, EndpointUpdate{false, {member(8)}, true});
       d.ask(1, cls, 20s);
       const auto id = d.all<StartAttempt>().at(0).id;
-      if (out) d.at(1ms, AttemptReady{id});
-      d.at(1ms, HalfClosed{1});
+      if (out) d.at(1ms, AttemptConnected{id});
+      d.at(1ms, ClientHalfClosed{1});
       EXPECT_EQ(d.all<Answer>().size(), out ? 0U : 1U);
-      EXPECT_EQ(d.all<Abandon>().size(), out ? 0U : 1U);
-      d.at(1ms, AttemptReady{id});  // late
+      EXPECT_EQ(d.all<CancelAttempt>().size(), out ? 0U : 1U);
+      d.at(1ms, AttemptConnected{id});  // late
       d.finish(id, out ? AttemptEnd::reset : AttemptEnd::expired);
       d.pass(1s);
       ASSERT_EQ(d.all<Answer>().size(), 1U);
       const bool may_have_run = out && cls == 1;
-      EXPECT_EQ(d.all<Answer>()[0].kind, may_have_run ? AnswerKind::failed : AnswerKind::refused);
+      EXPECT_EQ(d.all<Answer>()[0].kind, may_have_run ? AnswerKind::failed : AnswerKind::rejected);
       EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
       EXPECT_EQ(d.all<Transmit>().size(), out ? 1U : 0U);
       EXPECT_EQ(d.reducer.held(), 0U);
@@ -222,19 +222,19 @@
 TEST(Reducer, AHalfClosedRequestGetsNoSecondCopy) {
   for (const bool half_closed : {false, true}) {
     auto s = settings();
-    s.second_copies = true;
+    s.hedging = true;
     Driven d(s);
-    d.at(0ms, FleetChange{false, {member(8)}, true});
-    for (Client client = 10; client < 30; ++client) {  // what saves up work for copies
+    d.at(0ms, EndpointUpdate{false, {member(8)}, true});
+    for (ClientHandle client = 10; client < 30; ++client) {  // what saves up work for copies
       d.ask(client);
       const auto id = d.all<StartAttempt>().back().id;
-      d.at(1ms, AttemptReady{id});
+      d.at(1ms, AttemptConnected{id});
       d.finish(id, AttemptEnd::served);
     }
     d.effects.clear();
     d.ask(1, 0, 20s);
-    d.at(1ms, AttemptReady{d.all<StartAttempt>().at(0).id});
-    if (half_closed) d.at(1ms, HalfClosed{1});
+    d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
+    if (half_closed) d.at(1ms, ClientHalfClosed{1});
     d.pass(3s);
     EXPECT_EQ(d.all<StartAttempt>().size() == 1, half_closed);
   }
@@ -244,16 +244,16 @@
 TEST(Reducer, ARepeatWhoseConnectionComesAfterItsKeysWindowIsNotSent) {
   for (const auto& [wait, sent] : {std::pair<Time, std::size_t>{100ms, 2}, {1900ms, 1}}) {
     Driven d;
-    d.at(0ms, FleetChange{false, {member(8)}, true});
+    d.at(0ms, EndpointUpdate{false, {member(8)}, true});
     d.ask(1, 2, 20s);
     const auto first = d.all<StartAttempt>().at(0).id;
-    d.at(1ms, AttemptReady{first});
+    d.at(1ms, AttemptConnected{first});
     d.at(100ms, Tick{});
     d.finish(first, AttemptEnd::reset);
     d.pass(10ms);
     ASSERT_EQ(d.all<StartAttempt>().size(), 2U);
     d.pass(wait);
-    d.at(1ms, AttemptReady{d.all<StartAttempt>()[1].id});
+    d.at(1ms, AttemptConnected{d.all<StartAttempt>()[1].id});
     EXPECT_EQ(d.all<Transmit>().size(), sent);
   }
 }
@@ -262,17 +262,17 @@
 TEST(Reducer, AStartThatIsToldAgainIsTheSameStart) {
   for (const Time off : {Time(0s), Time(-1h), Time(1h)}) {
     auto s = settings();
-    s.gateways = 1000;  // whose turns at a cold engine are rare
-    s.tip_multiple = 2.5;
-    s.tip_window = 1s;
-    s.cold_from = 0.4;
-    s.ramp_time = 10s;
+    s.brokers = 1000;  // whose turns at a cold engine are rare
+    s.slow_start_overload_factor = 2.5;
+    s.slow_start_overload_window = 1s;
+    s.slow_start_capacity = 0.4;
+    s.slow_start_duration = 10s;
     Driven d(s);
     auto engine = member(7);
-    engine.started = d.now + off;
-    d.at(1ms, FleetChange{true, {engine}, true});
+    engine.started_unix = d.now + off;
+    d.at(1ms, EndpointUpdate{true, {engine}, true});
     d.pass(11s);
-    d.at(1ms, FleetChange{true, {engine}, true});
+    d.at(1ms, EndpointUpdate{true, {engine}, true});
     d.ask(1);
     EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
   }
@@ -284,24 +284,24 @@
 std::size_t calls_at_newcomer(Time off) {
   auto s = settings();
   s.classes.resize(1);
-  s.classes[0].aim = 4s;
-  s.tip_multiple = 2.5;
-  s.tip_window = 1s;
-  s.cold_from = 0.33;
-  s.ramp_time = 15s;
+  s.classes[0].latency_objective = 4s;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = 1s;
+  s.slow_start_capacity = 0.33;
+  s.slow_start_duration = 15s;
   Driven d(s);
   d.pass(3s);
   auto newcomer = member(8);
-  newcomer.started = d.now - off - 200ms;
-  d.at(1ms, FleetChange{false, {newcomer, member(7, EngineState::draining)}, true});
+  newcomer.started_unix = d.now - off - 200ms;
+  d.at(1ms, EndpointUpdate{false, {newcomer, member(7, EngineState::draining)}, true});
   std::size_t calls = 0, seen = 0;
-  for (Client client = 1; client <= 250; ++client) {
+  for (ClientHandle client = 1; client <= 250; ++client) {
     d.ask(client);
     d.pass(10ms);
     const auto attempts = d.all<StartAttempt>();
     for (; seen < attempts.size(); ++seen) {
       if (attempts[seen].engine == 8) ++calls;
-      d.at(0ms, AttemptReady{attempts[seen].id});
+      d.at(0ms, AttemptConnected{attempts[seen].id});
       d.finish(attempts[seen].id, AttemptEnd::served, "rows");
     }
   }
@@ -346,12 +346,12 @@
   for (const Time off : {Time(-1h), Time(1h)}) {
     Driven d(cold_settings());
     auto known = member(8), newcomer = member(9, EngineState::draining);
-    known.started = d.now - off - 1s;
-    d.at(0ms, FleetChange{true, {known}, false});
+    known.started_unix = d.now - off - 1s;
+    d.at(0ms, EndpointUpdate{true, {known}, false});
     d.pass(1s);
-    newcomer.started = d.now - off;
-    d.at(1ms, FleetChange{false, {newcomer}, true});
-    d.at(0ms, FleetQuiet{true});
+    newcomer.started_unix = d.now - off;
+    d.at(1ms, EndpointUpdate{false, {newcomer}, true});
+    d.at(0ms, EndpointListPolled{true});
     d.pass(1s);
     d.ask(1);
     EXPECT_TRUE(d.all<StartAttempt>().empty()) << "it is cold";
@@ -364,19 +364,19 @@
 // What was read after a stall may have come when it began: the client's time runs from there.
 TEST(Reducer, ARequestsTimeRunsFromWhenItMayHaveCome) {
   Driven d(settings());
-  d.at(0ms, FleetChange{true, {member(8)}, false});
-  d.at(0ms, FleetQuiet{true});
-  d.at(0ms, Stalled{d.now - 700ms, 700ms});
+  d.at(0ms, EndpointUpdate{true, {member(8)}, false});
+  d.at(0ms, EndpointListPolled{true});
+  d.at(0ms, ProcessStalled{d.now - 700ms, 700ms});
   EXPECT_EQ(d.reducer.counters().stalls, 1U);
-  Arrived arrived;
-  arrived.asked.client = 1;
-  arrived.asked.limit = 1500ms;
+  RequestReceived arrived;
+  arrived.submission.client = 1;
+  arrived.submission.time_limit = 1500ms;
   arrived.since = d.now - 700ms;
   d.at(0ms, arrived);
   d.pass(50ms);
   const auto started = d.all<StartAttempt>();
   ASSERT_EQ(started.size(), 1U);
-  d.at(0ms, AttemptReady{started[0].id});
+  d.at(0ms, AttemptConnected{started[0].id});
   const auto sent = d.all<Transmit>();
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_LE(sent[0].wait, 800ms);
@@ -389,10 +389,10 @@
 TEST(Reducer, AnAnswerThatFellDueInAStallIsNoViolation) {
   for (const bool stalled : {true, false}) {
     Driven d(settings());
-    d.at(0ms, FleetQuiet{true});
+    d.at(0ms, EndpointListPolled{true});
     d.ask(1, 0, 500ms);
     d.now += 2s;
-    if (stalled) d.at(0ms, Stalled{d.now - 2s, 2s});
+    if (stalled) d.at(0ms, ProcessStalled{d.now - 2s, 2s});
     d.at(0ms, Tick{});
     EXPECT_EQ(d.all<Answer>().size(), 1U);
     EXPECT_EQ(d.reducer.counters().all_violations(), stalled ? 0U : 1U);
@@ -402,12 +402,12 @@
 // The process stops again before it has come to what fell due in its first stop.
 TEST(Reducer, StallsThatFollowEachOtherCountAsOneForWhatFellDue) {
   Driven d(settings());
-  d.at(0ms, FleetQuiet{true});
+  d.at(0ms, EndpointListPolled{true});
   d.ask(1, 0, 500ms);
   const Time before = d.now;
-  d.at(2s, Stalled{before, 2s});
-  d.at(100ms, Stalled{before + 2s, 100ms});
-  d.at(0ms, Stalled{before + 1s, 500ms});  // told late
+  d.at(2s, ProcessStalled{before, 2s});
+  d.at(100ms, ProcessStalled{before + 2s, 100ms});
+  d.at(0ms, ProcessStalled{before + 1s, 500ms});  // told late
   d.at(0ms, Tick{});
   EXPECT_EQ(d.all<Answer>().size(), 1U);
   EXPECT_EQ(d.reducer.counters().all_violations(), 0U);
@@ -420,10 +420,10 @@
     for (const bool older : {false, true}) {
       Driven d(cold_settings());
       auto newest = member(8, older ? EngineState::draining : EngineState::ready), other = member(9);
-      newest.started = d.now - off - 200ms;
-      other.started = newest.started - 11s;
-      d.at(0ms, FleetChange{true, older ? std::vector{newest, other} : std::vector{newest}, false});
-      d.at(0ms, FleetQuiet{true});
+      newest.started_unix = d.now - off - 200ms;
+      other.started_unix = newest.started_unix - 11s;
+      d.at(0ms, EndpointUpdate{true, older ? std::vector{newest, other} : std::vector{newest}, false});
+      d.at(0ms, EndpointListPolled{true});
       d.pass(1s);
       d.ask(1);
       EXPECT_EQ(d.all<StartAttempt>().size(), older ? 1U : 0U) << "off by " << off / 1s << " s";
@@ -434,14 +434,14 @@
 // What is read while the program writes its last answers could not be finished: it was sent on, and lost.
 TEST(Reducer, WhatComesOnceTheProgramStopsIsRefusedAndNotBegun) {
   Driven d;
-  d.at(1ms, StopAsked{});
+  d.at(1ms, ShutdownRequested{});
   d.at(Lifecycle::kLinger, Tick{true});
   ASSERT_EQ(d.reducer.lifecycle().phase(), Phase::stopping);
-  EXPECT_EQ(d.all<CloseFronts>().size(), 1U);
+  EXPECT_EQ(d.all<CloseClientConnections>().size(), 1U);
   d.ask(1);
   d.pass(1s);
   ASSERT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::refused);
+  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::rejected);
   EXPECT_TRUE(d.all<StartAttempt>().empty());
 }
 
@@ -449,19 +449,19 @@
 TEST(Reducer, WhatMemoryCannotHoldIsRefused) {
   Effects effects;
   Reducer reducer(settings(), 1, 4000);
-  for (Client client = 1; client <= 3; ++client) {
+  for (ClientHandle client = 1; client <= 3; ++client) {
     Submission asked;
     asked.client = client;
-    asked.limit = 2s;
+    asked.time_limit = 2s;
     asked.body = std::string(900, 'x');
-    reducer.reduce(1s, Arrived{asked}, effects);
+    reducer.reduce(1s, RequestReceived{asked}, effects);
   }
   EXPECT_EQ(reducer.held(), 2U);
   const auto* answer = std::get_if<Answer>(&effects.back());
   ASSERT_NE(answer, nullptr);
   EXPECT_EQ(answer->client, 3U);
-  EXPECT_EQ(answer->kind, AnswerKind::refused);
-  reducer.reduce(1s, Cancelled{1}, effects);
+  EXPECT_EQ(answer->kind, AnswerKind::rejected);
+  reducer.reduce(1s, ClientCancelled{1}, effects);
   EXPECT_EQ(reducer.held(), 1U);
 }
 
@@ -471,10 +471,10 @@
   EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
   d.at(7ms, Tick{});
   Submission asked;
-  asked.limit = 2s;
-  for (Client client = 2; client < 5; ++client) {
+  asked.time_limit = 2s;
+  for (ClientHandle client = 2; client < 5; ++client) {
     asked.client = client;
-    d.at(1ms, Arrived{asked});
+    d.at(1ms, RequestReceived{asked});
   }
   // The first goes at once; the others wait for the next call together.
   EXPECT_EQ(d.all<StartAttempt>().size(), 2U);
@@ -486,12 +486,12 @@
 TEST(Reducer, ARequestTakenWhileItDrainsIsStillAnswered) {
   Driven d;
   d.ask(1);
-  d.at(1ms, StopAsked{});
+  d.at(1ms, ShutdownRequested{});
   d.ask(2);
   d.pass(1s);
   EXPECT_EQ(d.reducer.lifecycle().phase(), Phase::draining);
   for (const auto& started : d.all<StartAttempt>()) {
-    d.at(1ms, AttemptReady{started.id});
+    d.at(1ms, AttemptConnected{started.id});
     d.finish(started.id, AttemptEnd::served);
   }
   d.pass(20ms);
@@ -504,17 +504,17 @@
   Driven d;
   d.ask(42, 0, 20s);
   d.ask(43, 1, 20s);  // may not be repeated
-  for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptReady{start.id});
+  for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptConnected{start.id});
   ASSERT_EQ(d.all<Transmit>().size(), 2U);
-  d.at(0ms, StopAsked{});
+  d.at(0ms, ShutdownRequested{});
   d.pass(3s);
   EXPECT_TRUE(d.all<Answer>().empty());
   d.pass(400ms);
   const auto answers = d.all<Answer>();
   ASSERT_EQ(answers.size(), 2U);
   for (const auto& answer : answers)
-    EXPECT_EQ(answer.kind, answer.client == 42 ? AnswerKind::refused : AnswerKind::failed);
-  EXPECT_EQ(d.all<Abandon>().size(), 2U);
+    EXPECT_EQ(answer.kind, answer.client == 42 ? AnswerKind::rejected : AnswerKind::failed);
+  EXPECT_EQ(d.all<CancelAttempt>().size(), 2U);
   d.pass(300ms);
   EXPECT_EQ(d.all<Exit>().size(), 1U);
 }
@@ -524,12 +524,12 @@
 TEST(Reducer, AnEngineThatSaysItGoesOnIsNotTakenForSilent) {
   for (const bool heard : {true, false}) {
     Driven d;
-    for (Client client = 1; client <= 4; ++client) d.ask(client, 0, 60s);
-    for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptReady{start.id});
+    for (ClientHandle client = 1; client <= 4; ++client) d.ask(client, 0, 60s);
+    for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptConnected{start.id});
     for (int i = 0; i < 12; ++i) {
       d.pass(250ms);
       if (!heard) continue;
-      for (const auto& sent : d.all<Transmit>()) d.at(0ms, AttemptHeard{sent.id});
+      for (const auto& sent : d.all<Transmit>()) d.at(0ms, AttemptProgressed{sent.id});
     }
     const auto logs = d.all<Log>();
     const auto silent = [](const Log& log) { return log.text.find("is silent") != std::string::npos; };
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -5,8 +5,8 @@
 #include <set>
 #include <tuple>
 
-#include "policy/state.hpp"
 #include "bench.hpp"
+#include "policy/state.hpp"
 
 namespace bellstair::policy::test {
 namespace {
@@ -22,7 +22,7 @@
       const auto sent = d.sends[i];
       to_bad += sent.engine == 8 ? 1 : 0;
       const auto n = static_cast<AttemptIndex>(d.sends_of(sent.request) - 1);
-      d.ends(sent.request, n, sent.engine, sent.engine == 8 ? Result::error : Result::served);
+      d.ends(sent.request, n, sent.engine, sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
     }
     d.until(d.now + 20ms);
   }
@@ -38,7 +38,7 @@
   for (RequestId id = 1; id <= 20; ++id) {
     d.ask(id, 0, 5s, 0, id);
     for (int n = 0; n < d.sends_of(id); ++n)
-      d.ends(id, static_cast<AttemptIndex>(n), d.sends.back().engine, Result::error);
+      d.ends(id, static_cast<AttemptIndex>(n), d.sends.back().engine, AttemptResult::error);
     EXPECT_EQ(d.sends_of(id), 2);
     EXPECT_EQ(d.answers(id), 1);
     d.until(d.now + 20ms);
@@ -58,7 +58,8 @@
       for (auto i = at; i < d.sends.size(); ++i) {
         const auto sent = d.sends[i];
         const auto n = static_cast<AttemptIndex>(d.sends_of(sent.request) - 1);
-        d.ends(sent.request, n, sent.engine, bad && sent.engine == 8 ? Result::error : Result::served);
+        d.ends(sent.request, n, sent.engine,
+               bad && sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
       }
       d.until(d.now + 50ms);
     }
@@ -71,21 +72,21 @@
 
 TEST(Silence, QueriesOnASilentEngineAreTakenBackAndItGetsNoMore) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, 0);
   d.list({engine(7), engine(8), engine(9)});
   d.until(d.now + 1700ms);
   ASSERT_EQ(d.called_off.size(), 1U);
-  d.ends(1, 0, 7, Result::called_off);
+  d.ends(1, 0, 7, AttemptResult::cancelled);
   ASSERT_EQ(d.sends_of(1), 2);
   EXPECT_NE(d.sends.back().engine, 7U);
 }
 
 TEST(Silence, WithoutCallOffTheEngineIsStillLeftAlone) {
   Settings s = plain_settings();
-  s.may_call_off = false;
+  s.may_cancel = false;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
@@ -103,56 +104,56 @@
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, 0, 5s);
-  EXPECT_GT(d.sends[0].until, d.now + 4900ms);
-  EXPECT_LT(d.sends[0].until, d.now + 5s);
+  EXPECT_GT(d.sends[0].give_up_at, d.now + 4900ms);
+  EXPECT_LT(d.sends[0].give_up_at, d.now + 5s);
 }
 
 // Every gateway without a query on a full engine still sent one; with many gateways the fleet jammed.
 // How often a query is sent whose only engine has just told such a report.
-int sends_after_report(std::vector<LoadField> fields, std::vector<double> load) {
+int sends_after_report(std::vector<LoadReportField> fields, std::vector<double> load) {
   Settings s = plain_settings();
-  s.gateways = 8;
-  s.load_fields = std::move(fields);
+  s.brokers = 8;
+  s.load_report_fields = std::move(fields);
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, 0);
-  Outcome o;
+  AttemptOutcome o;
   o.request = 1;
   o.engine = 7;
-  o.closed = true;
-  o.load = std::move(load);
+  o.request_closed = true;
+  o.load_report = std::move(load);
   d.at(d.now, {o});
   d.ask(2, 0);
   return d.sends_of(2);
 }
 
 TEST(Crowd, AnEngineReportedFullGetsNothing) {
-  EXPECT_EQ(sends_after_report({LoadField::inflight}, {60}), 0);
+  EXPECT_EQ(sends_after_report({LoadReportField::inflight}, {60}), 0);
 }
 
 // One long query, far past the usual, was taken for silence: 153 times on a day without any trouble.
 TEST(Silence, OneLongQueryIsNoSilence) {
   Settings s = plain_settings();
-  s.classes[0].give_up = 60s;
+  s.classes[0].client_timeout = 60s;
   Drive d(s);
   d.list({engine(7), engine(8), engine(9)});
   d.ask(1, 0, 60s);
   const auto at = d.sends[0].engine;
   d.until(d.now + 10s);
   EXPECT_TRUE(d.called_off.empty());
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 24) << "engine " << at << " still counts";
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 24) << "engine " << at << " still counts";
 }
 
 // Reports are late and the same for all: by them alone every gateway ran to one engine at once.
 TEST(Crowd, AnEngineReportedEmptyDoesNotGetEverything) {
   Settings s = plain_settings();
-  s.gateways = 4;
-  s.load_fields = {LoadField::inflight};
+  s.brokers = 4;
+  s.load_report_fields = {LoadReportField::inflight};
   s.kinds = {{"one", 16, 0}};
   Drive d(s);
   d.list({engine(7), engine(8), engine(9)});
   for (const EngineId id : {7U, 8U, 9U}) {
-    ProbeResult p;
+    HealthCheckResult p;
     p.engine = id;
     p.load = {id == 8 ? 0.0 : 8.0};
     d.at(d.now, {p});
@@ -180,22 +181,22 @@
 // work.
 TEST(Grants, FollowTheNeedsThatAnswersTell) {
   Settings s = plain_settings();
-  s.grants = true;
+  s.memory_grants = true;
   Drive d(s);
   d.list({engine(7)});
   const auto granted = [&d](RequestId id) {
-    Arrival a;
+    RequestArrival a;
     a.request = id;
     a.time_left = 5s;
     for (const auto& action : d.at(d.now, {a}))
-      if (const auto* terms = std::get_if<Terms>(&action)) return terms->memory_mb;
+      if (const auto* terms = std::get_if<AttemptTerms>(&action)) return terms->memory_mb;
     return -1.0;
   };
   EXPECT_EQ(granted(1), 0) << "nothing told yet: the engine chooses";
-  Outcome o;
+  AttemptOutcome o;
   o.request = 1;
   o.engine = 7;
-  o.closed = true;
+  o.request_closed = true;
   o.work = 100ms;
   o.memory_mb = 100;
   d.at(d.now, {o});
@@ -205,27 +206,27 @@
 // Where engines keep what is granted, used or not, a grant far over the estimate leaves others in line for
 // memory; where they count what is in use, it costs nobody anything.
 TEST(Grants, AreSmallerWhereEnginesKeepThem) {
-  for (const auto shortage : {Shortage::overcommit, Shortage::wait, Shortage::shrink}) {
+  for (const auto shortage : {MemoryShortage::overcommit, MemoryShortage::wait, MemoryShortage::shrink}) {
     Settings s = plain_settings();
-    s.grants = true;
-    s.shortage = shortage;
+    s.memory_grants = true;
+    s.memory_shortage = shortage;
     Drive d(s);
     d.list({engine(7)});
-    Arrival a;
+    RequestArrival a;
     a.request = 1;
     a.time_left = 5s;
-    a.memory_mb = 100;
+    a.estimated_memory_mb = 100;
     double granted = 0;
     for (const auto& action : d.at(d.now, {a}))
-      if (const auto* terms = std::get_if<Terms>(&action)) granted = terms->memory_mb;
-    EXPECT_NEAR(granted, shortage == Shortage::overcommit ? 200 : 160, 1);
+      if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
+    EXPECT_NEAR(granted, shortage == MemoryShortage::overcommit ? 200 : 160, 1);
   }
 }
 
 // What waits in an engine's own line for memory holds no core: it counted as running, and engines as crowded.
 TEST(Crowd, QueriesInAnEnginesLineForMemoryAreNotTakenToRun) {
   for (const double waiting : {0.0, 55.0})
-    EXPECT_EQ(sends_after_report({LoadField::queue, LoadField::inflight}, {waiting, 60}),
+    EXPECT_EQ(sends_after_report({LoadReportField::queue, LoadReportField::inflight}, {waiting, 60}),
               waiting > 0 ? 1 : 0);
 }
 
@@ -233,17 +234,17 @@
 TEST(Probes, AreNotSentForReportsThatComeWithAnswers) {
   for (const bool in_answers : {false, true}) {
     Settings s = plain_settings();
-    s.may_probe = true;
-    s.load_in_answers = in_answers;
-    s.load_fields = {LoadField::inflight};
+    s.may_health_check = true;
+    s.answers_report_load = in_answers;
+    s.load_report_fields = {LoadReportField::inflight};
     Drive d(s);
     d.list({engine(7), engine(8), engine(9)});
     std::size_t probes = 0;
     for (RequestId id = 1; id <= 20; ++id) {
       d.ask(id, 0);
-      for (const auto& action : d.at(d.wake, {Wake{}}))
-        probes += std::holds_alternative<Probe>(action) ? 1 : 0;
-      for (int i = 0; i < 20; ++i) d.at(d.wake, {Wake{}});
+      for (const auto& action : d.at(d.wake, {TimerFired{}}))
+        probes += std::holds_alternative<SendHealthCheck>(action) ? 1 : 0;
+      for (int i = 0; i < 20; ++i) d.at(d.wake, {TimerFired{}});
     }
     EXPECT_EQ(probes == 0, in_answers);
   }
@@ -252,23 +253,23 @@
 // Where answers do not tell their work, a long query's engine passed for slow, and a short one's for swift.
 TEST(Pace, AQuerysEstimateIsTakenOutOfItWhereAnswersTellNoWork) {
   Settings s = plain_settings();
-  s.gateways = 20;
-  s.may_tell = true;
+  s.brokers = 20;
+  s.may_gossip = true;
   Drive d(s);
   d.list({engine(7)});
   unsigned least = 255, most = 0;
   for (RequestId id = 1; id <= 200; ++id) {
-    Arrival a;
+    RequestArrival a;
     a.request = id;
     a.time_left = 5s;
-    a.cost = id % 2 == 0 ? 600ms : 200ms;
+    a.estimated_work = id % 2 == 0 ? 600ms : 200ms;
     d.at(d.now, {a});
     d.until(d.now + 20ms);
     if (d.sends_of(id) == 0) continue;
-    d.ends(id, 0, 7, Result::served, *a.cost);
+    d.ends(id, 0, 7, AttemptResult::served, *a.estimated_work);
     for (int tick = 0; tick < 12; ++tick) {
-      for (const auto& action : d.at(d.wake, {Wake{}})) {
-        const auto* tell = std::get_if<Tell>(&action);
+      for (const auto& action : d.at(d.wake, {TimerFired{}})) {
+        const auto* tell = std::get_if<SendGossip>(&action);
         const auto text = tell == nullptr ? std::nullopt : decode(tell->bytes);
         if (!text || text->entries.empty() || id < 100) continue;
         least = std::min(least, text->entries[0].value);
@@ -283,9 +284,9 @@
 // Long classes were refused though their aim, which grows with their work, had room.
 TEST(Hold, AClassWhoseAimGrowsWithItsWorkIsHeldLonger) {
   Settings s = plain_settings();
-  s.classes[2].effect = Effect::safe;
-  s.classes[2].aim = s.classes[0].aim;
-  s.classes[2].aim_stretch = 8;
+  s.classes[2].idempotency = Idempotency::idempotent;
+  s.classes[2].latency_objective = s.classes[0].latency_objective;
+  s.classes[2].objective_stretch = 8;
   Drive d(s);
   d.list({});
   d.ask(1, 0);
@@ -301,8 +302,8 @@
 // threads that crowd the fleet: Lakeshore's churn refused a tenth of its loads.
 TEST(Loads, WaitForAnEngineWhereNoneOfTheirGroupIsOutAndHoldUpNoOtherGroup) {
   Settings s = plain_settings();
-  s.classes[1].holds_group = true;
-  s.classes[0].waits_for_group = true;
+  s.classes[1].locks_data_group = true;
+  s.classes[0].waits_for_data_group = true;
   Drive d(s);
   d.list({engine(3), engine(4), engine(5)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 1, 5s, 0, 12);
@@ -316,7 +317,7 @@
   for (RequestId id = 6; id <= 9; ++id) d.ask(id, 1, 5s, 0, 0);
   EXPECT_EQ(d.sends.size() - before, 4U) << "where no group is named, nothing is known to be in the way";
   const auto first = d.sends.front();
-  d.ends(first.request, 0, first.engine, Result::served);
+  d.ends(first.request, 0, first.engine, AttemptResult::served);
   ASSERT_EQ(d.sends_of(4), 1);
   EXPECT_EQ(d.sends.back().engine, first.engine);
 }
@@ -324,8 +325,8 @@
 // Hot groups were held on nearly every engine, and most short queries stood still behind loads.
 TEST(Loads, ReadersKeepOffEnginesWhereOneHoldsTheirGroup) {
   Settings s = plain_settings();
-  s.classes[1].holds_group = true;
-  s.classes[0].waits_for_group = true;
+  s.classes[1].locks_data_group = true;
+  s.classes[0].waits_for_data_group = true;
   Drive d(s);
   d.list({engine(3), engine(4), engine(5), engine(6), engine(7)});
   for (RequestId id = 1; id <= 2; ++id) d.ask(id, 1, 5s, 0, 12);
@@ -347,11 +348,11 @@
   // fuller, and a price of 0.02 weighs as 0.4 of them. Without a price only chance tells both engines apart.
   for (const auto& [price, least, most] : {Case{0, 0, 1}, Case{0.02, 2, 2}, Case{0.1, 7, 8}}) {
     Settings s = plain_settings();
-    s.price_cross_zone = price;
+    s.cross_zone_cost = price;
     Drive d(s);
     d.list({engine(7, 0), engine(8, 1)});
     for (RequestId id = 1; id <= 8; ++id) d.ask(id, 0, 5s, 0, static_cast<std::int64_t>(id));
-    const auto away = std::ranges::find(d.sends, EngineId{8}, &Send::engine);
+    const auto away = std::ranges::find(d.sends, EngineId{8}, &SendAttempt::engine);
     const auto near = static_cast<std::size_t>(away - d.sends.begin());
     EXPECT_GE(near, least) << price;
     EXPECT_LE(near, most) << price;
@@ -362,9 +363,9 @@
 TEST(SlowEngine, FarSlowerThanTheFleetItGetsFewerQueriesAndLoads) {
   Settings s = plain_settings();
   s.kinds = {{"one", 16, 8192}};
-  s.classes[0].waits_for_group = s.classes[2].holds_group = true;
-  s.classes[2].group = RepeatGroup::all;
-  s.tells_cost = true;
+  s.classes[0].waits_for_data_group = s.classes[2].locks_data_group = true;
+  s.classes[2].deduplication_scope = DeduplicationScope::all;
+  s.answers_report_cost = true;
   Drive d(s);
   d.list({engine(7), engine(8), engine(9), engine(10), engine(11)});
   std::vector<std::tuple<Time, RequestId, EngineId>> running;
@@ -390,13 +391,13 @@
         continue;
       }
       it = running.erase(it);
-      Outcome o;
+      AttemptOutcome o;
       o.request = request;
       o.attempt = static_cast<AttemptIndex>(d.sends_of(request) - 1);
       o.engine = to;
       o.latency = takes(to);
       o.work = 100ms;
-      o.closed = true;
+      o.request_closed = true;
       d.at(d.now, {o});
     }
   }
@@ -408,38 +409,38 @@
 
 TEST(BadPlan, AnAttemptThatWouldTakeFarTooLongIsBegunAnewOnce) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 0);
   d.until(d.now + 1s);
-  d.at(d.now, {Note{1, 0, d.sends[0].engine, NoteKind::progress, 0.02}});
+  d.at(d.now, {AttemptProgress{1, 0, d.sends[0].engine, ProgressKind::progress, 0.02}});
   ASSERT_EQ(d.called_off.size(), 1U);
-  d.ends(1, 0, d.sends[0].engine, Result::called_off);
+  d.ends(1, 0, d.sends[0].engine, AttemptResult::cancelled);
   ASSERT_EQ(d.sends_of(1), 2);
   d.until(d.now + 500ms);
-  d.at(d.now, {Note{1, 1, d.sends[1].engine, NoteKind::progress, 0.01}});
+  d.at(d.now, {AttemptProgress{1, 1, d.sends[1].engine, ProgressKind::progress, 0.01}});
   d.until(d.now + 500ms);
-  d.at(d.now, {Note{1, 1, d.sends[1].engine, NoteKind::progress, 0.02}});
+  d.at(d.now, {AttemptProgress{1, 1, d.sends[1].engine, ProgressKind::progress, 0.02}});
   EXPECT_EQ(d.called_off.size(), 1U) << "the second time it is the query that is long";
 }
 
 TEST(BadPlan, AnUnsafeAttemptIsLeftAlone) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 1);
   d.until(d.now + 1s);
-  d.at(d.now, {Note{1, 0, d.sends[0].engine, NoteKind::progress, 0.001}});
+  d.at(d.now, {AttemptProgress{1, 0, d.sends[0].engine, ProgressKind::progress, 0.001}});
   EXPECT_TRUE(d.called_off.empty());
 }
 
 Settings probed_and_told() {
   Settings s = plain_settings();
-  s.gateways = 40;
-  s.may_tell = s.may_probe = true;
-  s.load_fields = {LoadField::inflight};
+  s.brokers = 40;
+  s.may_gossip = s.may_health_check = true;
+  s.load_report_fields = {LoadReportField::inflight};
   return s;
 }
 
@@ -457,17 +458,17 @@
   for (const Time answer : {5ms, 900ms}) {  // no answer for so long: the process may have ended meanwhile
     Drive d(probed_and_told());
     ASSERT_NO_FATAL_FAILURE(send_first(d));
-    Outcome o;
+    AttemptOutcome o;
     o.request = 1;
     o.engine = 7;
-    o.result = Result::reset;
+    o.result = AttemptResult::reset;
     const auto actions = d.at(d.now, {o});
-    const auto asked = [](const Action& a) { return std::holds_alternative<Probe>(a); };
+    const auto asked = [](const Action& a) { return std::holds_alternative<SendHealthCheck>(a); };
     EXPECT_TRUE(std::ranges::any_of(actions, asked)) << "asked at once whether it is there";
     d.until(d.now + answer);
-    ProbeResult p;
+    HealthCheckResult p;
     p.engine = 7;
-    p.result = Result::served;
+    p.result = AttemptResult::served;
     p.load = {1.0};
     d.at(d.now, {p});
     for (RequestId id = 2; id < 10; ++id) d.ask(id, 0);
@@ -481,15 +482,15 @@
   for (const bool probe : {true, false}) {
     Drive d(probed_and_told());
     ASSERT_NO_FATAL_FAILURE(send_first(d));
-    d.ends(1, 0, 7, Result::reset);
+    d.ends(1, 0, 7, AttemptResult::reset);
     d.until(d.now + 5ms);
     if (probe) {
-      d.at(d.now, {ProbeResult{7, Result::served, 20ms, {}}});
+      d.at(d.now, {HealthCheckResult{7, AttemptResult::served, 20ms, {}}});
     } else {
       PeerText text;
       text.reports = true;
       text.entries = {{7, 0, 0}};
-      d.at(d.now, {PeerMessage{3, encode(text)}});
+      d.at(d.now, {GossipMessage{3, encode(text)}});
     }
     for (RequestId id = 2; id < 10; ++id) d.ask(id, 0);
     d.until(d.now + 60ms);
@@ -503,9 +504,9 @@
   // The answer is for a query from before the break, or from after it.
   for (const bool before : {true, false}) {
     Settings s = plain_settings();
-    s.gateways = 40;
-    s.may_probe = true;
-    s.load_fields = {LoadField::inflight};
+    s.brokers = 40;
+    s.may_health_check = true;
+    s.load_report_fields = {LoadReportField::inflight};
     Drive d(s);
     d.list({engine(7)});
     const auto send = [&](RequestId id) {
@@ -514,7 +515,7 @@
     };
     send(1);
     if (before) send(2);
-    d.ends(1, 0, 7, Result::reset);
+    d.ends(1, 0, 7, AttemptResult::reset);
     const auto until_break = d.sends.size();
     // Until it has a turn there.
     for (RequestId id = 3; !before && d.sends.size() == until_break && id < 900; ++id) send(id);
@@ -522,7 +523,7 @@
     const auto sent = before ? RequestId{2} : d.sends[until_break].request;
     const auto n = static_cast<AttemptIndex>(sent == 1 ? 1 : 0);
     d.until(d.now + 900ms);
-    d.ends(sent, n, 7, Result::served);
+    d.ends(sent, n, 7, AttemptResult::served);
     const auto had = d.sends.size();
     for (RequestId id = 1000; id < 1010; ++id) d.ask(id, 0);
     d.until(d.now + 60ms);
@@ -560,15 +561,16 @@
 }
 
 TEST(Unreachable, AnEngineThatBreaksConnectionsIsTakenForColdByAllGateways) {
-  for (const auto result : {Result::not_connected, Result::reset}) {
+  for (const auto result : {AttemptResult::connect_failed, AttemptResult::reset}) {
     int tried = 0, early = 0;
     for (unsigned i = 0; i < 40; ++i) {
       Settings s = plain_settings();
-      s.gateways = 40;
-      s.me = i;
+      s.brokers = 40;
+      s.broker_index = i;
       Drive d(s, 1 + i);
       d.list({engine(7)});
-      d.until(d.now + s.tip_window);  // in its first one a process sends nothing to a cold engine
+      d.until(d.now +
+              s.slow_start_overload_window);  // in its first one a process sends nothing to a cold engine
       d.ask(1, 0);
       d.ends(1, 0, 7, result);
       const auto broke = d.now;
@@ -587,15 +589,15 @@
 
 TEST(ManyEngines, OneThatNothingTellsOfIsNotTakenForEmpty) {
   Settings s = plain_settings();
-  s.gateways = 100;
-  s.may_probe = true;
-  s.load_fields = {LoadField::inflight};
+  s.brokers = 100;
+  s.may_health_check = true;
+  s.load_report_fields = {LoadReportField::inflight};
   Drive d(s);
-  std::vector<EngineEntry> engines;
+  std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 40; ++id) engines.push_back(engine(id));
   d.list(engines);
   for (EngineId id = 1; id <= 40; ++id) {  // all crowded, but one that is known to be idle
-    ProbeResult probe;
+    HealthCheckResult probe;
     probe.engine = id;
     probe.load = {id == 5 ? 0.0 : 20.0};
     if (id <= 4 || id == 5 || id > 33) d.at(d.now, {probe});
@@ -609,26 +611,26 @@
 TEST(ManyEngines, AQueryCostsNoMoreProbesOrBytesInALargerFleet) {
   for (const unsigned size : {20U, 200U}) {
     Settings s = plain_settings();
-    s.gateways = 4 * size;
-    s.may_probe = s.may_tell = true;
-    s.load_fields = {LoadField::inflight};
+    s.brokers = 4 * size;
+    s.may_health_check = s.may_gossip = true;
+    s.load_report_fields = {LoadReportField::inflight};
     Drive d(s);
-    std::vector<EngineEntry> engines;
+    std::vector<Endpoint> engines;
     for (EngineId id = 1; id <= size; ++id) engines.push_back(engine(id));
     d.list(engines);
     std::size_t probes = 0, bytes = 0;
     for (RequestId id = 1; id <= 50; ++id) {
-      Arrival a;
+      RequestArrival a;
       a.request = id;
       a.time_left = 5s;
       std::vector<Action> actions = d.at(d.now, {a});
       for (int tick = 0; tick < 10; ++tick) {
-        const auto more = d.at(d.wake, {Wake{}});
+        const auto more = d.at(d.wake, {TimerFired{}});
         actions.insert(actions.end(), more.begin(), more.end());
       }
       for (const auto& action : actions) {
-        probes += std::holds_alternative<Probe>(action) ? 1 : 0;
-        const auto* tell = std::get_if<Tell>(&action);
+        probes += std::holds_alternative<SendHealthCheck>(action) ? 1 : 0;
+        const auto* tell = std::get_if<SendGossip>(&action);
         if (tell == nullptr) continue;
         EXPECT_TRUE(tell->to.has_value()) << "never to hundreds at once";
         bytes += tell->bytes.size();
@@ -643,12 +645,12 @@
 
 TEST(PeerMessages, OneThatIsMalformedIsIgnoredWhole) {
   Settings s = plain_settings();
-  s.gateways = 3;
-  s.may_tell = true;
+  s.brokers = 3;
+  s.may_gossip = true;
   const auto choice = [&s](const std::string& bytes) {
     Drive d(s);
     d.list({engine(7), engine(8)});
-    d.at(d.now, {PeerMessage{1, bytes}});
+    d.at(d.now, {GossipMessage{1, bytes}});
     d.ask(1, 0);
     return d.sends.empty() ? 0U : d.sends.back().engine;
   };
@@ -664,17 +666,17 @@
 // One of many gateways, told of twenty engines of 16 cores again and again.
 Drive told_by_reports(bool apart, double queries, int rounds) {
   Settings s = plain_settings();
-  s.gateways = 200;
+  s.brokers = 200;
   s.kinds = {{"one", 16, 0}};
-  s.load_fields = {LoadField::inflight};
+  s.load_report_fields = {LoadReportField::inflight};
   Drive d(s);
-  std::vector<EngineEntry> engines;
+  std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 20; ++id) engines.push_back(engine(id));
   d.list(engines);
   for (int round = 0; round < rounds; ++round) {
     d.until(d.now + 500ms);
     for (EngineId id = 1; id <= 20; ++id) {
-      ProbeResult p;
+      HealthCheckResult p;
       p.engine = id;
       p.load = {apart ? (id % 2 == 0 ? 0.0 : 2 * queries) : (id == 20 ? queries / 2 : queries)};
       d.at(d.now, {p});
@@ -691,7 +693,7 @@
     for (auto* d : {&good, &bad}) {
       d->ask(id, 0, 5s, 0, id);
       ASSERT_EQ(d->sends_of(id), 1);
-      d->ends(id, 0, d->sends.back().engine, Result::served);
+      d->ends(id, 0, d->sends.back().engine, AttemptResult::served);
     }
     emptiest += good.sends.back().engine == 20 ? 1 : 0;
     full += bad.sends.back().engine % 2 == 1 ? 1 : 0;
@@ -713,19 +715,19 @@
 // A quarter of the fleet restarted: what ran there was gone, yet the level stayed high and all was refused.
 TEST(ManyGateways, TheLevelByMessagesFollowsWithinSeconds) {
   Settings s = plain_settings();
-  s.gateways = 40;
-  s.may_tell = true;
-  s.load_fields = {LoadField::util};
+  s.brokers = 40;
+  s.may_gossip = true;
+  s.load_report_fields = {LoadReportField::util};
   Drive other(s), d(s, 2);
-  std::vector<EngineEntry> engines;
+  std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 5; ++id) engines.push_back(engine(id));
   for (auto* each : {&other, &d}) each->list(engines);
   const auto message = [&other] {  // what the other gateway says now
     for (RequestId id = 100; id < 110; ++id)
       other.ask(id, 5);  // of no class: refused, but they pay for bytes
     for (int tick = 0; tick < 50; ++tick) {
-      for (const auto& action : other.at(other.wake, {Wake{}}))
-        if (const auto* tell = std::get_if<Tell>(&action)) return tell->bytes;
+      for (const auto& action : other.at(other.wake, {TimerFired{}}))
+        if (const auto* tell = std::get_if<SendGossip>(&action)) return tell->bytes;
     }
     return std::string();
   };
@@ -733,11 +735,11 @@
   ASSERT_EQ(other.sends.size(), 3U);
   const auto busy = message();
   const auto sent = other.sends;
-  for (const auto& send : sent) other.ends(send.request, 0, send.engine, Result::served);
+  for (const auto& send : sent) other.ends(send.request, 0, send.engine, AttemptResult::served);
   const auto idle = message();
   ASSERT_NE(busy, idle);
   const auto tell = [&d](const std::string& bytes) {
-    PeerMessage m;
+    GossipMessage m;
     m.from = 1;
     m.bytes = bytes;
     d.at(d.now + 100ms, {m});
@@ -753,13 +755,13 @@
 TEST(ManyGateways, LaterRanksStopEarlierSoThatTheFirstClassFindsRoom) {
   // Traffic has turned to a heavy class for good: the fleet stands between both limits.
   Settings s = plain_settings();
-  s.gateways = 100;
-  s.may_probe = true;
-  s.load_fields = {LoadField::inflight};
+  s.brokers = 100;
+  s.may_health_check = true;
+  s.load_report_fields = {LoadReportField::inflight};
   Drive d(s);
   d.list({engine(7), engine(8)});
   for (EngineId id : {7U, 8U}) {
-    ProbeResult probe;
+    HealthCheckResult probe;
     probe.engine = id;
     probe.load = {7.0};  // 1.75 threads a core
     d.at(d.now, {probe});
@@ -780,8 +782,8 @@
   for (RequestId id = 1; id <= 40; ++id) {
     d.ask(id, 0);
     ASSERT_EQ(d.sends_of(id), 1) << "still trusted at " << id;
-    if (id % 10 != 0) d.ends(id, 0, 7, Result::served);
-    if (id % 10 == 0) d.ask(100 + id, 0), d.ends(100 + id, 0, 7, Result::served);
+    if (id % 10 != 0) d.ends(id, 0, 7, AttemptResult::served);
+    if (id % 10 == 0) d.ask(100 + id, 0), d.ends(100 + id, 0, 7, AttemptResult::served);
     d.until(d.now + 100ms);
   }
   d.until(start + 10s);
@@ -790,16 +792,16 @@
 
 TEST(Absence, AGatewayThatHadNoTurnBlamesNoEngineAndSettlesWhatIsOverdue) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 0);
   d.ask(2, 0);
   d.now += 2s;  // no call meanwhile; the client of one that was held has little time left
-  Arrival late;
+  RequestArrival late;
   late.request = 3;
   late.time_left = 30ms;
-  d.at(d.now, {Wake{}, late});
+  d.at(d.now, {TimerFired{}, late});
   EXPECT_TRUE(d.called_off.empty());
   d.until(d.now + 40ms);
   EXPECT_EQ(d.answers(3), 1);
@@ -811,9 +813,9 @@
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
   d.ask(1, 0);  // comes with 5 s left, as all do
-  d.ends(1, 0, d.sends.back().engine, Result::served);
+  d.ends(1, 0, d.sends.back().engine, AttemptResult::served);
   d.now += 2s;
-  Arrival old, young;
+  RequestArrival old, young;
   old.request = 2;
   old.time_left = 3200ms;
   young.request = 3;
@@ -829,9 +831,9 @@
 
 TEST(Tenants, AFloodDoesNotRaiseTheShareThatItIsMeasuredAgainst) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.05;
-  s.may_probe = true;
-  s.load_fields = {LoadField::inflight};
+  s.over_quota_weight = 0.05;
+  s.may_health_check = true;
+  s.load_report_fields = {LoadReportField::inflight};
   s.tenants = {{"a", 0.5, 5}, {"b", 0.5, 5}};
   Drive d(s);
   d.list({engine(7), engine(8)});
@@ -839,17 +841,17 @@
   const auto second = [&](int of_first) {
     std::vector<int> served(2);
     for (int n = 0; n < of_first + 5; ++n) {
-      Arrival a;
+      RequestArrival a;
       a.request = ++id;
       a.tenant = n < of_first ? 0 : 1;
       a.time_left = 5s;
-      ProbeResult probe;
+      HealthCheckResult probe;
       probe.engine = 7 + id % 2;
       probe.load = {of_first > 5 ? 7.0 : 0.0};  // crowded by the others, past 1.5 threads a core
       d.at(d.now, {probe, a});
       if (d.sends_of(id) > 0) {
         ++served[a.tenant];
-        d.ends(id, 0, d.sends.back().engine, Result::served, 50ms);
+        d.ends(id, 0, d.sends.back().engine, AttemptResult::served, 50ms);
       }
       d.until(d.now + 1000ms / (of_first + 5));
     }
@@ -871,12 +873,12 @@
   d.list({engine(7), engine(8)});
   for (int n = 0; n < 2; ++n) {
     d.ask(1 + n, 0);
-    d.ends(1 + n, 0, d.sends.back().engine, Result::reset);
+    d.ends(1 + n, 0, d.sends.back().engine, AttemptResult::reset);
   }
   d.list({engine(9)});
   d.ask(10, 0);
   EXPECT_EQ(d.sends.back().engine, 9U);
-  d.ends(10, 0, 9, Result::served);
+  d.ends(10, 0, 9, AttemptResult::served);
   d.list({engine(7)});
   d.ask(11, 0);
   EXPECT_EQ(d.sends_of(11), 1) << "what it did long ago no longer counts";
@@ -885,21 +887,21 @@
 // Hundreds asked and withdrawn at once used up the share of the tenant's usual clients.
 TEST(Tenants, WhatIsWithdrawnBeforeItWasSentUsesNothingOfTheShare) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.1;
+  s.over_quota_weight = 0.1;
   s.tenants = {{"a", 0.5, 10}, {"b", 0.5, 10}};
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 40; ++id) d.ask(id, 0, 20s, 0, 1);  // until queries wait
-  const auto held = [&] { return d.gateway.view(0).queued; };
+  const auto held = [&] { return d.gateway.class_status(0).queued; };
   ASSERT_GT(held(), 0U);
   for (RequestId id = 1000; id < 1400; ++id) {
-    Arrival a;
+    RequestArrival a;
     a.request = id;
     a.tenant = 1;
     a.time_left = 5s;
-    d.at(d.now, {a, ClientLeft{id}});
+    d.at(d.now, {a, RequestCancelled{id}});
   }
-  Arrival usual;
+  RequestArrival usual;
   usual.request = 5000;
   usual.tenant = 1;
   usual.time_left = 5s;
@@ -909,13 +911,13 @@
 
 TEST(Tenants, AFloodIsRefusedOnceQueriesWaitAndOthersAreNot) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.05;
+  s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
   Drive d(s);
   d.list({});
   RequestId id = 0;
   const auto ask = [&](std::uint32_t tenant) {
-    Arrival a;
+    RequestArrival a;
     a.request = ++id;
     a.tenant = tenant;
     a.time_left = 5s;
--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // Far more than any draw of turns lets through, and far less than clients ask for.
-constexpr std::size_t kMostCalls = 60;
+constexpr std::size_t kMaxCalls = 60;
 
 class WallClock : public ::testing::TestWithParam<int> {  // seconds that it steps by
  protected:
@@ -90,9 +90,9 @@
   const auto stepped = calls_at_newcomer(0s, step());
   const auto off = calls_at_newcomer(step(), 0s);
   EXPECT_GT(stepped, 0U);
-  EXPECT_LT(stepped, kMostCalls);
+  EXPECT_LT(stepped, kMaxCalls);
   EXPECT_GT(off, 0U);
-  EXPECT_LT(off, kMostCalls);
+  EXPECT_LT(off, kMaxCalls);
 }
 
 // A broker is restarted while its clock is off, and is told of a newcomer with what is known at the start.
@@ -104,7 +104,7 @@
   Broker broker({{"s-00000001", newcomer.server.address()}}, {}, 0, kSlowStart, began, faults.environment());
   ask_much(broker);
   EXPECT_GT(newcomer.posts(), 0U);
-  EXPECT_LT(newcomer.posts(), kMostCalls);
+  EXPECT_LT(newcomer.posts(), kMaxCalls);
 }
 
 INSTANTIATE_TEST_SUITE_P(Steps, WallClock, ::testing::Values(-3600, -5, 5, 3600));
--- a/tests/faults/fault_plan.hpp
+++ b/tests/faults/fault_plan.hpp
@@ -24,14 +24,14 @@
   rename,
 };
 inline constexpr std::size_t kFaultyCalls = 11;
-inline constexpr std::size_t kMostErrors = 8;
+inline constexpr std::size_t kMaxErrors = 8;
 
 // How one system call fails. Zero everywhere: it never does.
 struct FaultRule {
   std::atomic<std::uint32_t> one_in;        // calls, of which one fails; 0: none
   std::atomic<std::uint32_t> one_short_in;  // calls, of which one transfers a part only; 0: none
   std::atomic<std::uint32_t> error_count;   // of `errors`, drawn evenly
-  std::array<std::atomic<std::int32_t>, kMostErrors> errors;
+  std::array<std::atomic<std::int32_t>, kMaxErrors> errors;
   std::atomic<std::uint64_t> calls;     // so far
   std::atomic<std::uint64_t> injected;  // failures among them
 };
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -17,36 +17,36 @@
 // As the platform's settings are for a hundred brokers: engines of 8 cores, lookups, reports and loads.
 Settings fleet_settings() {
   Settings s = plain_settings();
-  s.gateways = kGateways;
-  s.step = 1ms;
+  s.brokers = kGateways;
+  s.min_call_interval = 1ms;
   s.max_attempts = 4;
   s.kinds = {{"std-8", 8, 16384}};
-  s.may_probe = s.may_tell = s.second_copies = true;
+  s.may_health_check = s.may_gossip = s.hedging = true;
   ClassSettings lookup;
   lookup.name = "lookup";
-  lookup.aim = 170ms;
-  lookup.aim_stretch = 1.5;
-  lookup.give_up = 840ms;
-  lookup.waits_for_group = true;
+  lookup.latency_objective = 170ms;
+  lookup.objective_stretch = 1.5;
+  lookup.client_timeout = 840ms;
+  lookup.waits_for_data_group = true;
   ClassSettings report = lookup;
   report.name = "report";
-  report.aim = 840ms;
-  report.aim_stretch = 2.5;
-  report.give_up = 8380ms;
-  report.worth = 15;
+  report.latency_objective = 840ms;
+  report.objective_stretch = 2.5;
+  report.client_timeout = 8380ms;
+  report.priority_weight = 15;
   report.threads = 4;
-  report.waits_for_group = false;
+  report.waits_for_data_group = false;
   ClassSettings load = report;
   load.name = "load";
-  load.aim = 1260ms;
-  load.aim_stretch = 3;
-  load.give_up = 10470ms;
-  load.worth = 20;
-  load.effect = Effect::keyed;
-  load.window = 15s;
-  load.in_order = true;
+  load.latency_objective = 1260ms;
+  load.objective_stretch = 3;
+  load.client_timeout = 10470ms;
+  load.priority_weight = 20;
+  load.idempotency = Idempotency::keyed;
+  load.deduplication_window = 15s;
+  load.ordered_by_key = true;
   load.threads = 2;
-  load.holds_group = true;
+  load.locks_data_group = true;
   s.classes = {lookup, report, load};
   return s;
 }
@@ -54,10 +54,10 @@
 // The gateways, each on the same list and clock.
 struct Fleet {
   explicit Fleet(Settings settings) {
-    for (unsigned i = 0; i < settings.gateways; ++i) {
-      settings.me = i;
+    for (unsigned i = 0; i < settings.brokers; ++i) {
+      settings.broker_index = i;
       all.push_back(std::make_unique<Drive>(settings, 1000 + i));
-      std::vector<EngineEntry> engines;
+      std::vector<Endpoint> engines;
       for (EngineId id = 1; id <= kEngines; ++id) engines.push_back(engine(id));
       all.back()->list(engines);
     }
@@ -70,15 +70,15 @@
 TEST(Fleet, WhatWaitsForMemoryAtAnEngineDoesNotCrowdItsCores) {
   for (const double util : {0.5, 1.0}) {
     Settings s = plain_settings();
-    s.load_fields = {LoadField::inflight, LoadField::util};
+    s.load_report_fields = {LoadReportField::inflight, LoadReportField::util};
     Drive d(s);
     d.list({engine(7)});
-    ProbeResult report;
+    HealthCheckResult report;
     report.engine = 7;
-    report.result = Result::served;
+    report.result = AttemptResult::served;
     report.load = {12, util};  // on 4 cores
     d.at(d.now, {report});
-    EXPECT_NEAR(d.gateway.level(), util < 1 ? 0.8 : 3, 0.01) << "threads a core";
+    EXPECT_NEAR(d.gateway.load_level(), util < 1 ? 0.8 : 3, 0.01) << "threads a core";
   }
 }
 
@@ -86,16 +86,16 @@
 // its queries until they came: the probes were priced, and lookups lost a quarter of their aim.
 TEST(Fleet, NobodyProbesOrWaitsForReportsThatHoldNothingOfUse) {
   Settings s = fleet_settings();
-  s.load_fields = {LoadField::queue, LoadField::disk_share, LoadField::memory_share};
+  s.load_report_fields = {LoadReportField::queue, LoadReportField::disk_share, LoadReportField::memory_share};
   Fleet fleet(s);
   std::size_t probes = 0, sends = 0;
   for (auto& d : fleet.all) {
     for (RequestId id = 1; id <= 6; ++id) {
-      Arrival a;
+      RequestArrival a;
       a.request = id;
       a.time_left = 840ms;
       for (const auto& action : d->at(d->now + 100ms, {a}))
-        probes += std::holds_alternative<Probe>(action) ? 1 : 0;
+        probes += std::holds_alternative<SendHealthCheck>(action) ? 1 : 0;
       sends += d->sends.size() == id ? 1 : 0;
     }
   }
@@ -113,9 +113,9 @@
     for (std::size_t i = 0; i < fleet.all.size(); ++i) {
       auto events = std::exchange(due[i][now], {});
       due[i].erase(now);
-      events.emplace_back(Wake{});
+      events.emplace_back(TimerFired{});
       if (std::generate_canonical<double, 32>(random) < chance[i]) {
-        Arrival a;
+        RequestArrival a;
         a.request = ++last;
         a.time_left = 8s;
         a.cls = cls;
@@ -123,25 +123,25 @@
         events.emplace_back(a);
         ++queries;
       }
-      running[i] -= static_cast<int>(
-          std::ranges::count_if(events, [](const Event& e) { return std::holds_alternative<Outcome>(e); }));
+      running[i] -= static_cast<int>(std::ranges::count_if(
+          events, [](const Event& e) { return std::holds_alternative<AttemptOutcome>(e); }));
       for (const auto& action : fleet.all[i]->at(now, std::move(events))) {
-        if (const auto* tell = std::get_if<Tell>(&action)) {
+        if (const auto* tell = std::get_if<SendGossip>(&action)) {
           ++datagrams;
-          mail[*tell->to].emplace_back(PeerMessage{static_cast<std::uint32_t>(i), tell->bytes});
+          mail[*tell->to].emplace_back(GossipMessage{static_cast<std::uint32_t>(i), tell->bytes});
         }
-        if (const auto* send = std::get_if<Send>(&action)) {
-          Outcome o;
+        if (const auto* send = std::get_if<SendAttempt>(&action)) {
+          AttemptOutcome o;
           o.request = send->request;
           o.engine = send->engine;
           o.latency = send->engine == slow_engine ? 5 * lasts : lasts;
           o.work = 4 * lasts;  // as for four threads, at every engine
-          o.closed = true;
+          o.request_closed = true;
           due[i][now + o.latency].emplace_back(o);
           ++running[i];
           ++sends[send->engine];
         }
-        refused += std::holds_alternative<Refuse>(action) ? 1 : 0;
+        refused += std::holds_alternative<Reject>(action) ? 1 : 0;
       }
     }
     for (std::size_t i = 0; i < mail.size() && !silent; ++i) fleet.all[i]->at(now, std::move(mail[i]));
@@ -175,7 +175,7 @@
     load.step(chance, 200ms);
     for (unsigned i = 0; i < kGateways; ++i) {
       truth += 4.0 * load.running[i] / (8.0 * kEngines);
-      const double told = fleet.all[i]->gateway.level();
+      const double told = fleet.all[i]->gateway.load_level();
       sum += told;
       squares += told * told;
     }
@@ -200,7 +200,7 @@
       load.step(chance, 2s);
       for (unsigned i = 0; i < kGateways; ++i) {
         truth += 4.0 * load.running[i] / (8.0 * kEngines);
-        sum += fleet.all[i]->gateway.level();
+        sum += fleet.all[i]->gateway.load_level();
       }
     }
     return std::pair(sum / 50 / kGateways, truth / 50);
@@ -221,8 +221,8 @@
 // when that has long been overrun by all. What others have measured is told beside the level.
 TEST(Fleet, ASlowEngineIsKnownToAllWithinSeconds) {
   Settings s = fleet_settings();
-  s.second_copies = false;
-  s.load_fields = {LoadField::queue, LoadField::disk_share, LoadField::memory_share};
+  s.hedging = false;
+  s.load_report_fields = {LoadReportField::queue, LoadReportField::disk_share, LoadReportField::memory_share};
   Fleet fleet(s);
   Load load(fleet);
   load.slow_engine = 5;
@@ -241,8 +241,8 @@
 TEST(Fleet, TenantsInsideTheirShareAreNotRefusedForClumps) {
   Settings s = fleet_settings();
   s.tenants = {{"a", 0.59, 300}, {"b", 0.41, 210}};
-  s.over_share_worth = 0.1;
-  s.second_copies = false;
+  s.over_quota_weight = 0.1;
+  s.hedging = false;
   Fleet fleet(s);
   Load load(fleet);
   // 5 queries a second at each, of 5.1 in all shares; 1.67 threads a core, so that the fleet counts as
@@ -258,21 +258,21 @@
 // days (join+vast 0.55 to 0.72), and put 3.2 times its capacity on an engine here.
 TEST(Fleet, ColdEnginesAreUsedAndNotPushedOver) {
   Settings s = fleet_settings();
-  s.second_copies = false;
-  s.cold_from = 0.33;
-  s.ramp_time = 15s;
-  s.tip_multiple = 2.5;
-  s.tip_window = 1s;
+  s.hedging = false;
+  s.slow_start_capacity = 0.33;
+  s.slow_start_duration = 15s;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = 1s;
   Fleet fleet(s);
   Load load(fleet);
   load.step(std::vector<double>(kGateways, 0), 200ms);
   const Time began = load.now;
-  std::vector<EngineEntry> anew;
+  std::vector<Endpoint> anew;
   for (EngineId id = 13; id <= kEngines; ++id) {
     anew.push_back(engine(id));
-    anew.back().last_start = began;
+    anew.back().started_at = began;
   }
-  for (auto& d : fleet.all) d->list(anew, ListKind::delta);
+  for (auto& d : fleet.all) d->list(anew, EndpointListKind::delta);
   const double work = 0.8;  // core-seconds of a query, four threads for 200 ms
   std::map<EngineId, std::deque<Time>> last;
   double worst = 0, cold = 0, warm = 0;
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -9,16 +9,16 @@
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
-using policy::Effect;
+using policy::DeduplicationScope;
 using policy::EngineState;
-using policy::RepeatGroup;
+using policy::Idempotency;
 
 class GuardTest : public ::testing::Test {
  protected:
   GuardTest() {
     settings = test::small_settings();
-    settings.second_copies = true;
-    settings.classes[0].window = 2s;
+    settings.hedging = true;
+    settings.classes[0].deduplication_window = 2s;
     sending.request = 1;
     sending.until = 100s;
     sending.engine = &engine;
@@ -33,7 +33,7 @@
   }
   policy::Settings settings;
   Guard guard{settings};
-  policy::EngineEntry engine;
+  policy::Endpoint engine;
   Guard::Sending sending;
 };
 
@@ -58,18 +58,18 @@
 TEST_F(GuardTest, RepeatsGoByTheClass) {
   auto& cls = settings.classes[0];
   EXPECT_EQ(after_one(), Verdict::allowed) << "safe";
-  cls.effect = Effect::unsafe;
+  cls.idempotency = policy::Idempotency::not_idempotent;
   EXPECT_EQ(after_one(), Verdict::repeat_forbidden);
   EXPECT_EQ(after_one(false, true), Verdict::allowed) << "it never ran";
-  cls.effect = Effect::keyed;
+  cls.idempotency = policy::Idempotency::keyed;
   EXPECT_EQ(after_one(), Verdict::allowed) << "within the window";
-  cls.window = 1s;
+  cls.deduplication_window = 1s;
   EXPECT_EQ(after_one(), Verdict::repeat_forbidden) << "the window is over";
-  cls.window = 2s;
-  cls.group = RepeatGroup::zone;
+  cls.deduplication_window = 2s;
+  cls.deduplication_scope = DeduplicationScope::zone;
   engine.zone = 1;
   EXPECT_EQ(after_one(), Verdict::repeat_forbidden) << "that zone does not drop it";
-  cls.group = RepeatGroup::cell;
+  cls.deduplication_scope = DeduplicationScope::cell;
   EXPECT_EQ(after_one(), Verdict::allowed) << "the same cell";
   engine.cell = 1;
   EXPECT_EQ(after_one(), Verdict::repeat_forbidden);
@@ -77,13 +77,13 @@
 
 TEST_F(GuardTest, WithoutSecondCopiesNothingStandsBesideWhatMayRun) {
   EXPECT_EQ(after_one(true), Verdict::allowed);
-  settings.second_copies = false;
+  settings.hedging = false;
   EXPECT_EQ(after_one(true), Verdict::another_running);
   EXPECT_EQ(after_one(false), Verdict::allowed);
 }
 
 TEST_F(GuardTest, RequestsOfOneKeyRunOneAtATime) {
-  settings.classes[0].in_order = true;
+  settings.classes[0].ordered_by_key = true;
   sending.order_key = 42;
   guard.sent(42, 7);
   EXPECT_EQ(guard.may_send(sending, 50s), Verdict::key_in_use);
@@ -103,7 +103,7 @@
 }
 
 TEST_F(GuardTest, WhatIsTakenIsBounded) {
-  settings.max_open = 3;
+  settings.max_open_requests = 3;
   EXPECT_EQ(guard.may_take({Phase::draining, 2, true, false}), Verdict::allowed);
   EXPECT_EQ(guard.may_take({Phase::serving, 3, true, false}), Verdict::too_many_open);
   EXPECT_EQ(guard.may_take({Phase::serving, 0, false, false}), Verdict::no_memory);
@@ -114,12 +114,12 @@
 TEST_F(GuardTest, ARefusalIsTrue) {
   auto& cls = settings.classes[0];
   EXPECT_TRUE(guard.may_refuse(0, false));
-  cls.effect = Effect::unsafe;
+  cls.idempotency = policy::Idempotency::not_idempotent;
   EXPECT_FALSE(guard.may_refuse(0, false));
   EXPECT_TRUE(guard.may_refuse(0, true));
-  cls.effect = Effect::keyed;
+  cls.idempotency = policy::Idempotency::keyed;
   EXPECT_TRUE(guard.may_refuse(0, false));
-  cls.group = RepeatGroup::zone;
+  cls.deduplication_scope = DeduplicationScope::zone;
   EXPECT_FALSE(guard.may_refuse(0, false));
 }
 
@@ -133,10 +133,10 @@
   Counters counters;
   EXPECT_EQ(counters.text(), "counters: violations=0");
   counters.taken = 3;
-  counters.answered[static_cast<std::size_t>(AnswerKind::refused)] = 2;
-  counters.unserved[static_cast<std::size_t>(policy::Reason::too_big)] = 2;
+  counters.answered[static_cast<std::size_t>(AnswerKind::rejected)] = 2;
+  counters.unserved[static_cast<std::size_t>(policy::UnservedReason::too_big)] = 2;
   counters.withheld[static_cast<std::size_t>(Verdict::key_in_use)] = 1;
-  counters.attempts[static_cast<std::size_t>(AttemptEnd::withdrawn)] = 1;
+  counters.attempts[static_cast<std::size_t>(AttemptEnd::cancelled)] = 1;
   counters.violations[static_cast<std::size_t>(Violation::late_answer)] = 1;
   EXPECT_EQ(counters.text(),
             "counters: violations=1 violation.late_answer=1 taken=3 answered.refused=2 unserved.too_big=2 "
@@ -148,13 +148,13 @@
   Reducer reducer(test::small_settings(), 1);
   Effects effects;
   const Time start = 1'700'000'000s;
-  reducer.reduce(start, Listening{}, effects);
-  reducer.reduce(start, FleetChange{true, {test::member(7)}, true}, effects);
+  reducer.reduce(start, ListenersReady{}, effects);
+  reducer.reduce(start, EndpointUpdate{true, {test::member(7)}, true}, effects);
   reducer.reduce(start, Tick{}, effects);
   Submission asked;
   asked.client = 1;
-  asked.limit = 1s;
-  reducer.reduce(start + 10ms, Arrived{asked}, effects);
+  asked.time_limit = 1s;
+  reducer.reduce(start + 10ms, RequestReceived{asked}, effects);
   reducer.reduce(start + 3s, Tick{}, effects);
   EXPECT_EQ(test::all_of<Answer>(effects).size(), 1U);
   EXPECT_EQ(reducer.counters().all_violations(), 1U);
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -85,7 +85,7 @@
   std::string blocks;
   for (int i = 0; i < 50000; ++i) blocks += "b {\n";
   EXPECT_NE(problem(blocks).find("nested more than 32 deep"), std::string::npos);
-  EXPECT_NE(problem(std::string(kMostText + 1, '\n')).find("is longer than"), std::string::npos);
+  EXPECT_NE(problem(std::string(kMaxText + 1, '\n')).find("is longer than"), std::string::npos);
 }
 
 TEST(Hcl, DurationsAndSizesHaveUnits) {
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -11,15 +11,15 @@
   auto s = test::small_settings();
   auto load = s.classes[0];
   load.name = "load";
-  load.effect = policy::Effect::keyed;
-  load.window = 10s;
-  load.in_order = true;
+  load.idempotency = policy::Idempotency::keyed;
+  load.deduplication_window = 10s;
+  load.ordered_by_key = true;
   s.classes.push_back(load);
   s.tenants.resize(1);
   s.tenants[0].name = "acme";
   s.max_attempts = 4;
-  s.max_open = 8;
-  s.may_call_off = s.retry_after = true;
+  s.max_open_requests = 8;
+  s.may_cancel = s.sends_retry_after = true;
   s.max_retry_after = 500ms;
   return s;
 }
@@ -38,8 +38,8 @@
 class Hooked {
  public:
   explicit Hooked(hooks::Set set = hooked()) : reducer(settings(), 1, std::size_t{64} << 20, std::move(set)) {
-    at(0ms, Listening{});
-    at(0ms, FleetChange{true, {test::member(7)}, true});
+    at(0ms, ListenersReady{});
+    at(0ms, EndpointUpdate{true, {test::member(7)}, true});
     at(0ms, Tick{});
   }
   void at(Time after, Event event) {
@@ -77,16 +77,16 @@
       at(std::min<Time>(5ms, end - now), Tick{});
     }
   }
-  void ask(Client client, const std::string& statement, ClassIndex cls = 0, std::uint64_t key = 0,
+  void ask(ClientHandle client, const std::string& statement, ClassIndex cls = 0, std::uint64_t key = 0,
            Time limit = 2s) {
     Submission asked;
     asked.client = client;
     asked.cls = cls;
-    asked.limit = limit;
-    asked.order_key = key;
+    asked.time_limit = limit;
+    asked.ordering_key = key;
     asked.body = statement;
-    if (cls == 1) asked.nonce = "n" + std::to_string(client);
-    at(1ms, Arrived{asked});
+    if (cls == 1) asked.idempotency_key = "n" + std::to_string(client);
+    at(1ms, RequestReceived{asked});
   }
   void end(std::size_t call, hooks::Verdict verdict = {}) {
     ends[calls.at(call).job] = std::move(verdict);
@@ -103,7 +103,7 @@
       const auto starts = all<StartAttempt>();
       if (begun < starts.size()) {
         more = true;
-        at(0ms, AttemptReady{starts[begun++].id});
+        at(0ms, AttemptConnected{starts[begun++].id});
       }
     }
     std::vector<std::string> out;
@@ -137,7 +137,7 @@
   EXPECT_EQ(h.sent(), std::vector<std::string>{"hooked 1"});
   ASSERT_EQ(h.all<Answer>().size(), 1U);
   EXPECT_EQ(h.all<Answer>()[0].client, 2U);
-  EXPECT_EQ(h.all<Answer>()[0].pause, 500ms) << "no longer than the settings allow";
+  EXPECT_EQ(h.all<Answer>()[0].retry_after, 500ms) << "no longer than the settings allow";
   h.serve(0);
   EXPECT_EQ(h.all<Answer>().size(), 2U);
   EXPECT_EQ(h.reducer.held(), 0U);
@@ -158,7 +158,7 @@
     EXPECT_EQ(h.sent(), std::vector<std::string>{"other key"}) << how;
     if (how == 0) h.end(0);
     if (how == 1) h.end(0, {{}, {}, {}, 100ms, {}});
-    if (how == 2) h.at(1ms, Cancelled{1});
+    if (how == 2) h.at(1ms, ClientCancelled{1});
     h.pass(50ms);
     auto sent = h.sent();
     ASSERT_EQ(sent.size(), 2U) << how;
@@ -185,10 +185,10 @@
 
 TEST(HookedCore, RequestsInsideAreOwedAndCountAsOpen) {
   Hooked h;
-  for (Client client = 1; client <= 9; ++client) h.ask(client, "hooked");
+  for (ClientHandle client = 1; client <= 9; ++client) h.ask(client, "hooked");
   EXPECT_EQ(h.reducer.owed(), 8U);
   ASSERT_EQ(h.all<Answer>().size(), 1U) << "the ninth is more than may be open";
-  h.at(1ms, Cancelled{3});
+  h.at(1ms, ClientCancelled{3});
   EXPECT_EQ(h.reducer.owed(), 7U);
   EXPECT_EQ(h.reducer.held(), 7U);
 }
@@ -197,7 +197,7 @@
   Hooked h;
   h.ask(1, "hooked", 0, 0, 20s);
   h.ask(2, "hooked", 0, 0, 20s);
-  h.at(1ms, StopAsked{});
+  h.at(1ms, ShutdownRequested{});
   h.pass(1s);
   EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::draining);
   h.end(0);
@@ -206,7 +206,7 @@
   // Before the kill, which comes no sooner than the longest deadline and this after the request to stop.
   h.pass(2s + Lifecycle::kKill - 1s);
   ASSERT_EQ(h.all<Answer>().size(), 2U);
-  EXPECT_EQ(h.all<Answer>()[1].kind, AnswerKind::refused);
+  EXPECT_EQ(h.all<Answer>()[1].kind, AnswerKind::rejected);
   EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::exited);
 }
 
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -11,9 +11,9 @@
   Settings s = plain_settings();
   s.kinds = {{"one", 10, 0}};  // pool of one engine and one gateway: 20 threads
   s.classes.resize(1);
-  s.classes[0].aim = 100s;        // wait aim 30 s
-  s.classes[0].aim_stretch = 10;  // nothing is given up while the loop is watched
-  s.classes[0].give_up = 1000s;
+  s.classes[0].latency_objective = 100s;  // wait aim 30 s
+  s.classes[0].objective_stretch = 10;    // nothing is given up while the loop is watched
+  s.classes[0].client_timeout = 1000s;
   s.max_attempts = 1;
   return s;
 }
@@ -24,20 +24,20 @@
   Drive d(s);
   d.list({engine(7)});
   d.until(d.now + 10s);
-  EXPECT_DOUBLE_EQ(d.gateway.view(0).budget, 2);
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 20);
+  EXPECT_DOUBLE_EQ(d.gateway.class_status(0).budget, 2);
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
 }
 
 TEST(ControlLoop, QueriesStillWaitingShowInTheMeasure) {
   Drive d(loop_settings());
   d.list({engine(7)});
-  d.list({with_state(engine(7), EngineState::draining)}, ListKind::delta);
+  d.list({with_state(engine(7), EngineState::draining)}, EndpointListKind::delta);
   d.ask(1, 0, 500s);
   d.until(d.now + 60s);
   // Nothing is ready: the pool is 0, budgets stay at the least. Then the engine comes back with 20 threads,
   // and a query taken long ago has waited past the aim.
-  EXPECT_DOUBLE_EQ(d.gateway.view(0).budget, 1);
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 0);
+  EXPECT_DOUBLE_EQ(d.gateway.class_status(0).budget, 1);
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 0);
 }
 
 TEST(ControlLoop, FollowsTheFormula) {
@@ -47,19 +47,20 @@
   // One engine whose every slot is taken by this class, with more queries held behind: E falls below 0.
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.view(0).queued, 1U) << "20 threads of the pool, and one held";
+  ASSERT_EQ(d.gateway.class_status(0).queued, 1U) << "20 threads of the pool, and one held";
   // Period m ends at 2 s x m; one query is held since 0 s, so its wait is 2m seconds.
   // Period 1 also holds the 20 that went at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
   double u = 1, before = 0;
   for (int m = 1; m <= 25; ++m) {
-    d.at(d.now, {Note{1, 0, 7, NoteKind::spill, 1}});  // a word, so that the engine is not taken for silent
+    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill,
+                                 1}});  // a word, so that the engine is not taken for silent
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
     u = std::clamp(u + gain * (error - 0.3 * before), 1.0, pool);
     before = error;
-    EXPECT_NEAR(d.gateway.view(0).budget, u, 1e-6) << "period " << m;
+    EXPECT_NEAR(d.gateway.class_status(0).budget, u, 1e-6) << "period " << m;
   }
   EXPECT_GT(u, 1.0) << "the sequence must leave the lower bound";
 }
@@ -69,7 +70,7 @@
 TEST(ControlLoop, BudgetsFillByRankAndSaturationStartsFromWhatAClassGot) {
   Settings s = loop_settings();
   s.classes.push_back(s.classes[0]);
-  s.classes[1].aim = 101s;  // ranks second; wait aim 30.3 s
+  s.classes[1].latency_objective = 101s;  // ranks second; wait aim 30.3 s
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
@@ -78,7 +79,7 @@
   double u[] = {1, 1}, got[] = {1, 1}, before[] = {0, 0};
   bool saturated_once = false;
   for (int m = 1; m <= 36; ++m) {
-    d.at(d.now, {Note{1, 0, 7, NoteKind::spill, 1}});
+    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const bool saturated = u[0] + u[1] > pool;
     saturated_once = saturated_once || saturated;
@@ -91,7 +92,7 @@
     got[0] = std::min(u[0], pool);
     got[1] = std::max(1.0, std::min(u[1], pool - got[0]));
     for (ClassIndex c = 0; c < 2; ++c)
-      EXPECT_NEAR(d.gateway.view(c).budget, got[c], 1e-6) << "period " << m << " class " << c;
+      EXPECT_NEAR(d.gateway.class_status(c).budget, got[c], 1e-6) << "period " << m << " class " << c;
   }
   EXPECT_TRUE(saturated_once);
 }
@@ -99,20 +100,20 @@
 TEST(ControlLoop, ALostEngineChangesThePoolAtOnce) {
   Drive d(loop_settings());
   d.list({engine(7), engine(8)});
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 40);
-  d.list({with_state(engine(8), EngineState::gone)}, ListKind::delta);
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 20);
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 40);
+  d.list({with_state(engine(8), EngineState::gone)}, EndpointListKind::delta);
+  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
 }
 
 TEST(Release, TheShorterAimGoesFirstAndThenTheWorth) {
   Settings s = plain_settings();
   s.kinds = {{"one", 0.5, 0}};  // one thread
   s.classes.resize(3);
-  s.classes[0].aim = 2s;
-  s.classes[1].aim = 1s;
-  s.classes[2].aim = 1s;
-  s.classes[1].effect = s.classes[2].effect = Effect::safe;
-  s.classes[2].worth = 5;
+  s.classes[0].latency_objective = 2s;
+  s.classes[1].latency_objective = 1s;
+  s.classes[2].latency_objective = 1s;
+  s.classes[1].idempotency = s.classes[2].idempotency = Idempotency::idempotent;
+  s.classes[2].priority_weight = 5;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
@@ -122,7 +123,7 @@
   d.ask(12, 2);
   ASSERT_EQ(d.sends.size(), filled);
   for (RequestId id = 1; id <= 4 && d.sends.size() < filled + 2; ++id) {
-    if (d.sends_of(id) > 0) d.ends(id, 0, 7, Result::served);
+    if (d.sends_of(id) > 0) d.ends(id, 0, 7, AttemptResult::served);
   }
   ASSERT_GT(d.sends.size(), filled);
   EXPECT_EQ(d.sends[filled].request, 12U);
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -171,7 +171,7 @@
   const auto address = net::local_address(fd.get());
   platform::Front front(
       loop, std::move(fd), names, 1, handles, [] { return true; },
-      [&](core::Event e) { taken = taken || std::holds_alternative<core::Arrived>(e); });
+      [&](core::Event e) { taken = taken || std::holds_alternative<core::RequestReceived>(e); });
   Client busy(address);
   busy.ask(1, "lookup", kSelect);
   while (!taken) loop.run(ev::ONCE);
@@ -476,8 +476,9 @@
     ev::dynamic_loop loop;
     bool serves = false;
     config::Names names;
-    platform::ChangeLog log(loop, silent.address(), names, 0, 1,
-                            [&](core::Event e) { serves = std::holds_alternative<core::FleetQuiet>(e); });
+    platform::ChangeLog log(loop, silent.address(), names, 0, 1, [&](core::Event e) {
+      serves = std::holds_alternative<core::EndpointListPolled>(e);
+    });
     core::Time now = 100s;
     for (; !serves && now < 110s; now += 50ms) {
       log.tick(now);
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -21,7 +21,7 @@
   explicit Driven(const std::string& address)
       : engines_(loop_, limits(), {"lookup"}, {"pending", "x1", "x0"},
                  [this](core::Event e) { events.push_back(std::move(e)); }) {
-    engines_.run(core::EngineMoved{7, address});
+    engines_.run(core::EndpointChanged{7, address});
   }
   template <class T>
   T wait() {
@@ -44,7 +44,7 @@
   }
   void start() {
     engines_.run(core::StartAttempt{id, 7});
-    wait<core::AttemptReady>();
+    wait<core::AttemptConnected>();
     core::Transmit what;
     what.id = id;
     what.wait = 5s;
@@ -56,7 +56,7 @@
   core::AttemptEnded abandoned(HttpEngine& engine) {
     start();
     until(engine, [](const Call& call) { return call.method == "GET"; });
-    run(core::Abandon{id});
+    run(core::CancelAttempt{id});
     return wait<core::AttemptEnded>();
   }
   template <class Effect>
@@ -119,12 +119,12 @@
   Driven d(engine);
   d.start();
   d.until(engine, [](const Call& c) { return c.method == "POST"; });
-  d.run(core::Abandon{d.id});
-  d.run(core::ProbeEngine{7});  // goes out on another connection, as a DELETE would
-  d.wait<core::ProbeEnded>();
+  d.run(core::CancelAttempt{d.id});
+  d.run(core::SendHealthCheck{7});  // goes out on another connection, as a DELETE would
+  d.wait<core::HealthCheckEnded>();
   EXPECT_EQ(engine.calls.count(gone), 0U);
   answer.set_value();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::cancelled);
   EXPECT_EQ(engine.calls.count(gone), 1U);
 }
 
@@ -156,15 +156,15 @@
   };
   d.start();
   until("POST");
-  d.run(core::Abandon{d.id});
+  d.run(core::CancelAttempt{d.id});
   word.set_value();
   until("DELETE");
   cut.set_value();
   until("reset");
-  d.run(core::ProbeEngine{7});  // what is through after the reset has been read
-  d.wait<core::ProbeEnded>();
+  d.run(core::SendHealthCheck{7});  // what is through after the reset has been read
+  d.wait<core::HealthCheckEnded>();
   answer.set_value();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::cancelled);
 }
 
 // A load was sent while an earlier one of its key still ran at an engine that drained: it took no connection
@@ -180,15 +180,15 @@
   d.start();
   d.until(engine, poll);
   engine.server.drain();
-  d.run(core::Abandon{d.id});
+  d.run(core::CancelAttempt{d.id});
   for (int i = 0; i < 20; ++i) d.turn();  // the DELETE beside the call is refused
   EXPECT_TRUE(std::ranges::none_of(d.events, [](const auto& e) {
     return std::holds_alternative<core::AttemptEnded>(e);
   })) << "it still runs there";
   polled.set_value();
   const auto ended = d.wait<core::AttemptEnded>();
-  EXPECT_EQ(ended.end, AttemptEnd::withdrawn);
-  EXPECT_EQ(ended.lingers, core::Time::zero());
+  EXPECT_EQ(ended.end, AttemptEnd::cancelled);
+  EXPECT_EQ(ended.may_run_for, core::Time::zero());
   EXPECT_EQ(engine.calls.count(gone), 1U);
 }
 
@@ -199,10 +199,10 @@
   });
   Driven d(engine);
   const auto ended = d.abandoned(engine);
-  EXPECT_EQ(ended.end, AttemptEnd::withdrawn);
+  EXPECT_EQ(ended.end, AttemptEnd::cancelled);
   // The call for news that was out may have come at the last moment, been held, and kept the query alive.
-  EXPECT_GT(ended.lingers, kOrphan);
-  EXPECT_LE(ended.lingers, kOrphan + kDial);
+  EXPECT_GT(ended.may_run_for, kOrphan);
+  EXPECT_LE(ended.may_run_for, kOrphan + kDial);
 }
 
 // Cut off: a key's next load was sent 2.05 s after the last call for news, and ran beside this one.
@@ -215,11 +215,11 @@
   Driven d(engine);
   d.start();
   d.until(engine, poll);
-  d.run(core::EngineMoved{7, "127.0.0.1:1"});  // takes no connections either
+  d.run(core::EndpointChanged{7, "127.0.0.1:1"});  // takes no connections either
   d.ahead = 1s;
   const auto ended = d.wait<core::AttemptEnded>();
   EXPECT_EQ(ended.end, AttemptEnd::reset);
-  EXPECT_GT(ended.lingers, kOrphan);
+  EXPECT_GT(ended.may_run_for, kOrphan);
   over.set_value();
 }
 
@@ -233,12 +233,12 @@
   Driven d(engine);
   d.start();
   d.until(engine, [](const Call& c) { return c.method == "POST"; });
-  d.run(core::Abandon{d.id});
+  d.run(core::CancelAttempt{d.id});
   d.ahead = 2s;
   const auto ended = d.wait<core::AttemptEnded>();
-  EXPECT_EQ(ended.end, AttemptEnd::withdrawn);
+  EXPECT_EQ(ended.end, AttemptEnd::cancelled);
   EXPECT_EQ(engine.calls.count(gone), 1U);
-  EXPECT_GT(ended.lingers, kOrphan);
+  EXPECT_GT(ended.may_run_for, kOrphan);
   over.set_value();
 }
 
@@ -246,8 +246,8 @@
   HttpEngine engine([](const Call& call) { return http(gone(call) ? 503 : 202); });
   Driven d(engine);
   const auto ended = d.abandoned(engine);
-  EXPECT_EQ(ended.end, AttemptEnd::withdrawn);
-  EXPECT_GT(ended.lingers, 2s);
+  EXPECT_EQ(ended.end, AttemptEnd::cancelled);
+  EXPECT_GT(ended.may_run_for, 2s);
 }
 
 TEST(Engines, NewsAreAskedForAgainWhenAConnectionBreaksAndTheStatementIsNotSentTwice) {
@@ -284,7 +284,7 @@
 
 TEST(Engines, OnlyTheMarkProvesThatNothingRan) {
   const std::pair<std::string, AttemptEnd> kAnswers[] = {
-      {http(503, {}, "X-Shed: 1\r\n"), AttemptEnd::turned_away},
+      {http(503, {}, "X-Shed: 1\r\n"), AttemptEnd::rejected},
       {http(503), AttemptEnd::error},
       {http(504, {}, "X-Shed: 1\r\n"), AttemptEnd::expired},
       {http(504), AttemptEnd::error},
@@ -305,12 +305,12 @@
     });
     HttpEngine unused([](const Call&) { return http(500); });
     Driven d(unused);
-    d.run(core::EngineMoved{7, server.address()});
+    d.run(core::EndpointChanged{7, server.address()});
     d.start();
     const auto ended = d.wait<core::AttemptEnded>();
     EXPECT_EQ(ended.end, expected) << answer;
     const bool proof = answer.starts_with("HTTP/1.1 500") || answer.find("X-Shed") != std::string::npos;
-    EXPECT_EQ(ended.lingers == core::Time::zero(), proof) << answer;
+    EXPECT_EQ(ended.may_run_for == core::Time::zero(), proof) << answer;
   }
 }
 
@@ -357,14 +357,14 @@
   const auto ended = d.wait<core::AttemptEnded>();
   EXPECT_EQ(ended.end, AttemptEnd::reset);
   // It came all the same on the bench, and ran beside the next of its key.
-  EXPECT_GT(ended.lingers, kOrphan);
+  EXPECT_GT(ended.may_run_for, kOrphan);
 }
 
 TEST(Engines, AConnectionThatIsLostBeforeTheFirstByteProvesThatNothingRan) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Driven d(engine);
   d.run(core::StartAttempt{d.id, 7});
-  d.wait<core::AttemptReady>();
+  d.wait<core::AttemptConnected>();
   engine.server.stop();
   for (int i = 0; i < 3; ++i) d.turn();
   core::Transmit what;
@@ -412,7 +412,7 @@
   });
   HttpEngine unused([](const Call&) { return http(500); });
   Driven d(unused);
-  d.run(core::EngineMoved{7, server.address()});
+  d.run(core::EndpointChanged{7, server.address()});
   d.start();
   EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
   d.ahead = 11s;
@@ -426,11 +426,11 @@
 TEST(Engines, AProbeTellsTheReportAndARefusedConnectionThatNothingRan) {
   HttpEngine engine([](const Call&) { return http(500); });
   Driven d(engine);
-  d.run(core::ProbeEngine{7});
-  EXPECT_EQ(d.wait<core::ProbeEnded>().load, (std::vector<double>{0, 0.1, 0.1}));
+  d.run(core::SendHealthCheck{7});
+  EXPECT_EQ(d.wait<core::HealthCheckEnded>().load, (std::vector<double>{0, 0.1, 0.1}));
   engine.server.stop();
   d.run(core::StartAttempt{d.id, 7});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::not_connected);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::connect_failed);
 }
 
 // One reset connection passed for an engine that is down: it was rested, and all that ran there was taken
@@ -444,9 +444,9 @@
       socket.send(http(200, {}, "X-Meter: pending:3;x1:0.1;x0:0.1\r\n"));
     });
     Driven d(engine.address());
-    d.run(core::ProbeEngine{7});
-    const auto ended = d.wait<core::ProbeEnded>();
-    EXPECT_EQ(ended.result, resets == 1 ? policy::Result::served : policy::Result::reset);
+    d.run(core::SendHealthCheck{7});
+    const auto ended = d.wait<core::HealthCheckEnded>();
+    EXPECT_EQ(ended.result, resets == 1 ? policy::AttemptResult::served : policy::AttemptResult::reset);
     EXPECT_EQ(calls, 2);
   }
 }
@@ -505,8 +505,9 @@
     ev::dynamic_loop loop;
     bool serves = false;
     config::Names names;
-    platform::ChangeLog log(loop, address, names, 0, seed,
-                            [&](core::Event e) { serves = std::holds_alternative<core::FleetQuiet>(e); });
+    platform::ChangeLog log(loop, address, names, 0, seed, [&](core::Event e) {
+      serves = std::holds_alternative<core::EndpointListPolled>(e);
+    });
     core::Time now = 100s;
     for (; !serves && now < 110s; now += 5ms) {
       log.tick(now);
@@ -530,11 +531,11 @@
   for (int n = 0; n < 1023; ++n)
     config.peers.push_back("127.1." + std::to_string(n / 250) + "." + std::to_string(n % 250 + 1) + ":7946");
   config.peers.push_back(net::local_address(last.get()));
-  config.settings.me = 3;
+  config.settings.broker_index = 3;
   config.peers[3] = config.peer_listen;
   std::vector<std::uint32_t> heard;
   platform::Peers peers(loop, config,
-                        [&](core::Event e) { heard.push_back(std::get<core::PeerHeard>(e).from); });
+                        [&](core::Event e) { heard.push_back(std::get<core::GossipReceived>(e).from); });
   const auto to = net::parse_address(config.peer_listen).value();
   for (const auto* from : {&stranger, &last})
     ASSERT_EQ(::sendto(from->get(), "o", 1, 0, reinterpret_cast<const sockaddr*>(&to), sizeof to), 1);
--- a/tests/net/reconfigure_test.cpp
+++ b/tests/net/reconfigure_test.cpp
@@ -31,7 +31,7 @@
 
  private:
   void serve(Socket& socket) {
-    link::Unframer unframer(control::kMostMessage);
+    link::Unframer unframer(control::kMaxMessage);
     const auto say = [&](const control::Message& message) {
       socket.send(link::frame(control::encode(message)));
     };
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -519,7 +519,7 @@
       while (socket.send("x")) std::this_thread::yield();
     });
     again_and_again(node, [](Socket& socket) {  // a first message as long as any
-      std::string endless = link::frame(std::string(control::kMostMessage, ' '));
+      std::string endless = link::frame(std::string(control::kMaxMessage, ' '));
       (void)socket.send(endless);
     });
     again_and_again(node, [](Socket& socket) { socket.send(link::frame(std::string(60'000, '['))); });
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -111,7 +111,7 @@
   Socket socket;
 
  private:
-  link::Unframer unframer_{control::kMostMessage};
+  link::Unframer unframer_{control::kMaxMessage};
   std::deque<std::string> bodies_;
 };
 
