--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -21,7 +21,7 @@
   out.settings = test::small_settings();
   out.settings.classes.push_back(out.settings.classes[0]);
   out.settings.classes[1].name = "report";
-  out.settings.classes[1].aim = 3s;
+  out.settings.classes[1].latency_objective = 3s;
   out.settings.tenants = {{"first", 0.6, 60}, {"second", 0.4, 40}};
   out.names.classes = {{"lookup", 0}, {"report", 1}};
   out.names.class_names = {"lookup", "report"};
@@ -46,10 +46,10 @@
   first.classes = {{"report", {}, 1s, 7s, 2.0, 0.1}};
   const auto one = overlay(start, start, first, nothing);
   EXPECT_EQ(one.changelog, "127.0.0.1:2");
-  EXPECT_EQ(one.settings.classes[1].aim, 1s);
-  EXPECT_EQ(one.settings.classes[1].give_up, 7s);
-  EXPECT_EQ(one.settings.classes[1].worth, 2);
-  EXPECT_EQ(one.settings.classes[1].late_share, 0.1);
+  EXPECT_EQ(one.settings.classes[1].latency_objective, 1s);
+  EXPECT_EQ(one.settings.classes[1].client_timeout, 7s);
+  EXPECT_EQ(one.settings.classes[1].priority_weight, 2);
+  EXPECT_EQ(one.settings.classes[1].late_weight, 0.1);
   EXPECT_EQ(one.settings.classes[0], start.settings.classes[0]);
   EXPECT_EQ(one.settings.tenants,
             (std::vector<policy::TenantSettings>{{"first", 0, 0}, {"second", 0.5, 5}, {"third", 0.5, 5}}));
@@ -61,8 +61,8 @@
   const auto two = overlay(start, one, second, nothing);
   EXPECT_EQ(two.changelog, start.changelog);
   EXPECT_EQ(two.settings.classes[1], start.settings.classes[1]);
-  EXPECT_EQ(two.settings.classes[0].worth, 3);
-  EXPECT_EQ(two.settings.classes[0].aim, start.settings.classes[0].aim);
+  EXPECT_EQ(two.settings.classes[0].priority_weight, 3);
+  EXPECT_EQ(two.settings.classes[0].latency_objective, start.settings.classes[0].latency_objective);
   EXPECT_EQ(two.names.tenants, start.names.tenants);
   EXPECT_EQ(two.names.no_tenant, 0U);
   EXPECT_EQ(two.settings.tenants[0], start.settings.tenants[0]);
@@ -146,13 +146,13 @@
 
 Settings shared() {
   auto s = plain_settings();
-  s.over_share_worth = 0.05;
+  s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
   return s;
 }
 
 RequestId ask_for(Drive& d, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
-  Arrival a;
+  RequestArrival a;
   a.request = id;
   a.cls = cls;
   a.tenant = tenant;
@@ -161,7 +161,7 @@
   return id;
 }
 
-std::string refusal(Gateway& gateway, const Settings& settings) {
+std::string refusal(Scheduler& gateway, const Settings& settings) {
   try {
     gateway.reconfigure(settings);
   } catch (const std::invalid_argument& error) {
@@ -175,24 +175,28 @@
   Drive d(base);
   const auto with = [&](auto change) {
     auto s = base;
-    s.classes[0].aim = 9s;  // would be taken up otherwise
+    s.classes[0].latency_objective = 9s;  // would be taken up otherwise
     change(s);
     return refusal(d.gateway, s);
   };
   EXPECT_NE(with([](auto& s) { s.classes.pop_back(); }).find("the number of classes"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.classes[2].threads = 2; }).find("classes[].threads"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.classes[1].effect = Effect::safe; }).find("semantics"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.classes[2].window = 1ms; }).find("semantics"), std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.classes[1].idempotency = Idempotency::idempotent; }).find("semantics"),
+            std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.classes[2].deduplication_window = 1ms; }).find("semantics"),
+            std::string::npos);
   EXPECT_NE(with([](auto& s) { s.classes[2].name = "x"; }).find("classes[].name"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.classes[2].in_order = true; }).find("in_order"), std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.classes[2].ordered_by_key = true; }).find("in_order"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.kinds.pop_back(); }).find("kinds"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.gateways = 2; }).find("gateways"), std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.brokers = 2; }).find("gateways"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.zone = 2; }).find("zones"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.max_attempts = 9; }).find("can't change"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.retry_budget.emplace().span = 1s; }).find("can't change"),
+  EXPECT_NE(with([](auto& s) { s.retry_budget.emplace().window = 1s; }).find("can't change"),
+            std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.classes[2].latency_objective = 0s; }).find("aim must be above 0"),
+            std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.tenants[1].quota_fraction = -1; }).find("must not be below 0"),
             std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.classes[2].aim = 0s; }).find("aim must be above 0"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.tenants[1].share = -1; }).find("must not be below 0"), std::string::npos);
   // Class 0 is still the first in rank: of two that wait, it goes first.
   d.ask(1, 1);
   d.ask(2, 0);
@@ -205,27 +209,27 @@
   std::string out;
   for (const auto& action : actions) {
     out += std::to_string(action.index()) + ':';
-    if (const auto* send = std::get_if<Send>(&action))
+    if (const auto* send = std::get_if<SendAttempt>(&action))
       out += std::to_string(send->request) + '>' + std::to_string(send->engine) + '@' +
-             std::to_string(send->until.count());
-    if (const auto* refuse = std::get_if<Refuse>(&action)) out += std::to_string(refuse->request);
+             std::to_string(send->give_up_at.count());
+    if (const auto* refuse = std::get_if<Reject>(&action)) out += std::to_string(refuse->request);
     if (const auto* fail = std::get_if<Fail>(&action)) out += std::to_string(fail->request);
-    if (const auto* off = std::get_if<CallOff>(&action)) out += std::to_string(off->request);
-    if (const auto* tell = std::get_if<Tell>(&action)) out += tell->bytes;
+    if (const auto* off = std::get_if<CancelAttempt>(&action)) out += std::to_string(off->request);
+    if (const auto* tell = std::get_if<SendGossip>(&action)) out += tell->bytes;
     out += ' ';
   }
   return out;
 }
 
 // Twenty crowded seconds, all that was done in them as text. `at`: called every 100 ms.
-std::string crowded_day(const std::function<void(Gateway&, int)>& at) {
+std::string crowded_day(const std::function<void(Scheduler&, int)>& at) {
   auto s = shared();
-  s.gateways = 2;
-  s.may_tell = true;
+  s.brokers = 2;
+  s.may_gossip = true;
   Drive d(s, 5);
   d.list({engine(7), engine(8), engine(9)});
   std::mt19937_64 random(11);
-  std::multimap<Time, std::pair<Send, ClassIndex>> out;
+  std::multimap<Time, std::pair<SendAttempt, ClassIndex>> out;
   std::map<RequestId, ClassIndex> classes;
   std::map<RequestId, AttemptIndex> tries;
   std::string text;
@@ -234,20 +238,20 @@
   for (int step = 0; step < 2000; ++step) {
     const Time now = d.now + 10ms;
     std::vector<Event> events;
-    if (d.wake <= now) events.emplace_back(Wake{});
+    if (d.wake <= now) events.emplace_back(TimerFired{});
     for (; !out.empty() && out.begin()->first <= now; out.erase(out.begin())) {
       const auto& send = out.begin()->second.first;
-      Outcome o;
+      AttemptOutcome o;
       o.request = send.request;
       o.attempt = tries[send.request]++;
       o.engine = send.engine;
-      o.result = random() % 40 == 0 ? Result::error : Result::served;
+      o.result = random() % 40 == 0 ? AttemptResult::error : AttemptResult::served;
       o.latency = 200ms;
-      o.closed = o.result == Result::served;
+      o.request_closed = o.result == AttemptResult::served;
       events.emplace_back(o);
     }
     for (auto n = random() % 3; n > 0; --n) {
-      Arrival a;
+      RequestArrival a;
       a.request = ++id;
       a.cls = classes[id] = static_cast<ClassIndex>(random() % 3);
       a.tenant = random() % 4 == 0 ? 0 : 1;
@@ -266,16 +270,16 @@
 // on.
 TEST(Reconfigure, TheSameSettingsAgainChangeNothing) {
   auto s = shared();
-  s.gateways = 2;
-  s.may_tell = true;
-  const auto left_alone = crowded_day([](Gateway&, int) {});
-  const auto told_again = crowded_day([&](Gateway& gateway, int) { gateway.reconfigure(s); });
+  s.brokers = 2;
+  s.may_gossip = true;
+  const auto left_alone = crowded_day([](Scheduler&, int) {});
+  const auto told_again = crowded_day([&](Scheduler& gateway, int) { gateway.reconfigure(s); });
   EXPECT_GT(left_alone.size(), 20'000U);
   EXPECT_NE(left_alone.find("2:"), std::string::npos) << "some are refused";
   EXPECT_TRUE(left_alone == told_again);
   auto dearer = s;
-  dearer.classes[2].aim = 100ms;
-  const auto changed = crowded_day([&](Gateway& gateway, int) { gateway.reconfigure(dearer); });
+  dearer.classes[2].latency_objective = 100ms;
+  const auto changed = crowded_day([&](Scheduler& gateway, int) { gateway.reconfigure(dearer); });
   EXPECT_FALSE(left_alone == changed) << "the day tells such things apart";
 }
 
@@ -284,7 +288,7 @@
   Drive d(s);
   d.ask(1, 0);
   d.ask(2, 2);
-  s.classes[2].aim = 500ms;
+  s.classes[2].latency_objective = 500ms;
   d.gateway.reconfigure(s);
   d.list({engine(7)});
   ASSERT_EQ(d.sends.size(), 2U);
@@ -296,24 +300,24 @@
   Settings s;
   s.kinds = {{"one", 10, 0}};
   s.classes.resize(1);
-  s.classes[0].aim = 100s;        // wait aim 30 s
-  s.classes[0].aim_stretch = 10;  // nothing is given up meanwhile
-  s.classes[0].give_up = 1000s;
+  s.classes[0].latency_objective = 100s;  // wait aim 30 s
+  s.classes[0].objective_stretch = 10;    // nothing is given up meanwhile
+  s.classes[0].client_timeout = 1000s;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.view(0).queued, 1U);
+  ASSERT_EQ(d.gateway.class_status(0).queued, 1U);
   double u = 1, before = 0;
   for (int m = 1; m <= 25; ++m) {
-    s.classes[0].worth = m;
+    s.classes[0].priority_weight = m;
     s.tenants = {{"t" + std::to_string(m), 1, 10}};
     d.gateway.reconfigure(s);
-    d.at(d.now, {Note{1, 0, 7, NoteKind::spill, 1}});
+    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double error = (30 - (m == 1 ? 2.0 / 21 : 2.0 * m)) / 30;
     u = std::clamp(u - 0.8 * 2 * (error - 0.3 * before), 1.0, 20.0);
     before = error;
-    EXPECT_NEAR(d.gateway.view(0).budget, u, 1e-6) << "period " << m;
+    EXPECT_NEAR(d.gateway.class_status(0).budget, u, 1e-6) << "period " << m;
   }
   EXPECT_GT(u, 1.0);
 }
@@ -332,7 +336,7 @@
   const int at_start = until_refused(1);
   EXPECT_GT(at_start, 10);
   // The bucket is empty, and stays empty though its tenant's share grows.
-  s.tenants[1].share = 0.9;
+  s.tenants[1].quota_fraction = 0.9;
   s.tenants.push_back({"new", 0.5, 20});
   d.gateway.reconfigure(s);
   EXPECT_EQ(until_refused(1), 0);
@@ -346,7 +350,7 @@
   d.gateway.reconfigure(s);
   EXPECT_EQ(until_refused(1), at_start);
   // Removed, it keeps what it has, and gets nothing more.
-  s.tenants[2].share = s.tenants[2].quota_per_s = 0;
+  s.tenants[2].quota_fraction = s.tenants[2].quota_per_s = 0;
   d.gateway.reconfigure(s);
   d.until(d.now + 5s);
   EXPECT_LE(until_refused(2), 3);
@@ -359,10 +363,10 @@
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, 0, 5s);
-  d.ends(1, 0, 7, Result::served);
-  s.classes[0].give_up = 2s;
+  d.ends(1, 0, 7, AttemptResult::served);
+  s.classes[0].client_timeout = 2s;
   d.gateway.reconfigure(s);
-  Arrival fresh;
+  RequestArrival fresh;
   fresh.request = 2;
   fresh.time_left = 2s;
   d.at(d.now + 3s, {fresh});  // away for so long
@@ -381,14 +385,14 @@
 
 policy::Settings settings(Time give_up) {
   auto s = test::small_settings();
-  s.classes[0].give_up = give_up;
+  s.classes[0].client_timeout = give_up;
   auto report = s.classes[0];
   report.name = "report";
-  report.aim = 2s;
+  report.latency_objective = 2s;
   s.classes.push_back(report);
   s.tenants = {{"first", 0.5, 50}, {"second", 0.5, 50}};
   s.max_attempts = 4;
-  s.may_call_off = s.retry_after = true;
+  s.may_cancel = s.sends_retry_after = true;
   s.max_retry_after = 500ms;
   return s;
 }
@@ -397,8 +401,8 @@
  public:
   explicit Running(hooks::Set set = {}, Time give_up = 3s)
       : with(settings(give_up)), reducer(with, 1, std::size_t{64} << 20, std::move(set), "127.0.0.1:1") {
-    at(0ms, Listening{});
-    at(0ms, FleetChange{true, {test::member(7)}, true});
+    at(0ms, ListenersReady{});
+    at(0ms, EndpointUpdate{true, {test::member(7)}, true});
     at(0ms, Tick{});
   }
   void at(Time after, Event event) {
@@ -408,14 +412,14 @@
   void pass(Time time) {
     for (const Time end = now + time; now < end;) at(std::min<Time>(5ms, end - now), Tick{});
   }
-  void ask(Client client, ClassIndex cls = 0, std::uint32_t tenant = 0, Time limit = 2s) {
+  void ask(ClientHandle client, ClassIndex cls = 0, std::uint32_t tenant = 0, Time limit = 2s) {
     Submission asked;
     asked.client = client;
     asked.cls = cls;
     asked.tenant = tenant;
-    asked.limit = limit;
+    asked.time_limit = limit;
     asked.body = "SELECT 1";
-    at(10ms, Arrived{asked});
+    at(10ms, RequestReceived{asked});
   }
   void offer(std::uint64_t number, std::string changelog = {}) {
     at(0ms, SettingsOffered{3, number, with, std::move(changelog), std::make_shared<const int>(7)});
@@ -445,10 +449,10 @@
 
 TEST(Reconfigured, OneEventTakesAllOfItUp) {
   Running r;
-  r.with.classes[1].aim = 100ms;
+  r.with.classes[1].latency_objective = 100ms;
   r.effects.clear();
   r.offer(17, "127.0.0.1:2");
-  const auto in_force = r.all<SettingsInForce>();
+  const auto in_force = r.all<SettingsApplied>();
   ASSERT_EQ(in_force.size(), 1U);
   EXPECT_EQ(in_force[0].epoch, 3U);
   EXPECT_EQ(in_force[0].number, 17U);
@@ -456,33 +460,33 @@
   EXPECT_EQ(in_force[0].changelog, "127.0.0.1:2");
   EXPECT_EQ(*static_cast<const int*>(in_force[0].names.get()), 7);
   EXPECT_TRUE(r.said("settings of version 3.17 are in force"));
-  EXPECT_TRUE(r.all<SettingsRefused>().empty());
+  EXPECT_TRUE(r.all<SettingsRejected>().empty());
 }
 
 // Without an event in between: whichever comes next finds the module and the reducer with the same settings.
 TEST(Reconfigured, NoMomentHasSettingsOfTwoVersions) {
   Running r;
-  r.at(0ms, FleetChange{true, {}, true});
+  r.at(0ms, EndpointUpdate{true, {}, true});
   r.ask(1, 0);
   r.ask(2, 1);
-  r.with.classes[1].aim = 100ms;  // now the first in rank
-  r.with.classes[0].give_up = r.with.classes[1].give_up = 400ms;
+  r.with.classes[1].latency_objective = 100ms;  // now the first in rank
+  r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = 400ms;
   r.effects.clear();
   r.offer(1);
-  r.at(10ms, FleetChange{true, {test::member(7)}, true});  // the module is called with this alone
+  r.at(10ms, EndpointUpdate{true, {test::member(7)}, true});  // the module is called with this alone
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 2U);
   EXPECT_EQ(starts[0].id.request, 2U) << "by the new ranks";
   for (const auto& start : starts) {
-    r.at(0ms, AttemptReady{start.id});
+    r.at(0ms, AttemptConnected{start.id});
     r.finish(start.id, AttemptEnd::served);
   }
   // And the reducer's: with deadlines of 0.4 s the program ends its drain at its least, 0.8 s.
   Running s;
-  s.with.classes[0].give_up = s.with.classes[1].give_up = 400ms;
+  s.with.classes[0].client_timeout = s.with.classes[1].client_timeout = 400ms;
   s.offer(1);
   s.ask(1, 0, 0, 400ms);
-  s.at(0ms, StopAsked{});
+  s.at(0ms, ShutdownRequested{});
   s.ask(2, 0, 0, 20s);
   s.pass(780ms);
   EXPECT_EQ(s.reducer.owed(), 1U);
@@ -493,28 +497,28 @@
 TEST(Reconfigured, ASenselessOneLeavesEverythingAsItWas) {
   Running r;
   r.offer(16, "127.0.0.1:2");
-  r.at(0ms, FleetChange{true, {}, true});
+  r.at(0ms, EndpointUpdate{true, {}, true});
   r.ask(1, 0);
   r.ask(2, 1);
   const auto good = r.with;
-  r.with.classes[1].aim = 100ms;
+  r.with.classes[1].latency_objective = 100ms;
   r.with.classes[0].threads = 3;
   r.effects.clear();
   r.offer(17, "127.0.0.1:3");
-  ASSERT_EQ(r.all<SettingsRefused>().size(), 1U);
-  EXPECT_EQ(r.all<SettingsRefused>()[0].number, 17U);
-  EXPECT_NE(r.all<SettingsRefused>()[0].problem.find("threads"), std::string::npos);
-  EXPECT_TRUE(r.all<SettingsInForce>().empty());
+  ASSERT_EQ(r.all<SettingsRejected>().size(), 1U);
+  EXPECT_EQ(r.all<SettingsRejected>()[0].number, 17U);
+  EXPECT_NE(r.all<SettingsRejected>()[0].problem.find("threads"), std::string::npos);
+  EXPECT_TRUE(r.all<SettingsApplied>().empty());
   EXPECT_TRUE(r.said("the old ones stay"));
   r.at(0ms, ConfigurationRead{{}, "127.0.0.1:4", {}, {}});
   ASSERT_EQ(r.all<FollowChangeLog>().size(), 1U);
   EXPECT_EQ(r.all<FollowChangeLog>()[0].address, "127.0.0.1:2");
-  r.at(10ms, FleetChange{true, {test::member(7)}, true});
+  r.at(10ms, EndpointUpdate{true, {test::member(7)}, true});
   ASSERT_EQ(r.all<StartAttempt>().size(), 2U);
   EXPECT_EQ(r.all<StartAttempt>()[0].id.request, 1U);
   r.with = good;
   r.offer(18);
-  EXPECT_EQ(r.all<SettingsInForce>().size(), 1U);
+  EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
 }
 
 // A SIGHUP does not undo a version; a version that names no change log goes back to what was read last.
@@ -525,12 +529,12 @@
   read("127.0.0.1:2");
   EXPECT_EQ(followed(), "127.0.0.1:2");
   r.offer(1, "127.0.0.1:3");
-  EXPECT_EQ(r.all<SettingsInForce>().back().changelog, "127.0.0.1:3");
+  EXPECT_EQ(r.all<SettingsApplied>().back().changelog, "127.0.0.1:3");
   read("127.0.0.1:4");
   EXPECT_EQ(followed(), "127.0.0.1:3");
   EXPECT_TRUE(r.said("the change log stays at 127.0.0.1:3"));
   r.offer(2);
-  EXPECT_EQ(r.all<SettingsInForce>().back().changelog, "127.0.0.1:4");
+  EXPECT_EQ(r.all<SettingsApplied>().back().changelog, "127.0.0.1:4");
   read("127.0.0.1:5");
   EXPECT_EQ(followed(), "127.0.0.1:5");
 }
@@ -539,8 +543,8 @@
   Running r;
   r.ask(1, 0, 0, 2s);
   const auto id = r.all<StartAttempt>().at(0).id;
-  r.at(0ms, AttemptReady{id});
-  r.with.classes[0].give_up = 100ms;
+  r.at(0ms, AttemptConnected{id});
+  r.with.classes[0].client_timeout = 100ms;
   r.offer(1);
   r.pass(1900ms);
   EXPECT_TRUE(r.all<Answer>().empty());
@@ -560,13 +564,13 @@
   Running r({{}, {spec}});
   r.ask(1, 0, 1);
   const auto out = r.all<StartAttempt>().at(0).id;
-  r.at(0ms, AttemptReady{out});
+  r.at(0ms, AttemptConnected{out});
   r.ask(2, 1, 1);
   ASSERT_EQ(r.all<RunHook>().size(), 1U);
-  r.at(0ms, FleetChange{false, {test::member(7, policy::EngineState::draining)}, true});
+  r.at(0ms, EndpointUpdate{false, {test::member(7, policy::EngineState::draining)}, true});
   r.ask(3, 0, 1);
   EXPECT_EQ(r.reducer.tenants_held(), (std::unordered_set<std::uint32_t>{1}));
-  r.with.tenants[1].share = r.with.tenants[1].quota_per_s = 0;
+  r.with.tenants[1].quota_fraction = r.with.tenants[1].quota_per_s = 0;
   r.offer(1);
   EXPECT_TRUE(r.all<Answer>().empty());
   hooks::Ran ran;
@@ -575,16 +579,16 @@
   ran.how = hooks::Ran::How::done;
   ran.verdict.tags = {"seen"};
   r.at(0ms, HookRan{ran});
-  r.at(10ms, FleetChange{false, {test::member(7)}, true});
+  r.at(10ms, EndpointUpdate{false, {test::member(7)}, true});
   r.finish(out, AttemptEnd::served);
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 3U);
   for (std::size_t n = 1; n < 3; ++n) {
-    r.at(0ms, AttemptReady{starts[n].id});
+    r.at(0ms, AttemptConnected{starts[n].id});
     r.finish(starts[n].id, AttemptEnd::served);
   }
   r.pass(3s);
-  std::set<Client> answered;
+  std::set<ClientHandle> answered;
   for (const auto& answer : r.all<Answer>()) {
     EXPECT_EQ(answer.kind, AnswerKind::served);
     EXPECT_TRUE(answered.insert(answer.client).second);
@@ -624,17 +628,17 @@
   for (const Time give_up : {Time(200ms), Time(10s)}) {
     Running r;
     r.ask(1, 0, 0, 20s);
-    r.at(0ms, StopAsked{});
-    r.with.classes[0].give_up = r.with.classes[1].give_up = give_up;
+    r.at(0ms, ShutdownRequested{});
+    r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = give_up;
     r.offer(1);
-    EXPECT_EQ(r.all<SettingsInForce>().size(), 1U);
+    EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
     r.pass(3290ms);
     EXPECT_EQ(r.reducer.owed(), 1U);
     r.pass(15ms);
     EXPECT_EQ(r.reducer.owed(), 0U) << "the longest deadline, 3 s, and 0.3 s";
     r.effects.clear();
     r.at(0ms, SettingsOffered{3, 2, r.with, {}, {}});  // while it stops
-    EXPECT_EQ(r.all<SettingsInForce>().size(), 1U);
+    EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
   }
 }
 
@@ -643,9 +647,9 @@
   const auto ends_after = [](Time give_up, Time limit, Time at_start = 3s) {
     Running r({}, at_start);
     r.ask(1, 0, 0, limit);
-    r.with.classes[0].give_up = r.with.classes[1].give_up = give_up;
+    r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = give_up;
     r.offer(1);
-    r.at(0ms, StopAsked{});
+    r.at(0ms, ShutdownRequested{});
     r.ask(2, 0, 0, 20s);
     const Time from = r.now;
     while (r.reducer.owed() > 0) r.pass(5ms);
--- a/tests/replay/deployments.hpp
+++ b/tests/replay/deployments.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "bellstair/policy/gateway.hpp"
+#include "bellstair/policy/scheduler.hpp"
 
 namespace bellstair::test {
 
@@ -14,10 +14,10 @@
                                             double worth) {
   policy::ClassSettings out;
   out.name = name;
-  out.aim = aim;
-  out.give_up = give_up;
-  out.worth = worth;
-  out.late_share = 0.2;
+  out.latency_objective = aim;
+  out.client_timeout = give_up;
+  out.priority_weight = worth;
+  out.late_weight = 0.2;
   return out;
 }
 
@@ -25,33 +25,34 @@
 inline policy::Settings peers_and_probes(unsigned gateways) {
   using namespace std::chrono_literals;
   policy::Settings s;
-  s.gateways = gateways;
+  s.brokers = gateways;
   auto lookup = class_settings("lookup", 400ms, 2s, 1);
-  lookup.waits_for_group = true;
+  lookup.waits_for_data_group = true;
   auto report = class_settings("report", 2s, 8s, 3);
   report.threads = 4;
-  report.aim_stretch = 1.5;
+  report.objective_stretch = 1.5;
   auto load = class_settings("load", 3s, 10s, 2);
-  load.effect = policy::Effect::keyed;
-  load.window = 15s;
-  load.in_order = load.holds_group = load.waits_for_group = true;
+  load.idempotency = policy::Idempotency::keyed;
+  load.deduplication_window = 15s;
+  load.ordered_by_key = load.locks_data_group = load.waits_for_data_group = true;
   load.threads = 2;
   s.classes = {lookup, report, load};
   s.kinds = {{"std-8", 8, 16384}, {"std-16", 16, 32768}};
   s.tenants = {{"north", 0.5, 40}, {"south", 0.3, 20}, {"west", 0.2, 10}};
-  s.over_share_worth = 0.2;
+  s.over_quota_weight = 0.2;
   s.max_attempts = 4;
-  s.max_open = 500;
-  s.may_call_off = s.may_probe = s.may_tell = s.retry_after = true;
+  s.max_open_requests = 500;
+  s.may_cancel = s.may_health_check = s.may_gossip = s.sends_retry_after = true;
   s.max_retry_after = 500ms;
-  s.grants = s.priorities = s.tells_cost = true;
-  s.shortage = policy::Shortage::overcommit;
-  s.load_fields = {policy::LoadField::queue, policy::LoadField::util, policy::LoadField::memory_share};
-  s.cold_from = 0.3;
-  s.ramp_time = 8s;
-  s.tip_multiple = 1.8;
-  s.tip_window = 1s;
-  s.order_rest = 2300ms;
+  s.memory_grants = s.priorities = s.answers_report_cost = true;
+  s.memory_shortage = policy::MemoryShortage::overcommit;
+  s.load_report_fields = {policy::LoadReportField::queue, policy::LoadReportField::util,
+                          policy::LoadReportField::memory_share};
+  s.slow_start_capacity = 0.3;
+  s.slow_start_duration = 8s;
+  s.slow_start_overload_factor = 1.8;
+  s.slow_start_overload_window = 1s;
+  s.ordering_key_hold = 2300ms;
   s.drain_grace = 500ms;
   return s;
 }
@@ -61,30 +62,30 @@
 inline policy::Settings reports_in_answers(unsigned gateways) {
   using namespace std::chrono_literals;
   policy::Settings s;
-  s.gateways = gateways;
+  s.brokers = gateways;
   s.zones = 2;
-  s.price_cross_zone = 0.05;
+  s.cross_zone_cost = 0.05;
   auto lookup = class_settings("lookup", 500ms, 3s, 1);
   auto scan = class_settings("scan", 3s, 10s, 4);
   scan.threads = 2;
-  scan.aim_stretch = 2.5;
+  scan.objective_stretch = 2.5;
   auto load = class_settings("load", 4s, 12s, 2);
-  load.effect = policy::Effect::unsafe;
-  load.holds_group = load.waits_for_group = true;
+  load.idempotency = policy::Idempotency::not_idempotent;
+  load.locks_data_group = load.waits_for_data_group = true;
   s.classes = {scan, lookup, load};
   s.kinds = {{"std-12", 12, 24576}, {"std-16", 16, 32768}};
   s.tenants = {{"sky", 0.7, 60}, {"archive", 0.3, 20}};
   s.max_attempts = 3;
-  s.may_call_off = s.retry_after = true;
+  s.may_cancel = s.sends_retry_after = true;
   s.max_retry_after = 1s;
-  s.grants = s.priorities = true;
-  s.shortage = policy::Shortage::wait;
-  s.load_in_answers = true;
-  s.load_fields = {policy::LoadField::queue, policy::LoadField::inflight};
-  s.cold_from = 0.4;
-  s.ramp_time = 10s;
-  s.tip_multiple = 2.5;
-  s.tip_window = 2s;
+  s.memory_grants = s.priorities = true;
+  s.memory_shortage = policy::MemoryShortage::wait;
+  s.answers_report_load = true;
+  s.load_report_fields = {policy::LoadReportField::queue, policy::LoadReportField::inflight};
+  s.slow_start_capacity = 0.4;
+  s.slow_start_duration = 10s;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = 2s;
   s.retry_budget = policy::RetryBudget{10s, 3, 0.1};
   return s;
 }
@@ -94,40 +95,41 @@
 inline policy::Settings hedged(unsigned gateways) {
   using namespace std::chrono_literals;
   policy::Settings s;
-  s.gateways = gateways;
+  s.brokers = gateways;
   s.zones = 2;
   auto lookup = class_settings("lookup", 300ms, 3s, 1);
   auto write = class_settings("write", 800ms, 4s, 2);
-  write.effect = policy::Effect::keyed;
-  write.group = policy::RepeatGroup::zone;
-  write.window = 2s;
+  write.idempotency = policy::Idempotency::keyed;
+  write.deduplication_scope = policy::DeduplicationScope::zone;
+  write.deduplication_window = 2s;
   auto post = class_settings("post", 1s, 5s, 2);
-  post.effect = policy::Effect::keyed;
-  post.group = policy::RepeatGroup::cell;
-  post.window = 1s;
+  post.idempotency = policy::Idempotency::keyed;
+  post.deduplication_scope = policy::DeduplicationScope::cell;
+  post.deduplication_window = 1s;
   post.kinds = {{0}};
   auto audit = class_settings("audit", 2s, 6s, 1);
   audit.zones = {{1}};
-  audit.in_order = true;
+  audit.ordered_by_key = true;
   s.classes = {lookup, write, post, audit};
   s.kinds = {{"small", 4, 8192}, {"large", 8, 0}};
   s.max_attempts = 4;
-  s.may_call_off = s.may_probe = s.may_tell = s.second_copies = s.ask_for_list = true;
-  s.progress_pace = 300ms;
-  s.load_fields = {policy::LoadField::util, policy::LoadField::unknown, policy::LoadField::inflight};
-  s.cold_from = 0.5;
-  s.ramp_time = 4s;
-  s.tip_multiple = 3;
-  s.tip_window = 500ms;
-  s.order_rest = 1s;
+  s.may_cancel = s.may_health_check = s.may_gossip = s.hedging = s.polls_endpoint_list = true;
+  s.progress_interval = 300ms;
+  s.load_report_fields = {policy::LoadReportField::util, policy::LoadReportField::unknown,
+                          policy::LoadReportField::inflight};
+  s.slow_start_capacity = 0.5;
+  s.slow_start_duration = 4s;
+  s.slow_start_overload_factor = 3;
+  s.slow_start_overload_window = 500ms;
+  s.ordering_key_hold = 1s;
   return s;
 }
 
 // No report tells any load: brokers tell each other the pace of answers in its place.
 inline policy::Settings paces_only(unsigned gateways) {
   auto s = peers_and_probes(gateways);
-  s.load_fields = {policy::LoadField::queue, policy::LoadField::memory_share};
-  s.tells_cost = s.grants = s.priorities = false;
+  s.load_report_fields = {policy::LoadReportField::queue, policy::LoadReportField::memory_share};
+  s.answers_report_cost = s.memory_grants = s.priorities = false;
   return s;
 }
 
--- a/tests/replay/policy_replay_test.cpp
+++ b/tests/replay/policy_replay_test.cpp
@@ -21,7 +21,7 @@
 enum class Mode { well, slow, failing, silent, unreachable, full };
 
 struct ModelEngine {
-  EngineEntry entry;
+  Endpoint entry;
   Mode mode = Mode::well;
   unsigned running = 0;
 };
@@ -32,7 +32,7 @@
 };
 
 struct ModelRequest {
-  Arrival arrival;
+  RequestArrival arrival;
   Time deadline{};
   bool closed = false;
   std::vector<ModelAttempt> attempts;
@@ -62,7 +62,7 @@
 
 // One instance of the module with the requests that it was given.
 struct Instance {
-  std::unique_ptr<Gateway> gateway;
+  std::unique_ptr<Scheduler> gateway;
   std::map<RequestId, ModelRequest> requests;
   std::multimap<Time, Event> due;
   Time away_until{};
@@ -77,9 +77,10 @@
     for (unsigned n = 0; n < scenario.engines; ++n) add_engine(Time::zero());
     for (unsigned n = 0; n < scenario.instances; ++n) {
       auto settings = settings_;
-      settings.me = n;
-      instances_.push_back({std::make_unique<Gateway>(settings, scenario.seed + n), {}, {}, {}});
-      if (n + 1 < scenario.instances || n == 0) instances_.back().due.emplace(now_, full(ListKind::cached));
+      settings.broker_index = n;
+      instances_.push_back({std::make_unique<Scheduler>(settings, scenario.seed + n), {}, {}, {}});
+      if (n + 1 < scenario.instances || n == 0)
+        instances_.back().due.emplace(now_, full(EndpointListKind::cached));
     }
   }
 
@@ -103,21 +104,21 @@
     engine.entry.zone = static_cast<std::uint16_t>(engine.entry.engine % settings_.zones);
     engine.entry.cell = static_cast<std::uint16_t>(engine.entry.engine % 3);
     engine.entry.kind = static_cast<std::uint16_t>(engine.entry.engine / 2 % settings_.kinds.size());
-    engine.entry.last_start = start;
+    engine.entry.started_at = start;
     engines_.push_back(engine);
   }
 
-  [[nodiscard]] Listing full(ListKind kind) const {
-    Listing out;
+  [[nodiscard]] EndpointList full(EndpointListKind kind) const {
+    EndpointList out;
     out.kind = kind;
-    for (const auto& engine : engines_) out.engines.push_back(engine.entry);
+    for (const auto& engine : engines_) out.endpoints.push_back(engine.entry);
     return out;
   }
 
-  void announce(const EngineEntry& entry) {
+  void announce(const Endpoint& entry) {
     for (auto& instance : instances_)
       instance.due.emplace(now_ + Time(1ms) * static_cast<int>(random_.below(200)),
-                           Listing{ListKind::delta, {entry}});
+                           EndpointList{EndpointListKind::delta, {entry}});
   }
 
   // One change of an engine's health or state, as they come in service.
@@ -145,7 +146,7 @@
         announce(engine.entry);
         break;
       case 7:
-        engine.entry.last_start = now_;
+        engine.entry.started_at = now_;
         engine.entry.state = EngineState::ready;
         engine.mode = Mode::well;
         announce(engine.entry);
@@ -158,8 +159,8 @@
         break;
       case 9:
         for (auto& instance : instances_) {
-          instance.due.emplace(now_, Listing{ListKind::failed, {}});
-          instance.due.emplace(now_ + 700ms, full(ListKind::full));
+          instance.due.emplace(now_, EndpointList{EndpointListKind::failed, {}});
+          instance.due.emplace(now_ + 700ms, full(EndpointListKind::full));
         }
         break;
       case 10:
@@ -177,13 +178,13 @@
   }
 
   void reconfigure() {
-    settings_.classes[0].aim = settings_.classes[0].aim * 3 / 2;
-    settings_.classes[1].worth *= 2;
+    settings_.classes[0].latency_objective = settings_.classes[0].latency_objective * 3 / 2;
+    settings_.classes[1].priority_weight *= 2;
     if (!settings_.tenants.empty()) settings_.tenants.pop_back();
     settings_.tenants.push_back({"new", 0.1, 5});
     for (std::size_t n = 0; n < instances_.size(); ++n) {
       auto settings = settings_;
-      settings.me = static_cast<unsigned>(n);
+      settings.broker_index = static_cast<unsigned>(n);
       instances_[n].gateway->reconfigure(settings);
     }
   }
@@ -205,24 +206,24 @@
     digest_.add(static_cast<std::int64_t>(now_ / 1us));
     for (const auto& action : actions) std::visit([&](const auto& a) { take(n, a); }, action);
     if (now_ % 500ms != 0s) return;
-    digest_.add_rounded(instance.gateway->pool());
-    digest_.add_rounded(instance.gateway->level());
+    digest_.add_rounded(instance.gateway->thread_pool());
+    digest_.add_rounded(instance.gateway->load_level());
     for (std::size_t c = 0; c < settings_.classes.size(); ++c)
-      digest_.add_rounded(instance.gateway->view(static_cast<ClassIndex>(c)).budget);
+      digest_.add_rounded(instance.gateway->class_status(static_cast<ClassIndex>(c)).budget);
   }
 
   // An end of a request that the module was told of before is told no more.
   static void drop_if_stale(Instance& instance, std::vector<Event>& events) {
-    if (auto* outcome = std::get_if<Outcome>(&events.back())) {
+    if (auto* outcome = std::get_if<AttemptOutcome>(&events.back())) {
       auto& request = instance.requests.at(outcome->request);
       auto& attempt = request.attempts[outcome->attempt];
       if (attempt.over) return events.pop_back();
       attempt.over = true;
-      if (outcome->result == Result::served) request.closed = true;
-      outcome->closed = request.closed;
-    } else if (const auto* note = std::get_if<Note>(&events.back())) {
+      if (outcome->result == AttemptResult::served) request.closed = true;
+      outcome->request_closed = request.closed;
+    } else if (const auto* note = std::get_if<AttemptProgress>(&events.back())) {
       if (instance.requests.at(note->request).attempts[note->attempt].over) events.pop_back();
-    } else if (const auto* left = std::get_if<ClientLeft>(&events.back())) {
+    } else if (const auto* left = std::get_if<RequestCancelled>(&events.back())) {
       auto& request = instance.requests.at(left->request);
       if (request.closed) return events.pop_back();
       request.closed = true;
@@ -230,21 +231,22 @@
   }
 
   void arrive(Instance& instance, std::vector<Event>& events) {
-    Arrival arrival;
+    RequestArrival arrival;
     arrival.request = ++last_request_;
     arrival.cls = static_cast<ClassIndex>(random_.below(settings_.classes.size()));
     const auto& cls = settings_.classes[arrival.cls];
     arrival.tenant = static_cast<std::uint32_t>(random_.below(settings_.tenants.size() + 1));
-    if (cls.in_order) arrival.order_key = 1 + random_.below(6);
-    arrival.time_left = cls.give_up - Time(1ms) * static_cast<int>(random_.below(400));
+    if (cls.ordered_by_key) arrival.ordering_key = 1 + random_.below(6);
+    arrival.time_left = cls.client_timeout - Time(1ms) * static_cast<int>(random_.below(400));
     if (random_.chance(0.8)) {
-      arrival.cost = Time(1ms) * static_cast<int>(20 + random_.below(400) * (random_.chance(0.05) ? 20 : 1));
-      arrival.memory_mb = 10 + static_cast<double>(random_.below(500));
+      arrival.estimated_work =
+          Time(1ms) * static_cast<int>(20 + random_.below(400) * (random_.chance(0.05) ? 20 : 1));
+      arrival.estimated_memory_mb = 10 + static_cast<double>(random_.below(500));
     }
     arrival.data_group = static_cast<std::int64_t>(random_.below(5));
     if (random_.chance(0.03))
       instance.due.emplace(now_ + Time(1ms) * static_cast<int>(random_.below(1500)),
-                           ClientLeft{arrival.request});
+                           RequestCancelled{arrival.request});
     instance.requests[arrival.request] = {arrival, now_ + arrival.time_left, false, {}};
     events.emplace_back(arrival);
   }
@@ -256,11 +258,12 @@
   std::vector<double> load(const ModelEngine& engine) {
     std::vector<double> out;
     const double running = engine.running + static_cast<double>(random_.below(3));
-    for (const auto field : settings_.load_fields) {
-      if (field == LoadField::inflight) out.push_back(running);
-      if (field == LoadField::queue) out.push_back(static_cast<double>(random_.below(3)));
-      if (field == LoadField::util) out.push_back(std::min(1.0, running / 12));
-      if (field == LoadField::memory_share || field == LoadField::unknown) out.push_back(random_.unit());
+    for (const auto field : settings_.load_report_fields) {
+      if (field == LoadReportField::inflight) out.push_back(running);
+      if (field == LoadReportField::queue) out.push_back(static_cast<double>(random_.below(3)));
+      if (field == LoadReportField::util) out.push_back(std::min(1.0, running / 12));
+      if (field == LoadReportField::memory_share || field == LoadReportField::unknown)
+        out.push_back(random_.unit());
     }
     return out;
   }
@@ -269,17 +272,17 @@
     for (const auto value : values) digest_.add(value);
   }
 
-  void take(std::size_t n, const Send& send) {
+  void take(std::size_t n, const SendAttempt& send) {
     auto& instance = instances_[n];
     auto& request = instance.requests.at(send.request);
-    put({1, send.request, send.engine, send.until / 1us});
+    put({1, send.request, send.engine, send.give_up_at / 1us});
     ++counts_.sends;
     const auto index = static_cast<AttemptIndex>(request.attempts.size());
     if (index > 0) ++counts_.second_sends;
     request.attempts.push_back({send.engine, false});
     auto& target = engine(send.engine);
     ++target.running;
-    Outcome outcome;
+    AttemptOutcome outcome;
     outcome.request = send.request;
     outcome.attempt = index;
     outcome.engine = send.engine;
@@ -288,59 +291,60 @@
     settle(target.mode, outcome, took);
     const auto latency = Time(static_cast<std::int64_t>(took * 1e9));
     outcome.latency = latency;
-    if (now_ + latency > send.until) {
-      outcome.result = Result::timed_out;
-      outcome.latency = std::max(Time(1ms), send.until - now_);
-      if (random_.chance(0.3)) outcome.lingers = 800ms;
+    if (now_ + latency > send.give_up_at) {
+      outcome.result = AttemptResult::timed_out;
+      outcome.latency = std::max(Time(1ms), send.give_up_at - now_);
+      if (random_.chance(0.3)) outcome.may_run_for = 800ms;
     }
-    if (outcome.result == Result::served) {
-      if (settings_.tells_cost) {
+    if (outcome.result == AttemptResult::served) {
+      if (settings_.answers_report_cost) {
         outcome.work = Time(static_cast<std::int64_t>(usual * 0.8e9));
         outcome.memory_mb = 50 + static_cast<double>(random_.below(300));
       }
-      if (settings_.load_in_answers || random_.chance(0.3)) outcome.load = load(target);
+      if (settings_.answers_report_load || random_.chance(0.3)) outcome.load_report = load(target);
     }
-    if (settings_.progress_pace > Time::zero() && target.mode != Mode::silent) notes(instance, outcome);
+    if (settings_.progress_interval > Time::zero() && target.mode != Mode::silent) notes(instance, outcome);
     instance.due.emplace(now_ + outcome.latency, outcome);
   }
 
-  void settle(Mode mode, Outcome& outcome, double& took) {
+  void settle(Mode mode, AttemptOutcome& outcome, double& took) {
     switch (mode) {
       case Mode::well:
-        if (random_.chance(0.01)) outcome.result = Result::error;
-        if (random_.chance(0.01)) outcome.result = Result::reset;
+        if (random_.chance(0.01)) outcome.result = AttemptResult::error;
+        if (random_.chance(0.01)) outcome.result = AttemptResult::reset;
         return;
       case Mode::slow:
         took *= 5;
         return;
       case Mode::failing:
-        outcome.result = random_.chance(0.7) ? Result::error : Result::served;
+        outcome.result = random_.chance(0.7) ? AttemptResult::error : AttemptResult::served;
         took = 0.005;
         return;
       case Mode::silent:
         took = 1e3;
         return;
       case Mode::unreachable:
-        outcome.result = random_.chance(0.8) ? Result::not_connected : Result::reset;
+        outcome.result = random_.chance(0.8) ? AttemptResult::connect_failed : AttemptResult::reset;
         took = 0.002;
         return;
       case Mode::full:
-        outcome.result = random_.chance(0.8) ? Result::turned_away : Result::moot;
+        outcome.result = random_.chance(0.8) ? AttemptResult::rejected : AttemptResult::not_started;
         took = 0.003;
         return;
     }
   }
 
-  void notes(Instance& instance, const Outcome& outcome) {
+  void notes(Instance& instance, const AttemptOutcome& outcome) {
     const bool bad_plan = random_.chance(0.05);
     int n = 0;
-    for (Time at = settings_.progress_pace; at < outcome.latency && n < 20; at += settings_.progress_pace) {
-      Note note;
+    for (Time at = settings_.progress_interval; at < outcome.latency && n < 20;
+         at += settings_.progress_interval) {
+      AttemptProgress note;
       note.request = outcome.request;
       note.attempt = outcome.attempt;
       note.engine = outcome.engine;
-      note.kind = random_.chance(0.1) ? NoteKind::waiting : NoteKind::progress;
-      note.amount = note.kind == NoteKind::waiting
+      note.kind = random_.chance(0.1) ? ProgressKind::waiting : ProgressKind::progress;
+      note.amount = note.kind == ProgressKind::waiting
                         ? 1 + static_cast<double>(random_.below(2))
                         : std::chrono::duration<double>(at) / std::chrono::duration<double>(outcome.latency) *
                               (bad_plan ? 0.02 : 1);
@@ -349,20 +353,20 @@
     }
   }
 
-  void take(std::size_t n, const CallOff& off) {
+  void take(std::size_t n, const CancelAttempt& off) {
     put({2, off.request, off.attempt});
     ++counts_.call_offs;
-    Outcome outcome;
+    AttemptOutcome outcome;
     outcome.request = off.request;
     outcome.attempt = off.attempt;
     outcome.engine = instances_[n].requests.at(off.request).attempts[off.attempt].engine;
-    outcome.result = Result::called_off;
+    outcome.result = AttemptResult::cancelled;
     outcome.latency = 30ms;
-    if (random_.chance(0.2)) outcome.lingers = 300ms;
+    if (random_.chance(0.2)) outcome.may_run_for = 300ms;
     instances_[n].due.emplace(now_ + 30ms, outcome);
   }
-  void take(std::size_t n, const Refuse& refuse) {
-    put({3, refuse.request, refuse.pause / 1us, static_cast<std::int64_t>(refuse.reason)});
+  void take(std::size_t n, const Reject& refuse) {
+    put({3, refuse.request, refuse.retry_after / 1us, static_cast<std::int64_t>(refuse.reason)});
     ++counts_.refusals;
     instances_[n].requests.at(refuse.request).closed = true;
   }
@@ -371,27 +375,27 @@
     ++counts_.failures;
     instances_[n].requests.at(fail.request).closed = true;
   }
-  void take(std::size_t, const Terms& terms) {
+  void take(std::size_t, const AttemptTerms& terms) {
     put({5, terms.request, terms.priority});
     digest_.add_rounded(terms.memory_mb);
     ++counts_.terms;
   }
-  void take(std::size_t n, const WakeAfter& wake) {
+  void take(std::size_t n, const ScheduleTimer& wake) {
     put({6, wake.delay / 1us});
-    instances_[n].due.emplace(now_ + wake.delay, Wake{});
+    instances_[n].due.emplace(now_ + wake.delay, TimerFired{});
   }
-  void take(std::size_t n, const Probe& probe) {
+  void take(std::size_t n, const SendHealthCheck& probe) {
     put({7, probe.engine});
     ++counts_.probes;
     const auto& target = engine(probe.engine);
-    ProbeResult result;
+    HealthCheckResult result;
     result.engine = probe.engine;
     result.latency = 4ms;
-    if (target.mode == Mode::unreachable) result.result = Result::not_connected;
+    if (target.mode == Mode::unreachable) result.result = AttemptResult::connect_failed;
     if (target.mode != Mode::unreachable) result.load = load(target);
     if (target.mode != Mode::silent) instances_[n].due.emplace(now_ + 4ms, result);
   }
-  void take(std::size_t n, const Tell& tell) {
+  void take(std::size_t n, const SendGossip& tell) {
     put({8, tell.to ? static_cast<std::int64_t>(*tell.to) : -1});
     digest_.add(tell.bytes);
     ++counts_.tells;
@@ -400,14 +404,14 @@
       // Those that the replay does not run are stood for by one that it does.
       if (to == n || (tell.to && *tell.to % size != to)) continue;
       if (random_.chance(0.05)) continue;
-      instances_[to].due.emplace(now_ + 3ms, PeerMessage{static_cast<std::uint32_t>(n), tell.bytes});
+      instances_[to].due.emplace(now_ + 3ms, GossipMessage{static_cast<std::uint32_t>(n), tell.bytes});
     }
   }
-  void take(std::size_t n, const Observe& observe) {
+  void take(std::size_t n, const PollEndpointList& observe) {
     put({9, observe.on ? 1 : 0});
-    if (observe.on) instances_[n].due.emplace(now_ + 5ms, full(ListKind::full));
+    if (observe.on) instances_[n].due.emplace(now_ + 5ms, full(EndpointListKind::full));
   }
-  void take(std::size_t, const Trace&) {  // its wording may change
+  void take(std::size_t, const LogMessage&) {  // its wording may change
     put({10});
     ++counts_.traces;
   }
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -64,12 +64,12 @@
 
   void run() {
     reducer_.tell_all(scenario_.hooked);
-    feed(Listening{});
-    FleetChange known;
+    feed(ListenersReady{});
+    EndpointUpdate known;
     known.full = true;
-    for (unsigned n = 0; n < scenario_.engines; ++n) known.members.push_back(add_member(n % 4 == 0));
+    for (unsigned n = 0; n < scenario_.engines; ++n) known.endpoints.push_back(add_member(n % 4 == 0));
     feed(known);
-    feed(FleetQuiet{true});
+    feed(EndpointListPolled{true});
     const Time end = now_ + 45s;
     const Time stop = end - 5s;
     bool stopped = false;
@@ -84,8 +84,8 @@
       if (now_ < stop + 500ms && random_.chance(scenario_.arrivals_per_s / 1000)) arrive();
       if (step % 400 == 0) disturb();
       if (step == 9000) offer();
-      if (step == 12000) feed(ReloadAsked{});
-      if (!stopped && now_ >= stop) feed(StopAsked{(stopped = true) ? now_ - 3ms : now_});
+      if (step == 12000) feed(ReloadRequested{});
+      if (!stopped && now_ >= stop) feed(ShutdownRequested{(stopped = true) ? now_ - 3ms : now_});
       if (const auto call = reducer_.next_call(); call && now_ >= *call) feed(Tick{random_.chance(0.3)});
       if (const auto hooks = reducer_.hooks_due(); hooks && now_ >= *hooks) feed(HooksTurn{});
       if (step % 5 == 0) feed(Tick{random_.chance(0.3)});
@@ -116,54 +116,55 @@
   }
   void later(Time after, Event event) { due_.emplace(now_ + after, std::move(event)); }
 
-  Member add_member(bool started_late) {
-    Member out;
-    out.entry.engine = ++last_engine_;
-    out.entry.zone = static_cast<std::uint16_t>(last_engine_ % settings_.zones);
-    out.entry.kind = static_cast<std::uint16_t>(last_engine_ % settings_.kinds.size());
-    out.entry.cell = static_cast<std::uint16_t>(last_engine_ % 3);
+  EndpointRecord add_member(bool started_late) {
+    EndpointRecord out;
+    out.endpoint.engine = ++last_engine_;
+    out.endpoint.zone = static_cast<std::uint16_t>(last_engine_ % settings_.zones);
+    out.endpoint.kind = static_cast<std::uint16_t>(last_engine_ % settings_.kinds.size());
+    out.endpoint.cell = static_cast<std::uint16_t>(last_engine_ % 3);
     out.address = "127.0.0.1:" + std::to_string(1000 + last_engine_);
-    if (started_late) out.started = 1'700'000'000s + now_ - 2s;
+    if (started_late) out.started_unix = 1'700'000'000s + now_ - 2s;
     members_.push_back(out);
     return out;
   }
 
   void disturb() {
     auto& member = members_[random_.below(members_.size())];
-    FleetChange change;
-    change.live = true;
+    EndpointUpdate change;
+    change.from_change_log = true;
     switch (random_.below(9)) {
       case 0:
-        fates_[member.entry.engine] = static_cast<Fate>(random_.below(7));
+        fates_[member.endpoint.engine] = static_cast<Fate>(random_.below(7));
         return;
       case 1:
-        member.entry.state = EngineState::draining;
+        member.endpoint.state = EngineState::draining;
         break;
       case 2:
-        member.entry.state = EngineState::ready;
-        member.started = 1'700'000'000s + now_ + (random_.chance(0.2) ? 40s : 0s);
-        fates_.erase(member.entry.engine);
+        member.endpoint.state = EngineState::ready;
+        member.started_unix = 1'700'000'000s + now_ + (random_.chance(0.2) ? 40s : 0s);
+        fates_.erase(member.endpoint.engine);
         break;
       case 3:
-        member.entry.state = EngineState::gone;
-        change.members.push_back(add_member(true));
+        member.endpoint.state = EngineState::gone;
+        change.endpoints.push_back(add_member(true));
         break;
       case 4:
         change.full = true;
-        change.members.assign(members_.begin(), members_.end());
-        std::erase_if(change.members, [](const Member& m) { return m.entry.state == EngineState::gone; });
+        change.endpoints.assign(members_.begin(), members_.end());
+        std::erase_if(change.endpoints,
+                      [](const EndpointRecord& m) { return m.endpoint.state == EngineState::gone; });
         return feed(change);
       case 5:
-        return feed(Stalled{now_ - 300ms, 300ms});
+        return feed(ProcessStalled{now_ - 300ms, 300ms});
       case 6:
-        return feed(PeerHeard{1, "o" + std::string(5, '\1')});
+        return feed(GossipReceived{1, "o" + std::string(5, '\1')});
       case 7:
-        return feed(FleetQuiet{true});
+        return feed(EndpointListPolled{true});
       default:
         fates_.clear();
         return;
     }
-    change.members.push_back(member);
+    change.endpoints.push_back(member);
     feed(change);
   }
 
@@ -172,12 +173,12 @@
     offered.epoch = 1;
     offered.number = 2;
     offered.settings = settings_;
-    offered.settings.classes[0].aim *= 2;
+    offered.settings.classes[0].latency_objective *= 2;
     offered.settings.tenants.push_back({"new", 0.1, 10});
     offered.changelog = "127.0.0.1:2";
     feed(offered);
     offered.number = 3;
-    offered.settings.gateways += 1;
+    offered.settings.brokers += 1;
     feed(offered);
   }
 
@@ -187,21 +188,24 @@
     asked.cls = static_cast<ClassIndex>(random_.below(settings_.classes.size()));
     const auto& cls = settings_.classes[asked.cls];
     asked.tenant = static_cast<std::uint32_t>(random_.below(settings_.tenants.size() + 1));
-    if (cls.in_order) asked.order_key = 1 + random_.below(4);
-    asked.limit = cls.give_up - Time(1ms) * static_cast<int>(random_.below(300));
-    if (random_.chance(0.1)) asked.limit = Time(1ms) * static_cast<int>(5 + random_.below(400));
-    if (random_.chance(0.7)) asked.cost = Time(1ms) * static_cast<int>(20 + random_.below(300));
-    asked.memory_mb = static_cast<double>(random_.below(400));
+    if (cls.ordered_by_key) asked.ordering_key = 1 + random_.below(4);
+    asked.time_limit = cls.client_timeout - Time(1ms) * static_cast<int>(random_.below(300));
+    if (random_.chance(0.1)) asked.time_limit = Time(1ms) * static_cast<int>(5 + random_.below(400));
+    if (random_.chance(0.7)) asked.estimated_work = Time(1ms) * static_cast<int>(20 + random_.below(300));
+    asked.estimated_memory_mb = static_cast<double>(random_.below(400));
     asked.data_group = static_cast<std::int64_t>(random_.below(4));
     asked.ticket = random_.chance(0.02) ? "t-same" : "t" + std::to_string(last_client_);
-    if (cls.effect == policy::Effect::keyed) asked.nonce = "n" + std::to_string(last_client_);
+    if (cls.idempotency == policy::Idempotency::keyed)
+      asked.idempotency_key = "n" + std::to_string(last_client_);
     asked.body = "SELECT " + std::to_string(last_client_);
     if (random_.chance(0.02)) asked.body.append(200'000, 'x');
     const auto client = asked.client;
-    if (random_.chance(0.05)) later(Time(1ms) * static_cast<int>(random_.below(900)), Cancelled{client});
-    if (random_.chance(0.05)) later(Time(1ms) * static_cast<int>(random_.below(900)), HalfClosed{client});
+    if (random_.chance(0.05))
+      later(Time(1ms) * static_cast<int>(random_.below(900)), ClientCancelled{client});
+    if (random_.chance(0.05))
+      later(Time(1ms) * static_cast<int>(random_.below(900)), ClientHalfClosed{client});
     const Time since = random_.chance(0.1) ? now_ - Time(1ms) * static_cast<int>(random_.below(50)) : Time{};
-    feed(Arrived{std::move(asked), since});
+    feed(RequestReceived{std::move(asked), since});
   }
 
   void add_counters() {
@@ -226,7 +230,7 @@
 
   void take(const Answer& answer) {
     put({static_cast<std::int64_t>(answer.client), static_cast<std::int64_t>(answer.kind),
-         answer.pause / 1us});
+         answer.retry_after / 1us});
     digest_.add(answer.body);
     digest_.add(answer.shape);
     ++counts_.answers[answer.kind];
@@ -238,11 +242,11 @@
     if (fate(start.engine) == Fate::not_connected) {
       AttemptEnded ended;
       ended.id = start.id;
-      ended.end = AttemptEnd::not_connected;
+      ended.end = AttemptEnd::connect_failed;
       return later(2ms, ended);
     }
     later(Time(1ms) * static_cast<int>(random_.below(random_.chance(0.05) ? 300 : 3)),
-          AttemptReady{start.id});
+          AttemptConnected{start.id});
   }
   void take(const Transmit& transmit) {
     put(transmit.id);
@@ -256,43 +260,45 @@
     const Time took = Time(1ms) * static_cast<int>(10 + random_.below(random_.chance(0.05) ? 4000 : 200));
     const auto how = fate(engine);
     if (how == Fate::silent) return;
-    if (random_.chance(0.2)) later(took / 2, AttemptHeard{transmit.id});
+    if (random_.chance(0.2)) later(took / 2, AttemptProgressed{transmit.id});
     ended.end = static_cast<AttemptEnd>(
         how == Fate::served && random_.chance(0.03) ? 1 + random_.below(5) : static_cast<std::uint64_t>(how));
     ended.body = ended.end == AttemptEnd::served ? "rows" : "why";
     ended.shape = "s";
     if (random_.chance(0.5)) ended.work = took / 2;
     ended.memory_mb = 40;
-    for (std::size_t n = 0; n < settings_.load_fields.size(); ++n) ended.load.push_back(random_.unit());
-    if (ended.end == AttemptEnd::reset) ended.lingers = 500ms;
+    for (std::size_t n = 0; n < settings_.load_report_fields.size(); ++n)
+      ended.load_report.push_back(random_.unit());
+    if (ended.end == AttemptEnd::reset) ended.may_run_for = 500ms;
     later(took, ended);
   }
-  void take(const Abandon& abandon) {
+  void take(const CancelAttempt& abandon) {
     put(abandon.id);
     AttemptEnded ended;
     ended.id = abandon.id;
-    ended.end = random_.chance(0.9) ? AttemptEnd::withdrawn : AttemptEnd::reset;
-    if (random_.chance(0.3)) ended.lingers = 200ms;
+    ended.end = random_.chance(0.9) ? AttemptEnd::cancelled : AttemptEnd::reset;
+    if (random_.chance(0.3)) ended.may_run_for = 200ms;
     later(Time(1ms) * static_cast<int>(1 + random_.below(20)), ended);
   }
   void take(const Reprioritize& change) {
     put(change.id);
     put({change.priority});
   }
-  void take(const ProbeEngine& probe) {
+  void take(const SendHealthCheck& probe) {
     put({probe.engine});
-    ProbeEnded ended;
+    HealthCheckEnded ended;
     ended.engine = probe.engine;
-    if (fate(probe.engine) == Fate::not_connected) ended.result = policy::Result::not_connected;
-    for (std::size_t n = 0; n < settings_.load_fields.size(); ++n) ended.load.push_back(random_.unit());
+    if (fate(probe.engine) == Fate::not_connected) ended.result = policy::AttemptResult::connect_failed;
+    for (std::size_t n = 0; n < settings_.load_report_fields.size(); ++n)
+      ended.load.push_back(random_.unit());
     later(3ms, ended);
   }
-  void take(const TellPeers& tell) {
+  void take(const SendGossip& tell) {
     put({tell.to ? static_cast<std::int64_t>(*tell.to) : -1});
     digest_.add(tell.bytes);
-    later(4ms, PeerHeard{2, tell.bytes});
+    later(4ms, GossipReceived{2, tell.bytes});
   }
-  void take(const EngineMoved& moved) {
+  void take(const EndpointChanged& moved) {
     put({moved.engine, moved.usable ? 1 : 0, moved.accepting ? 1 : 0});
     digest_.add(moved.address);
   }
@@ -305,12 +311,12 @@
     later(5ms, read);
   }
   void take(const FollowChangeLog& follow) { digest_.add(follow.address); }
-  void take(const SettingsInForce& force) {
+  void take(const SettingsApplied& force) {
     put({static_cast<std::int64_t>(force.epoch), static_cast<std::int64_t>(force.number)});
     digest_.add(force.changelog);
     settings_ = force.settings;
   }
-  void take(const SettingsRefused& refused) {
+  void take(const SettingsRejected& refused) {
     put({static_cast<std::int64_t>(refused.epoch), static_cast<std::int64_t>(refused.number)});
   }
   void take(const RunHook& run) {
@@ -340,7 +346,7 @@
     later(1ms, HookRenewed{{renew.hook, ""}});
   }
   void take(const RetireHook& retire) { put({retire.hook}); }
-  void take(const CloseFronts&) {}
+  void take(const CloseClientConnections&) {}
   void take(const Exit&) { exited_ = true; }
 
   Fate fate(EngineId engine) const {
@@ -357,8 +363,8 @@
   Time now_{100s};
   bool exited_ = false;
   EngineId last_engine_ = 0;
-  Client last_client_ = 0;
-  std::deque<Member> members_;  // references to elements outlive push_back
+  ClientHandle last_client_ = 0;
+  std::deque<EndpointRecord> members_;  // references to elements outlive push_back
   std::map<EngineId, Fate> fates_;
   std::map<AttemptId, EngineId> engine_of_;
   std::multimap<Time, Event> due_;
@@ -371,7 +377,7 @@
   world.run();
   const auto& counts = world.counts();
   EXPECT_TRUE(world.exited());
-  for (const auto kind : {AnswerKind::served, AnswerKind::refused})
+  for (const auto kind : {AnswerKind::served, AnswerKind::rejected})
     EXPECT_TRUE(counts.answers.contains(kind)) << name(kind);
   EXPECT_EQ(world.digest(), GetParam().digest);
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -34,11 +34,11 @@
   d.list({engine(7)});
   d.ask(1, kOnce, 1s);
   ASSERT_EQ(d.sends_of(1), 1);
-  EXPECT_LT(d.sends[0].until, d.now + 1s);
+  EXPECT_LT(d.sends[0].give_up_at, d.now + 1s);
   d.until(d.now + 1s);
   EXPECT_EQ(d.failed[1], 1);
   EXPECT_EQ(d.refused[1], 0);
-  d.ends(1, 0, 7, Result::called_off);
+  d.ends(1, 0, 7, AttemptResult::cancelled);
   d.until(d.now + 3s);
   EXPECT_EQ(d.answers(1), 1);
   EXPECT_EQ(d.sends_of(1), 1);
@@ -48,12 +48,12 @@
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, kQuick);
-  ASSERT_EQ(d.gateway.view(kQuick).running, 1U);
-  d.at(d.now, {ClientLeft{1}});
-  EXPECT_EQ(d.gateway.view(kQuick).running, 1U) << "the engine may still work on it";
-  d.ends(1, 0, 7, Result::error);
-  d.ends(1, 0, 7, Result::error);
-  EXPECT_EQ(d.gateway.view(kQuick).running, 0U);
+  ASSERT_EQ(d.gateway.class_status(kQuick).running, 1U);
+  d.at(d.now, {RequestCancelled{1}});
+  EXPECT_EQ(d.gateway.class_status(kQuick).running, 1U) << "the engine may still work on it";
+  d.ends(1, 0, 7, AttemptResult::error);
+  d.ends(1, 0, 7, AttemptResult::error);
+  EXPECT_EQ(d.gateway.class_status(kQuick).running, 0U);
   EXPECT_EQ(d.answers(1), 0);
   EXPECT_EQ(d.sends_of(1), 1);
 }
@@ -67,7 +67,7 @@
 
 // ---- no effect twice ------------------------------------------------------------------------------------
 
-class AfterOutcome : public ::testing::TestWithParam<std::pair<Result, bool>> {};
+class AfterOutcome : public ::testing::TestWithParam<std::pair<AttemptResult, bool>> {};
 
 TEST_P(AfterOutcome, AnUnsafeRequestIsSentAgainOnlyIfItNeverRan) {
   const auto [result, again] = GetParam();
@@ -83,19 +83,20 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(AllOutcomes, AfterOutcome,
-                         ::testing::Values(std::pair{Result::turned_away, true},
-                                           std::pair{Result::not_connected, true},
-                                           std::pair{Result::moot, true}, std::pair{Result::error, false},
-                                           std::pair{Result::timed_out, false},
-                                           std::pair{Result::reset, false},
-                                           std::pair{Result::called_off, false}));
+                         ::testing::Values(std::pair{AttemptResult::rejected, true},
+                                           std::pair{AttemptResult::connect_failed, true},
+                                           std::pair{AttemptResult::not_started, true},
+                                           std::pair{AttemptResult::error, false},
+                                           std::pair{AttemptResult::timed_out, false},
+                                           std::pair{AttemptResult::reset, false},
+                                           std::pair{AttemptResult::cancelled, false}));
 
 TEST(Effects, AKeyedRequestThatMayHaveRunStaysInItsZone) {
   Drive d(plain_settings());
   d.list({engine(7, 0)});
   d.ask(1, kKeyed);
   d.list({engine(7, 0), engine(8, 1)});
-  d.ends(1, 0, 7, Result::error);
+  d.ends(1, 0, 7, AttemptResult::error);
   d.until(d.now + 300ms);
   ASSERT_EQ(d.sends_of(1), 2);
   EXPECT_EQ(d.sends.back().engine, 7U);
@@ -107,7 +108,7 @@
     d.list({engine(7, 0)});
     d.ask(1, kKeyed);
     d.until(d.now + (late ? 2000ms : 1900ms));
-    d.ends(1, 0, 7, Result::error);
+    d.ends(1, 0, 7, AttemptResult::error);
     EXPECT_EQ(d.sends_of(1), late ? 1 : 2);
     EXPECT_EQ(d.failed[1], late ? 1 : 0) << "a refusal would promise too much";
   }
@@ -115,7 +116,7 @@
 
 TEST(Effects, NeverTwoAttemptsOut) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, kQuick);
@@ -123,7 +124,7 @@
   d.until(d.now + 3s);  // silent: called off, but no word of that yet
   ASSERT_FALSE(d.called_off.empty());
   EXPECT_EQ(d.sends_of(1), 1);
-  d.ends(1, 0, d.sends[0].engine, Result::called_off);
+  d.ends(1, 0, d.sends[0].engine, AttemptResult::cancelled);
   EXPECT_EQ(d.sends_of(1), 2);
 }
 
@@ -133,7 +134,7 @@
   d.ask(1, kQuick);
   for (AttemptIndex n = 0; n < 3; ++n) {
     ASSERT_EQ(d.sends_of(1), n + 1);
-    d.ends(1, n, d.sends.back().engine, Result::timed_out);
+    d.ends(1, n, d.sends.back().engine, AttemptResult::timed_out);
   }
   EXPECT_EQ(d.sends_of(1), 3);
   EXPECT_EQ(d.refused[1], 1);
@@ -145,8 +146,8 @@
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   d.list({with_state(engine(7), EngineState::draining), with_state(engine(8), EngineState::gone)},
-         ListKind::delta);
-  d.list({}, ListKind::failed);
+         EndpointListKind::delta);
+  d.list({}, EndpointListKind::failed);
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, kQuick);
   EXPECT_EQ(d.sends_to(7) + d.sends_to(8), 0);
   d.list({engine(9)});
@@ -157,11 +158,11 @@
 
 TEST(Drains, AnEngineThatIsListedAgainGetsWork) {
   Drive d(plain_settings());
-  d.list({engine(7)}, ListKind::cached);
-  d.list({with_state(engine(7), EngineState::gone)}, ListKind::delta);
+  d.list({engine(7)}, EndpointListKind::cached);
+  d.list({with_state(engine(7), EngineState::gone)}, EndpointListKind::delta);
   d.ask(1, kQuick);
   EXPECT_EQ(d.sends_of(1), 0);
-  d.list({engine(7)}, ListKind::delta);
+  d.list({engine(7)}, EndpointListKind::delta);
   EXPECT_EQ(d.sends_of(1), 1);
 }
 
@@ -173,25 +174,25 @@
   // Core-s sent to it at each moment.
   static std::map<Time, double> play(unsigned count, std::uint64_t seed) {
     Settings s = plain_settings();
-    s.gateways = count;
+    s.brokers = count;
     std::vector<Drive> gateways;
-    for (unsigned i = 0; i < s.gateways; ++i) {
-      s.me = i;
+    for (unsigned i = 0; i < s.brokers; ++i) {
+      s.broker_index = i;
       gateways.emplace_back(s, seed + i);
       auto cold = engine(7);
-      cold.last_start = gateways.back().now - 1s;
+      cold.started_at = gateways.back().now - 1s;
       gateways.back().list({cold});
     }
     std::map<Time, double> work;
     RequestId id = 0;
     for (int step = 0; step < 300; ++step) {
-      for (unsigned i = 0; i < s.gateways; ++i) {
+      for (unsigned i = 0; i < s.brokers; ++i) {
         auto& d = gateways[i];
         if (step % (1 + i % 7) == 0) {
           d.ask(++id, kQuick);
           const bool sent = d.sends_of(id) > 0;
           if (sent && d.sends.back().engine == 7) work[d.now] += kWork;
-          if (sent) d.ends(id, 0, d.sends.back().engine, Result::served, 500ms);
+          if (sent) d.ends(id, 0, d.sends.back().engine, AttemptResult::served, 500ms);
         }
         const auto before = d.sends.size();
         d.until(d.now + 20ms);
@@ -242,7 +243,7 @@
   Settings s = plain_settings();
   Drive d(s);
   auto warm = engine(7);
-  warm.last_start = d.now - 10s;
+  warm.started_at = d.now - 10s;
   d.list({warm});
   for (RequestId id = 1; id <= 8; ++id) d.ask(id, kQuick);
   EXPECT_EQ(d.sends_to(7), 8);
@@ -253,8 +254,8 @@
 
 TEST(Order, OneAtATimeByKeyAndARestAfterATimeOut) {
   Settings s = plain_settings();
-  s.classes[kQuick].in_order = true;
-  s.order_rest = 300ms;
+  s.classes[kQuick].ordered_by_key = true;
+  s.ordering_key_hold = 300ms;
   s.max_attempts = 1;
   Drive d(s);
   d.list({engine(7), engine(8)});
@@ -267,7 +268,7 @@
   EXPECT_EQ(d.sends_of(3), 1);
   EXPECT_EQ(d.sends_of(4), 1);
   const Time over = d.now;
-  d.ends(1, 0, d.sends[0].engine, Result::timed_out);
+  d.ends(1, 0, d.sends[0].engine, AttemptResult::timed_out);
   d.until(over + 280ms);
   EXPECT_EQ(d.sends_of(2), 0);
   d.until(over + 320ms);
@@ -277,19 +278,19 @@
 // What an attempt's driver could not prove to be over rests its key for longer than the settings ask.
 TEST(Order, AKeyRestsWhileAnAttemptMayLingerAtItsEngine) {
   Settings s = plain_settings();
-  s.classes[kQuick].in_order = true;
-  s.classes[kQuick].aim = 20s;  // so that it is held for long
-  for (const auto result : {Result::called_off, Result::error}) {
+  s.classes[kQuick].ordered_by_key = true;
+  s.classes[kQuick].latency_objective = 20s;  // so that it is held for long
+  for (const auto result : {AttemptResult::cancelled, AttemptResult::error}) {
     Drive d(s);
     d.list({engine(7), engine(8)});
     d.ask(1, kQuick, 60s, 42);
     d.ask(2, kQuick, 60s, 42);
-    d.at(d.now, {ClientLeft{1}});
-    Outcome o;
+    d.at(d.now, {RequestCancelled{1}});
+    AttemptOutcome o;
     o.request = 1;
     o.engine = d.sends[0].engine;
     o.result = result;
-    o.lingers = 2s;
+    o.may_run_for = 2s;
     const Time over = d.now;
     d.at(d.now, {o});
     d.until(over + 1980ms);
@@ -305,17 +306,17 @@
   Settings s = plain_settings();
   for (const bool copies : {true, false}) {
     for (const bool patient : {true, false}) {
-      s.second_copies = copies;
-      s.classes[kQuick].aim = patient ? 20s : 1s;  // how long it may be held
+      s.hedging = copies;
+      s.classes[kQuick].latency_objective = patient ? 20s : 1s;  // how long it may be held
       Drive d(s);
       d.list({engine(7), engine(8)});
       d.ask(1, kQuick, 60s);
       d.ask(2, kQuick, 60s);
-      Outcome o;
+      AttemptOutcome o;
       o.request = 1;
       o.engine = d.sends[0].engine;
-      o.result = Result::reset;
-      o.lingers = 2s;
+      o.result = AttemptResult::reset;
+      o.may_run_for = 2s;
       const Time over = d.now;
       d.at(d.now, {o});
       EXPECT_EQ(d.sends_of(1), copies ? 2 : 1);
@@ -332,14 +333,14 @@
 
 TEST(Order, AnEarlierOneThatClosedWithItsAttemptOutStillHoldsTheKey) {
   Settings s = plain_settings();
-  s.classes[kQuick].in_order = true;
+  s.classes[kQuick].ordered_by_key = true;
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, kQuick, 5s, 42);
   d.ask(2, kQuick, 5s, 42);
-  d.at(d.now, {ClientLeft{1}});
+  d.at(d.now, {RequestCancelled{1}});
   EXPECT_EQ(d.sends_of(2), 0);
-  d.ends(1, 0, 7, Result::error);
+  d.ends(1, 0, 7, AttemptResult::error);
   EXPECT_EQ(d.sends_of(2), 1);
 }
 
@@ -350,8 +351,8 @@
   Drive d(s);
   d.list({engine(7, 1, 0), engine(8, 0, 1), engine(9, 1, 1), engine(10, 1, 1)});
   d.ask(1, kQuick);
-  d.ends(1, 0, d.sends.back().engine, Result::timed_out);
-  d.ends(1, 1, d.sends.back().engine, Result::timed_out);
+  d.ends(1, 0, d.sends.back().engine, AttemptResult::timed_out);
+  d.ends(1, 1, d.sends.back().engine, AttemptResult::timed_out);
   EXPECT_EQ(d.sends_of(1), 3);
   EXPECT_EQ(d.sends_to(7) + d.sends_to(8), 0);
   d.list({engine(7, 1, 0), engine(8, 0, 1)});
@@ -371,10 +372,10 @@
     const auto first = d.sends.back();
     if (first.request != id) return false;
     const auto before = d.sends.size();
-    d.ends(id, 0, first.engine, Result::turned_away);
+    d.ends(id, 0, first.engine, AttemptResult::rejected);
     d.until(d.now + 400ms);
     const bool again = d.sends.size() > before;
-    if (again) d.ends(id, 1, d.sends.back().engine, Result::served);
+    if (again) d.ends(id, 1, d.sends.back().engine, AttemptResult::served);
     return again;
   };
   EXPECT_TRUE(retried(1));   // 1 <= 1 + 0.2
@@ -391,19 +392,19 @@
 
 TEST(SenselessSettings, AreNamed) {
   Settings s = plain_settings();
-  s.gateways = 0;
+  s.brokers = 0;
   try {
-    Gateway g(s, 1);
+    Scheduler g(s, 1);
     FAIL();
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("gateways"), std::string::npos);
   }
   s = plain_settings();
-  s.classes[0].aim = 0s;
-  EXPECT_THROW(Gateway(s, 1), std::invalid_argument);
+  s.classes[0].latency_objective = 0s;
+  EXPECT_THROW(Scheduler(s, 1), std::invalid_argument);
   s = plain_settings();
   s.kinds.clear();
-  EXPECT_THROW(Gateway(s, 1), std::invalid_argument);
+  EXPECT_THROW(Scheduler(s, 1), std::invalid_argument);
 }
 
 TEST(ZeroSettings, OptionalOnesMayBeAbsent) {
@@ -412,7 +413,7 @@
   s.kinds = {{"one", 1, 0}};
   Drive d(s);
   auto cold = engine(7);
-  cold.last_start = d.now;
+  cold.started_at = d.now;
   d.list({cold});
   d.ask(1, 0);
   EXPECT_EQ(d.sends_of(1), 1);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -113,7 +113,7 @@
     for (unsigned n = 0; n < kDatabases; ++n) {
       for (const auto state : {policy::EngineState::gone, policy::EngineState::ready}) {
         auto change = fleet.delta(n, state);
-        auto& id = change.members.front().entry.engine;
+        auto& id = change.endpoints.front().endpoint.engine;
         if (state == policy::EngineState::ready) place[n] = ++last;
         id = place[n].value_or(id);
         fleet.change(change);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -23,26 +23,26 @@
 // Lookups, reports and loads, as a school's query engines see them.
 Settings school_settings(unsigned gateways, double cold_from) {
   Settings s = plain_settings();
-  s.gateways = gateways;
+  s.brokers = gateways;
   s.kinds = {{"std-8", 8, 16384}};
   s.classes.clear();
   const auto add = [&s](const char* name, Time aim, Time give_up, unsigned threads, double worth) {
     ClassSettings cls;
     cls.name = name;
-    cls.aim = aim;
-    cls.give_up = give_up;
+    cls.latency_objective = aim;
+    cls.client_timeout = give_up;
     cls.threads = threads;
-    cls.worth = worth;
+    cls.priority_weight = worth;
     s.classes.push_back(cls);
   };
   add("lookup", 400ms, 2s, 1, 1);
   add("report", 2s, 20s, 4, 15);
   add("load", 3s, 25s, 2, 20);
-  s.cold_from = cold_from;
-  s.ramp_time = 15s;
-  s.tip_multiple = 2.5;
-  s.tip_window = 1s;
-  s.tells_cost = true;
+  s.slow_start_capacity = cold_from;
+  s.slow_start_duration = 15s;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = 1s;
+  s.answers_report_cost = true;
   return s;
 }
 
@@ -58,7 +58,7 @@
   School(unsigned gateways, double cold_from, const Mix& mix, std::uint64_t seed)
       : mix_(mix), random_(seed), settings_(school_settings(gateways, cold_from)) {
     for (unsigned i = 0; i < gateways; ++i) {
-      settings_.me = i;
+      settings_.broker_index = i;
       brokers_.push_back(std::make_unique<Drive>(settings_, seed * 1000 + i));
       brokers_.back()->list({engine(1), engine(2), engine(3)});
       ends_.emplace_back();
@@ -71,15 +71,15 @@
   }
   void start_cold_engine() {
     cold_ = engine(kCold);
-    cold_.last_start = began_ = now_;
-    for (auto& broker : brokers_) broker->list({cold_}, ListKind::delta);
+    cold_.started_at = began_ = now_;
+    for (auto& broker : brokers_) broker->list({cold_}, EndpointListKind::delta);
   }
   // A broker's process is killed, and the next one knows nothing of what that one has sent. Engines run on.
   void restart(std::size_t broker) {
-    settings_.me = static_cast<unsigned>(broker);
+    settings_.broker_index = static_cast<unsigned>(broker);
     auto& next = brokers_[broker] = std::make_unique<Drive>(settings_, random_());
     next->now = now_;
-    next->list({engine(1), engine(2), engine(3), cold_}, ListKind::cached);
+    next->list({engine(1), engine(2), engine(3), cold_}, EndpointListKind::cached);
     ends_[broker].clear();
     taken_[broker] = 0;
   }
@@ -90,12 +90,15 @@
     double out = 0;
     for (std::size_t first = 0; first < sent_.size(); ++first) {
       double work = 0;
-      for (auto i = first; i < sent_.size() && sent_[i].at < sent_[first].at + settings_.tip_window; ++i)
+      for (auto i = first;
+           i < sent_.size() && sent_[i].at < sent_[first].at + settings_.slow_start_overload_window; ++i)
         work += sent_[i].work;
-      const double age = std::chrono::duration<double>(sent_[first].at - began_) / settings_.ramp_time;
-      const double warmth = std::min(1.0, settings_.cold_from + (1 - settings_.cold_from) * age);
-      const double window = std::chrono::duration<double>(settings_.tip_window).count();
-      const double n = settings_.tip_multiple * warmth * 0.85 * 8 * window / mean;
+      const double age =
+          std::chrono::duration<double>(sent_[first].at - began_) / settings_.slow_start_duration;
+      const double warmth =
+          std::min(1.0, settings_.slow_start_capacity + (1 - settings_.slow_start_capacity) * age);
+      const double window = std::chrono::duration<double>(settings_.slow_start_overload_window).count();
+      const double n = settings_.slow_start_overload_factor * warmth * 0.85 * 8 * window / mean;
       const double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
       out = std::max(out, work / mean / most);
     }
@@ -134,13 +137,13 @@
       for (int n = count(random_); n > 0; --n) {
         const auto cls = static_cast<ClassIndex>(classes(random_));
         class_of_[++last_] = cls;
-        broker.ask(last_, cls, settings_.classes[cls].give_up);
+        broker.ask(last_, cls, settings_.classes[cls].client_timeout);
       }
       for (; taken_[i] < broker.sends.size(); ++taken_[i]) take(i, broker.sends[taken_[i]]);
     }
   }
 
-  void take(std::size_t broker, const Send& send) {
+  void take(std::size_t broker, const SendAttempt& send) {
     const auto cls = class_of_.at(send.request);
     if (send.engine == kCold) sent_.push_back({now_, kWork[cls]});
     const Time took(static_cast<std::int64_t>(1.2e9 * kWork[cls] / settings_.classes[cls].threads));
@@ -151,13 +154,13 @@
     std::vector<Event> over;
     std::erase_if(ends_[broker], [&](const End& end) {
       if (end.at > now_) return false;
-      Outcome o;
+      AttemptOutcome o;
       o.request = end.request;
       o.attempt = end.attempt;
       o.engine = end.engine;
-      o.result = Result::served;
+      o.result = AttemptResult::served;
       o.latency = end.took;
-      o.closed = true;
+      o.request_closed = true;
       o.work = Time(static_cast<std::int64_t>(kWork[end.cls] * 1e9));
       over.emplace_back(o);
       return true;
@@ -174,7 +177,7 @@
   std::map<RequestId, ClassIndex> class_of_;
   std::map<RequestId, AttemptIndex> attempts_;
   std::vector<Sent> sent_;
-  EngineEntry cold_;
+  Endpoint cold_;
   RequestId last_ = 0;
   Time now_{100s}, began_{};
 };
--- a/tests/small_core.hpp
+++ b/tests/small_core.hpp
@@ -15,16 +15,17 @@
   s.kinds = {{"std-8", 8, 16384}};
   policy::ClassSettings lookup;
   lookup.name = "lookup";
-  lookup.aim = 400ms;
-  lookup.give_up = 2s;
+  lookup.latency_objective = 400ms;
+  lookup.client_timeout = 2s;
   s.classes = {lookup};
   return s;
 }
 
-inline core::Member member(core::EngineId id, policy::EngineState state = policy::EngineState::ready) {
-  core::Member out;
-  out.entry.engine = id;
-  out.entry.state = state;
+inline core::EndpointRecord member(core::EngineId id,
+                                   policy::EngineState state = policy::EngineState::ready) {
+  core::EndpointRecord out;
+  out.endpoint.engine = id;
+  out.endpoint.state = state;
   out.address = "127.0.0.1:1";
   return out;
 }
--- a/tests/soak/client.cpp
+++ b/tests/soak/client.cpp
@@ -15,7 +15,7 @@
 using test::json;
 
 constexpr int kThreads = 4;
-constexpr int kMostOnAConnection = 6;
+constexpr int kMaxOnAConnection = 6;
 constexpr double kGraceMs = 3000;  // after a request's limit, until it counts as never answered
 const char* const kClasses[] = {"lookup", "lookup", "lookup", "load", "once"};
 
@@ -44,7 +44,7 @@
     asked_ = 0;
     cancelled_.clear();
     if (random_() % 8 == 0) return babble(socket);
-    const auto rounds = 1 + random_() % kMostOnAConnection;
+    const auto rounds = 1 + random_() % kMaxOnAConnection;
     for (unsigned n = 0; n < rounds; ++n) {
       const auto count = random_() % 10 == 0 ? 8U : 1U;
       for (unsigned i = 0; i < count; ++i) ask(socket, broker);
--- a/tests/soak/judge.cpp
+++ b/tests/soak/judge.cpp
@@ -16,7 +16,7 @@
 constexpr double kLateAnswer = 500;     // after its limit an answer earns nothing; later it is lost
 constexpr double kCrossing = 60;        // a request may cross the close of a resting connection
 constexpr double kComeAfterStop = 700;  // requests that come later after SIGTERM are nobody's fault
-constexpr double kMostDelayOfNews = 7000;
+constexpr double kMaxDelayOfNews = 7000;
 constexpr double kRecovery = 2000;     // after a change log that was out, until a broker asks it again
 constexpr double kLongestStop = 4500;  // from SIGTERM to the next process
 constexpr double kOrphan = 2000;       // a query that nobody asks for runs on for so long
@@ -151,7 +151,7 @@
     const bool asked_in_vain = std::ranges::any_of(out, [told](const Span& span) {
       return span.from <= told + kRecovery && span.to + kRecovery >= told;
     });
-    return asked_in_vain ? kMostDelayOfNews : 0;
+    return asked_in_vain ? kMaxDelayOfNews : 0;
   }
 
   [[nodiscard]] bool excused(const Request& r) const {
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -25,7 +25,7 @@
     kColdFrom = 0.33, kRampMs = 15'000, kTipMultiple = 2.5, kFullCapacity = 0.85;
 constexpr std::size_t kLinesToLookAt = 2000;  // of a log, for those of one request
 constexpr std::ptrdiff_t kLinesBefore = 60;   // of a log, before a violation
-constexpr std::size_t kMostTold = 20;         // broken rules of which all is told
+constexpr std::size_t kMaxTold = 20;          // broken rules of which all is told
 constexpr double kWorkSeconds = 0.4;          // of a query, as stand-in engines tell it
 
 // A process of this program's own, and the lines it writes.
@@ -465,7 +465,7 @@
       std::size_t told = 0;
       for (const auto& line : verdicts.broken) {
         std::cout << "  BROKEN " << line << '\n';
-        if (++told > kMostTold) continue;
+        if (++told > kMaxTold) continue;
         if (line.find("violation:") != std::string::npos) tell_what_led_to(line);
         for (const auto& word : words_of(line))
           if (word.size() == 16) tell_all_of(word);
--- a/tests/stall_watch_test.cpp
+++ b/tests/stall_watch_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(stall->length, 800ms);
   // An interrupted look comes back at once and has seen nothing: it takes time, too.
   auto now = StallWatch::Time(awake);
-  for (int look = 1; look < StallWatch::kMostLooks - 1; ++look) {
+  for (int look = 1; look < StallWatch::kMaxLooks - 1; ++look) {
     EXPECT_TRUE(watch.look_again(now)) << look;
     watch.looked(now);
     EXPECT_EQ(watch.came_after(now), kStart) << look;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -52,13 +52,13 @@
   const auto got = reader.read(batch(2, body));
   ASSERT_EQ(got.records.size(), 1U);
   EXPECT_EQ(got.records[0].instance, 3U);
-  const auto& arrival = std::get<Arrival>(std::get<Event>(got.records[0].what));
+  const auto& arrival = std::get<RequestArrival>(std::get<Event>(got.records[0].what));
   EXPECT_EQ(arrival.request, 0x5d3a91c4U);
   EXPECT_EQ(arrival.time_left, std::chrono::milliseconds(240));
-  EXPECT_EQ(arrival.memory_mb, 384);
+  EXPECT_EQ(arrival.estimated_memory_mb, 384);
   EXPECT_EQ(arrival.data_group, 11);
-  ASSERT_TRUE(arrival.cost.has_value());
-  EXPECT_EQ(*arrival.cost, std::chrono::milliseconds(12));
+  ASSERT_TRUE(arrival.estimated_work.has_value());
+  EXPECT_EQ(*arrival.estimated_work, std::chrono::milliseconds(12));
 }
 
 TEST(Wire, ReadsListsAndTheirRows) {
@@ -87,11 +87,11 @@
   Reader reader;
   const auto got = reader.read(batch(3, body));
   ASSERT_EQ(got.records.size(), 1U);
-  const auto& list = std::get<Listing>(std::get<Event>(got.records[0].what));
-  EXPECT_EQ(list.kind, ListKind::cached);
-  ASSERT_EQ(list.engines.size(), 2U);
-  EXPECT_EQ(list.engines[0].engine, 0x03124a07U);
-  EXPECT_EQ(list.engines[1].state, EngineState::draining);
+  const auto& list = std::get<EndpointList>(std::get<Event>(got.records[0].what));
+  EXPECT_EQ(list.kind, EndpointListKind::cached);
+  ASSERT_EQ(list.endpoints.size(), 2U);
+  EXPECT_EQ(list.endpoints[0].engine, 0x03124a07U);
+  EXPECT_EQ(list.endpoints[1].state, EngineState::draining);
 }
 
 TEST(Wire, ReadsAnOutcomeWithItsCost) {
@@ -107,9 +107,9 @@
           "00");
   Reader reader;
   const auto got = reader.read(batch(2, body));
-  const auto& outcome = std::get<Outcome>(std::get<Event>(got.records[0].what));
-  EXPECT_EQ(outcome.result, Result::served);
-  EXPECT_TRUE(outcome.closed);
+  const auto& outcome = std::get<AttemptOutcome>(std::get<Event>(got.records[0].what));
+  EXPECT_EQ(outcome.result, AttemptResult::served);
+  EXPECT_TRUE(outcome.request_closed);
   EXPECT_EQ(*outcome.work, std::chrono::milliseconds(17));
   EXPECT_EQ(outcome.memory_mb, 4.0 * 0x060);
 }
@@ -172,7 +172,7 @@
 TEST(Wire, WritesWhatThePageShows) {
   ReplyWriter writer;
   writer.instance(3);
-  writer.action(Send{0x5d3a91c4, 0x03124a07, Time(0x01fa2d7390)});
+  writer.action(SendAttempt{0x5d3a91c4, 0x03124a07, Time(0x01fa2d7390)});
   EXPECT_EQ(writer.finish(12), hex("22000000"
                                    "02000000"
                                    "0c000000"
@@ -184,10 +184,10 @@
 
 TEST(SettingsText, UnknownKeysAreIgnoredAndTheRestIsRead) {
   const auto s = parse_settings(kSettings);
-  EXPECT_EQ(s.gateways, 3U);
+  EXPECT_EQ(s.brokers, 3U);
   EXPECT_EQ(s.kinds[0].cores, 12);
   EXPECT_EQ(s.classes[0].threads, 4U);
-  EXPECT_EQ(s.classes[0].aim, std::chrono::milliseconds(800));
+  EXPECT_EQ(s.classes[0].latency_objective, std::chrono::milliseconds(800));
   ASSERT_TRUE(s.classes[0].kinds.has_value());
   EXPECT_FALSE(s.retry_budget.has_value());
 }
