--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -1,4 +1,4 @@
-// What the broker counts about requests, for its log.
+// Counters of requests and attempts since the start, for the log.
 #pragma once
 
 #include <array>
@@ -6,33 +6,38 @@
 #include <cstdint>
 #include <string>
 
-#include "core/verdict.hpp"
+#include "core/guard_decision.hpp"
+#include "core/names.hpp"
 
 namespace bellstair::core {
 
-// What must never happen. Each is checked where it would show; a count above 0 is a fault of the program's.
+// A broken invariant of the broker. Each is checked where it would show; any count above 0 is a bug.
 enum class Violation : std::uint8_t {
-  second_answer,   // a request was to be answered once more
-  late_answer,     // later than the protocol's slack after its deadline
-  unsafe_refusal,  // the module asked for a refusal that would not be true
-  unsafe_send,     // the module asked for an attempt that the rules forbid
-  lost_at_exit,    // the program ends while a request has no answer
+  duplicate_answer,    // a request was about to be answered again
+  late_answer,         // later than the protocol's slack after the deadline
+  unsafe_rejection,    // the scheduler rejected a request that may have run
+  unsafe_attempt,      // the scheduler asked for an attempt that the guard's rules forbid
+  unanswered_at_exit,  // the program exits while a request has no answer
 };
 inline constexpr std::size_t kViolations = 5;
+// As it stands in log lines and counters.
 [[nodiscard]] const char* name(Violation violation);
 
+// Fields are named as they are printed.
 struct Counters {
-  std::uint64_t taken = 0, cancelled = 0, half_closed = 0;
-  std::uint64_t stalls = 0;                            // the process did not run for a while
-  std::array<std::uint64_t, kAnswerKinds> answered{};  // by AnswerKind
-  std::array<std::uint64_t, kVerdicts> turned_down{};  // requests that were not taken, by Verdict
-  std::array<std::uint64_t, kVerdicts> withheld{};     // attempts, by Verdict
-  std::array<std::uint64_t, kAttemptEnds> attempts{};  // by AttemptEnd
-  std::array<std::uint64_t, kReasons> unserved{};      // refused or failed by the module, by Reason
+  std::uint64_t taken = 0;  // requests admitted
+  std::uint64_t cancelled = 0;
+  std::uint64_t half_closed = 0;
+  std::uint64_t stalls = 0;                                  // ProcessStalled events
+  std::array<std::uint64_t, kAnswerKinds> answered{};        // by AnswerKind
+  std::array<std::uint64_t, kGuardDecisions> turned_down{};  // requests not admitted
+  std::array<std::uint64_t, kGuardDecisions> withheld{};     // attempts not started or not transmitted
+  std::array<std::uint64_t, kAttemptEnds> attempts{};        // by AttemptEnd
+  std::array<std::uint64_t, kUnservedReasons> unserved{};    // rejected or failed by the scheduler
   std::array<std::uint64_t, kViolations> violations{};
 
-  [[nodiscard]] std::uint64_t all_violations() const;
-  // "counters: taken=12 served=9 ..."; what is 0 is left out, but for violations.
+  [[nodiscard]] std::uint64_t total_violations() const;
+  // "counters: violations=0 taken=12 answered.served=9 ..."; counts of 0 are left out, but for violations.
   [[nodiscard]] std::string text() const;
   bool operator==(const Counters&) const = default;
 };
--- a/src/core/guard.hpp
+++ b/src/core/guard.hpp
@@ -1,76 +1,98 @@
-// The one place that decides whether something may be taken, sent, sent again, refused or closed now. The
-// reducer asks it at each such step, whoever wants it: the module, a client, an alarm, the end of the
-// program. It decides by the state as it is at that moment, since all that led to the step may be out of
-// date.
+// The final check before a request is admitted, an attempt started or transmitted, a request rejected or a
+// client's connection closed. Whoever asked for the step, it is checked against the state of this moment:
+// the state it was decided by may be out of date.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <span>
 #include <unordered_map>
 
+#include "core/events.hpp"
+#include "core/guard_decision.hpp"
 #include "core/lifecycle.hpp"
-#include "core/verdict.hpp"
 #include "policy/retry_rules.hpp"
 
 namespace bellstair::core {
 
+// The rules of admission, in their order:
+//
+// | decision          | input                          | limit                      | reason |
+// | shutting_down     | phase                          | before Phase::stopping     | it could not be
+// finished | | too_many_requests | unanswered requests            | max_open_requests; 0: none | operators'
+// limit | | memory_exhausted  | bytes held by all requests     | the broker's limit         | an OOM kill
+// loses all | | ticket_in_use     | tickets of requests held       | each once                  | engines key
+// queries by it |
+//
+// The rules on starting an attempt, and once more on transmitting its first byte, in their order:
+//
+// | decision            | input                        | limit                      | reason |
+// | already_answered    | the request                  |                            | nobody waits for it |
+// | client_disconnected | the client's connection      |                            | nobody may wait for it
+// | | engine_not_ready    | endpoint state               | ready                      | no new work while it
+// drains | | attempt_expired     | now                          | expires_at                 | its result
+// would come too late | | retry_forbidden     | earlier attempts, class      | policy::retry_rules        |
+// not to run twice | | hedging_forbidden   | earlier attempts             | settings' hedging          | one
+// attempt at a time | | ordering_key_in_use | attempts of the ordering key | one request at a time      |
+// requests of a key run in order |
 class Guard {
  public:
   // `settings`: those in force; they are replaced in place.
   explicit Guard(const policy::Settings& settings) : settings_(settings) {}
 
-  struct Taking {
+  struct Admission {
     Phase phase = Phase::starting;
-    std::size_t owed = 0;  // requests without their answer
-    bool fits = true;      // what it holds, into what all requests may hold
+    std::size_t unanswered = 0;  // requests
+    bool fits_in_memory = true;
     bool ticket_in_use = false;
   };
-  [[nodiscard]] Verdict may_take(const Taking& taking) const;
+  [[nodiscard]] GuardDecision may_admit(const Admission& admission) const;
 
-  // An attempt of the same request. `running`: it is at its engine, or nothing proves yet that it is over.
-  struct Earlier {
+  struct PriorAttempt {
     policy::EarlierAttempt attempt;
-    bool running = false;
+    bool may_be_running = false;
   };
-  struct Sending {
+  struct AttemptStart {
     RequestId request = 0;
     ClassIndex cls = 0;
-    std::uint64_t order_key = 0;  // 0: none
-    bool answered = false, client_gone = false;
-    Time until{};                              // its time is over then
-    const policy::Endpoint* engine = nullptr;  // none: not known
-    std::span<const Earlier> earlier;
+    std::uint64_t ordering_key = 0;  // 0: none
+    bool answered = false;
+    bool client_disconnected = false;
+    Time expires_at{};
+    const policy::Endpoint* endpoint = nullptr;  // null: not listed
+    std::span<const PriorAttempt> prior;         // of the same request
   };
-  // Whether the attempt may begin, and whether its first byte may leave: asked for both.
-  [[nodiscard]] Verdict may_send(const Sending& sending, Time now) const;
-  // What a module that heeds the rules does not ask for, however much has changed meanwhile.
-  [[nodiscard]] static bool breaks_a_rule(Verdict verdict);
+  [[nodiscard]] GuardDecision may_start_attempt(const AttemptStart& start, Time now) const;
+  // True for rules that the scheduler keeps by itself: only a bug can break them.
+  [[nodiscard]] static bool is_violation(GuardDecision decision);
 
-  // Whether a client may be told that trying again does no harm. `unrun`: that is proved of all attempts.
-  [[nodiscard]] bool may_refuse(ClassIndex cls, bool unrun) const;
+  // Whether the client may be told that a retry is harmless. `never_ran`: proven of all attempts.
+  [[nodiscard]] bool may_reject(ClassIndex cls, bool never_ran) const;
 
-  // A client's connection: `open` requests on it without their answer, and whether input waits to be read.
+  // `open`: unanswered requests on the client's connection; `unread`: input waits on its socket.
   [[nodiscard]] static bool may_close(std::size_t open, bool unread) { return open == 0 && !unread; }
 
-  // An attempt of a request with a key left for its engine, and ended there; it may run on until `lingers`.
-  void sent(std::uint64_t key, RequestId request);
-  void ended(std::uint64_t key, RequestId request, Time lingers);
-  void forget(Time now);  // keys at rest
+  // To be called when an attempt of a request with this ordering key is transmitted, and when it has ended
+  // here; the engine may go on with it until `may_run_until`. Key 0 is ignored.
+  void attempt_started(std::uint64_t ordering_key, RequestId request);
+  void attempt_ended(std::uint64_t ordering_key, RequestId request, Time may_run_until);
+  // Frees the memory of ordering keys that are no longer in use.
+  void remove_idle_keys(Time now);
 
  private:
-  // The request of a key whose attempts are out.
-  struct Key {
+  struct KeyUse {
     RequestId request = 0;
-    unsigned out = 0;
-    Time lingers{};
+    unsigned in_flight = 0;  // attempts
+    Time may_run_until{};
   };
-  [[nodiscard]] bool key_in_use(std::uint64_t key, RequestId request, Time now) const;
+  [[nodiscard]] bool key_in_use(std::uint64_t ordering_key, RequestId request, Time now) const;
 
-  // What a repeat's window is taken to end earlier by.
-  static constexpr Time kWindowSlack = std::chrono::milliseconds(5);
+  // Taken off a deduplication window for the way to the engine.
+  static constexpr Time kDeduplicationMargin = std::chrono::milliseconds(5);
 
   const policy::Settings& settings_;
-  std::unordered_map<std::uint64_t, Key> keys_;
+  std::unordered_map<std::uint64_t, KeyUse> keys_;  // by ordering key
 };
 
 }  // namespace bellstair::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -115,12 +115,12 @@
 void Reducer::on(RequestReceived& arrived) {
   auto& asked = arrived.submission;
   const auto bytes = weight(asked);
-  const auto verdict = guard_.may_take({lifecycle_.phase(), owed_, held_bytes_ + bytes <= most_bytes_,
-                                        !asked.ticket.empty() && tickets_.contains(asked.ticket)});
-  if (verdict != Verdict::allowed) {
-    ++counters_.turned_down[static_cast<std::size_t>(verdict)];
-    trace(last_request_, "ticket ", asked.ticket, " is turned down: ", name(verdict));
-    const bool again = verdict != Verdict::ticket_in_use;
+  const auto decision = guard_.may_admit({lifecycle_.phase(), owed_, held_bytes_ + bytes <= most_bytes_,
+                                          !asked.ticket.empty() && tickets_.contains(asked.ticket)});
+  if (decision != GuardDecision::allowed) {
+    ++counters_.turned_down[static_cast<std::size_t>(decision)];
+    trace(last_request_, "ticket ", asked.ticket, " is turned down: ", name(decision));
+    const bool again = decision != GuardDecision::ticket_in_use;
     return put(Answer{asked.client,
                       again ? AnswerKind::rejected : AnswerKind::failed,
                       again ? settings_.max_retry_after : Time::zero(),
@@ -203,11 +203,11 @@
 // Whether a refusal is true: that trying again is harmless.
 bool Reducer::may_refuse(const Request& request) const {
   const auto may_have_run = [](const Attempt& a) { return a.may_run_since.has_value(); };
-  return guard_.may_refuse(request.asked.cls, std::ranges::none_of(request.attempts, may_have_run));
+  return guard_.may_reject(request.asked.cls, std::ranges::none_of(request.attempts, may_have_run));
 }
 
-Verdict Reducer::may_send(AttemptId id, const Request& request) const {
-  std::vector<Guard::Earlier> earlier;
+GuardDecision Reducer::may_send(AttemptId id, const Request& request) const {
+  std::vector<Guard::PriorAttempt> earlier;
   for (std::size_t n = 0; n < request.attempts.size(); ++n) {
     const auto& other = request.attempts[n];
     if (n == id.index || !other.may_run_since) continue;
@@ -216,16 +216,16 @@
   }
   const auto& attempt = request.attempts[id.index];
   const auto member = members_.find(attempt.engine);
-  Guard::Sending sending;
-  sending.request = id.request;
-  sending.cls = request.asked.cls;
-  sending.order_key = request.asked.ordering_key;
-  sending.answered = request.answered;
-  sending.client_gone = request.half_closed;
-  sending.until = attempt.until;
-  sending.engine = member == members_.end() ? nullptr : &member->second.endpoint;
-  sending.earlier = earlier;
-  return guard_.may_send(sending, now_);
+  Guard::AttemptStart start;
+  start.request = id.request;
+  start.cls = request.asked.cls;
+  start.ordering_key = request.asked.ordering_key;
+  start.answered = request.answered;
+  start.client_disconnected = request.half_closed;
+  start.expires_at = attempt.until;
+  start.endpoint = member == members_.end() ? nullptr : &member->second.endpoint;
+  start.prior = earlier;
+  return guard_.may_start_attempt(start, now_);
 }
 
 void Reducer::violated(Violation violation, RequestId id) {
@@ -248,16 +248,17 @@
   auto* attempt = find(ready.id);
   if (attempt == nullptr || attempt->stage != Stage::waiting) return;
   const auto& request = requests_.at(ready.id.request);
-  const auto verdict = may_send(ready.id, request);
-  if (verdict != Verdict::allowed) {
-    ++counters_.withheld[static_cast<std::size_t>(verdict)];
-    trace(ready.id.request, "attempt ", ready.id.index, " is withheld: ", name(verdict));
-    const bool moved_on = verdict == Verdict::engine_not_ready || verdict == Verdict::answered;
+  const auto decision = may_send(ready.id, request);
+  if (decision != GuardDecision::allowed) {
+    ++counters_.withheld[static_cast<std::size_t>(decision)];
+    trace(ready.id.request, "attempt ", ready.id.index, " is withheld: ", name(decision));
+    const bool moved_on =
+        decision == GuardDecision::engine_not_ready || decision == GuardDecision::already_answered;
     return abandon(ready.id, *attempt, !moved_on);
   }
   attempt->stage = Stage::out;
   attempt->may_run_since = now_;
-  guard_.sent(request.asked.ordering_key, ready.id.request);
+  guard_.attempt_started(request.asked.ordering_key, ready.id.request);
   trace(ready.id.request, "attempt ", ready.id.index, " leaves for engine ", attempt->engine);
   attempt->priority = request.priority;
   const auto& asked = request.asked;
@@ -290,7 +291,7 @@
     trace(id.request, "attempt ", id.index, " ended: ", name(told->end));
   }
   if (attempt.stage == Stage::out || attempt.may_run_since)
-    guard_.ended(request.asked.ordering_key, id.request, attempt.lingers);
+    guard_.attempt_ended(request.asked.ordering_key, id.request, attempt.lingers);
   attempt.stage = Stage::over;
   if (never_ran(result)) attempt.may_run_since.reset();
   policy::AttemptOutcome outcome;
@@ -396,7 +397,7 @@
   hooks_.tick(now_);
   if (now_ >= guard_swept_ + kSweep) {
     guard_swept_ = now_;
-    guard_.forget(now_);
+    guard_.remove_idle_keys(now_);
   }
   if (lifecycle_.overdue(now_)) give_up_all();
   // What stays in the table without an answer owed waits for engines to hear that it was given up.
@@ -404,7 +405,7 @@
   put(Log{std::string("phase: ") + name(lifecycle_.phase())});
   if (lifecycle_.phase() == Phase::stopping) put(CloseClientConnections{});
   if (lifecycle_.phase() != Phase::exited) return;
-  if (owed_ > 0) violated(Violation::lost_at_exit, 0);
+  if (owed_ > 0) violated(Violation::unanswered_at_exit, 0);
   put(Exit{});
 }
 
@@ -467,11 +468,11 @@
     attempt.cell = member->second.endpoint.cell;
   }
   request->attempts.push_back(attempt);
-  const auto verdict = may_send(id, *request);
-  if (verdict != Verdict::allowed) {
-    if (Guard::breaks_a_rule(verdict)) violated(Violation::unsafe_send, id.request);
-    ++counters_.withheld[static_cast<std::size_t>(verdict)];
-    trace(id.request, "attempt ", id.index, " is not begun: ", name(verdict));
+  const auto decision = may_send(id, *request);
+  if (decision != GuardDecision::allowed) {
+    if (Guard::is_violation(decision)) violated(Violation::unsafe_attempt, id.request);
+    ++counters_.withheld[static_cast<std::size_t>(decision)];
+    trace(id.request, "attempt ", id.index, " is not begun: ", name(decision));
     return conclude(id, *request, AttemptResult::not_started, nullptr);
   }
   wheel_.arm(attempt.until, {Alarm::Kind::attempt, id});
@@ -496,7 +497,7 @@
   ++counters_.unserved[static_cast<std::size_t>(refuse.reason)];
   trace(refuse.request, "is refused: ", name(refuse.reason));
   if (!may_refuse(*request)) {
-    violated(Violation::unsafe_refusal, refuse.request);
+    violated(Violation::unsafe_rejection, refuse.request);
     answer(refuse.request, *request, AnswerKind::failed, Time::zero(), {});
     return forget_if_done(refuse.request);
   }
@@ -541,7 +542,7 @@
 
 void Reducer::answer(RequestId id, Request& request, AnswerKind kind, Time pause, std::string body,
                      std::string shape) {
-  if (request.answered) return violated(Violation::second_answer, id);
+  if (request.answered) return violated(Violation::duplicate_answer, id);
   if (is_late(request)) violated(Violation::late_answer, id);
   ++counters_.answered[static_cast<std::size_t>(kind)];
   trace(id, "is answered: ", name(kind), ", after ", (now_ - request.since) / 1ms, " ms");
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -127,7 +127,7 @@
   void withdraw_unsent(RequestId id, Request& request);
   [[nodiscard]] bool is_late(const Request& request) const;
   [[nodiscard]] bool may_refuse(const Request& request) const;
-  [[nodiscard]] Verdict may_send(AttemptId id, const Request& request) const;
+  [[nodiscard]] GuardDecision may_send(AttemptId id, const Request& request) const;
   void violated(Violation violation, RequestId id);
   template <class... Parts>
   void trace(RequestId id, const Parts&... parts);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -382,7 +382,7 @@
   EXPECT_LE(sent[0].wait, 800ms);
   d.pass(900ms);
   EXPECT_EQ(d.all<Answer>().size(), 1U) << "its time is over";
-  EXPECT_EQ(d.reducer.counters().all_violations(), 0U);
+  EXPECT_EQ(d.reducer.counters().total_violations(), 0U);
 }
 
 // Whose time ran out in a stall is answered late through no fault of the program's; later on it is one.
@@ -395,7 +395,7 @@
     if (stalled) d.at(0ms, ProcessStalled{d.now - 2s, 2s});
     d.at(0ms, Tick{});
     EXPECT_EQ(d.all<Answer>().size(), 1U);
-    EXPECT_EQ(d.reducer.counters().all_violations(), stalled ? 0U : 1U);
+    EXPECT_EQ(d.reducer.counters().total_violations(), stalled ? 0U : 1U);
   }
 }
 
@@ -410,7 +410,7 @@
   d.at(0ms, ProcessStalled{before + 1s, 500ms});  // told late
   d.at(0ms, Tick{});
   EXPECT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.reducer.counters().all_violations(), 0U);
+  EXPECT_EQ(d.reducer.counters().total_violations(), 0U);
 }
 
 // A wall clock that had stepped before the program's start made each engine known by then look warm, or as if
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -19,108 +19,108 @@
     settings = test::small_settings();
     settings.hedging = true;
     settings.classes[0].deduplication_window = 2s;
-    sending.request = 1;
-    sending.until = 100s;
-    sending.engine = &engine;
+    start.request = 1;
+    start.expires_at = 100s;
+    start.endpoint = &engine;
   }
   // As it is at 50 s, after one attempt at 49 s.
-  Verdict after_one(bool running = false, bool unrun = false) {
-    const Guard::Earlier one{{49s, 0, 0, unrun}, running};
-    sending.earlier = {&one, 1};
-    const auto verdict = guard.may_send(sending, 50s);
-    sending.earlier = {};
-    return verdict;
+  GuardDecision after_one(bool running = false, bool unrun = false) {
+    const Guard::PriorAttempt one{{49s, 0, 0, unrun}, running};
+    start.prior = {&one, 1};
+    const auto decision = guard.may_start_attempt(start, 50s);
+    start.prior = {};
+    return decision;
   }
   policy::Settings settings;
   Guard guard{settings};
   policy::Endpoint engine;
-  Guard::Sending sending;
+  Guard::AttemptStart start;
 };
 
 TEST_F(GuardTest, AFirstAttemptMayGoToAnEngineThatIsReady) {
-  EXPECT_EQ(guard.may_send(sending, 50s), Verdict::allowed);
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::allowed);
   for (const auto state : {EngineState::draining, EngineState::gone}) {
     engine.state = state;
-    EXPECT_EQ(guard.may_send(sending, 50s), Verdict::engine_not_ready);
+    EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::engine_not_ready);
   }
-  sending.engine = nullptr;
-  EXPECT_EQ(guard.may_send(sending, 50s), Verdict::engine_not_ready);
+  start.endpoint = nullptr;
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::engine_not_ready);
 }
 
 TEST_F(GuardTest, NothingIsSentForWhomNobodyWaits) {
-  EXPECT_EQ(guard.may_send(sending, 100s), Verdict::too_late);
-  sending.client_gone = true;
-  EXPECT_EQ(guard.may_send(sending, 50s), Verdict::client_gone);
-  sending.answered = true;
-  EXPECT_EQ(guard.may_send(sending, 50s), Verdict::answered);
+  EXPECT_EQ(guard.may_start_attempt(start, 100s), GuardDecision::attempt_expired);
+  start.client_disconnected = true;
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::client_disconnected);
+  start.answered = true;
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::already_answered);
 }
 
 TEST_F(GuardTest, RepeatsGoByTheClass) {
   auto& cls = settings.classes[0];
-  EXPECT_EQ(after_one(), Verdict::allowed) << "safe";
+  EXPECT_EQ(after_one(), GuardDecision::allowed) << "safe";
   cls.idempotency = policy::Idempotency::not_idempotent;
-  EXPECT_EQ(after_one(), Verdict::repeat_forbidden);
-  EXPECT_EQ(after_one(false, true), Verdict::allowed) << "it never ran";
+  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden);
+  EXPECT_EQ(after_one(false, true), GuardDecision::allowed) << "it never ran";
   cls.idempotency = policy::Idempotency::keyed;
-  EXPECT_EQ(after_one(), Verdict::allowed) << "within the window";
+  EXPECT_EQ(after_one(), GuardDecision::allowed) << "within the window";
   cls.deduplication_window = 1s;
-  EXPECT_EQ(after_one(), Verdict::repeat_forbidden) << "the window is over";
+  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden) << "the window is over";
   cls.deduplication_window = 2s;
   cls.deduplication_scope = DeduplicationScope::zone;
   engine.zone = 1;
-  EXPECT_EQ(after_one(), Verdict::repeat_forbidden) << "that zone does not drop it";
+  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden) << "that zone does not drop it";
   cls.deduplication_scope = DeduplicationScope::cell;
-  EXPECT_EQ(after_one(), Verdict::allowed) << "the same cell";
+  EXPECT_EQ(after_one(), GuardDecision::allowed) << "the same cell";
   engine.cell = 1;
-  EXPECT_EQ(after_one(), Verdict::repeat_forbidden);
+  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden);
 }
 
 TEST_F(GuardTest, WithoutSecondCopiesNothingStandsBesideWhatMayRun) {
-  EXPECT_EQ(after_one(true), Verdict::allowed);
+  EXPECT_EQ(after_one(true), GuardDecision::allowed);
   settings.hedging = false;
-  EXPECT_EQ(after_one(true), Verdict::another_running);
-  EXPECT_EQ(after_one(false), Verdict::allowed);
+  EXPECT_EQ(after_one(true), GuardDecision::hedging_forbidden);
+  EXPECT_EQ(after_one(false), GuardDecision::allowed);
 }
 
 TEST_F(GuardTest, RequestsOfOneKeyRunOneAtATime) {
   settings.classes[0].ordered_by_key = true;
-  sending.order_key = 42;
-  guard.sent(42, 7);
-  EXPECT_EQ(guard.may_send(sending, 50s), Verdict::key_in_use);
-  sending.request = 7;
-  EXPECT_EQ(guard.may_send(sending, 50s), Verdict::allowed) << "its own further attempt";
-  sending.request = 1;
-  guard.ended(42, 7, 52s);
-  EXPECT_EQ(guard.may_send(sending, 51s), Verdict::key_in_use) << "it may run on";
-  guard.forget(51s);
-  EXPECT_EQ(guard.may_send(sending, 51s), Verdict::key_in_use);
-  EXPECT_EQ(guard.may_send(sending, 52s), Verdict::allowed);
-  guard.forget(52s);
-  EXPECT_EQ(guard.may_send(sending, 51s), Verdict::allowed);
-  guard.sent(42, 7);
-  sending.order_key = 43;
-  EXPECT_EQ(guard.may_send(sending, 51s), Verdict::allowed) << "another key";
+  start.ordering_key = 42;
+  guard.attempt_started(42, 7);
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::ordering_key_in_use);
+  start.request = 7;
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::allowed) << "its own further attempt";
+  start.request = 1;
+  guard.attempt_ended(42, 7, 52s);
+  EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::ordering_key_in_use) << "it may run on";
+  guard.remove_idle_keys(51s);
+  EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::ordering_key_in_use);
+  EXPECT_EQ(guard.may_start_attempt(start, 52s), GuardDecision::allowed);
+  guard.remove_idle_keys(52s);
+  EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::allowed);
+  guard.attempt_started(42, 7);
+  start.ordering_key = 43;
+  EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::allowed) << "another key";
 }
 
 TEST_F(GuardTest, WhatIsTakenIsBounded) {
   settings.max_open_requests = 3;
-  EXPECT_EQ(guard.may_take({Phase::draining, 2, true, false}), Verdict::allowed);
-  EXPECT_EQ(guard.may_take({Phase::serving, 3, true, false}), Verdict::too_many_open);
-  EXPECT_EQ(guard.may_take({Phase::serving, 0, false, false}), Verdict::no_memory);
-  EXPECT_EQ(guard.may_take({Phase::serving, 0, true, true}), Verdict::ticket_in_use);
-  EXPECT_EQ(guard.may_take({Phase::stopping, 0, true, false}), Verdict::stopping);
+  EXPECT_EQ(guard.may_admit({Phase::draining, 2, true, false}), GuardDecision::allowed);
+  EXPECT_EQ(guard.may_admit({Phase::serving, 3, true, false}), GuardDecision::too_many_requests);
+  EXPECT_EQ(guard.may_admit({Phase::serving, 0, false, false}), GuardDecision::memory_exhausted);
+  EXPECT_EQ(guard.may_admit({Phase::serving, 0, true, true}), GuardDecision::ticket_in_use);
+  EXPECT_EQ(guard.may_admit({Phase::stopping, 0, true, false}), GuardDecision::shutting_down);
 }
 
 TEST_F(GuardTest, ARefusalIsTrue) {
   auto& cls = settings.classes[0];
-  EXPECT_TRUE(guard.may_refuse(0, false));
+  EXPECT_TRUE(guard.may_reject(0, false));
   cls.idempotency = policy::Idempotency::not_idempotent;
-  EXPECT_FALSE(guard.may_refuse(0, false));
-  EXPECT_TRUE(guard.may_refuse(0, true));
+  EXPECT_FALSE(guard.may_reject(0, false));
+  EXPECT_TRUE(guard.may_reject(0, true));
   cls.idempotency = policy::Idempotency::keyed;
-  EXPECT_TRUE(guard.may_refuse(0, false));
+  EXPECT_TRUE(guard.may_reject(0, false));
   cls.deduplication_scope = DeduplicationScope::zone;
-  EXPECT_FALSE(guard.may_refuse(0, false));
+  EXPECT_FALSE(guard.may_reject(0, false));
 }
 
 TEST_F(GuardTest, AConnectionIsClosedOnlyWithNothingOwedOnIt) {
@@ -135,7 +135,7 @@
   counters.taken = 3;
   counters.answered[static_cast<std::size_t>(AnswerKind::rejected)] = 2;
   counters.unserved[static_cast<std::size_t>(policy::UnservedReason::too_big)] = 2;
-  counters.withheld[static_cast<std::size_t>(Verdict::key_in_use)] = 1;
+  counters.withheld[static_cast<std::size_t>(GuardDecision::ordering_key_in_use)] = 1;
   counters.attempts[static_cast<std::size_t>(AttemptEnd::cancelled)] = 1;
   counters.violations[static_cast<std::size_t>(Violation::late_answer)] = 1;
   EXPECT_EQ(counters.text(),
@@ -157,7 +157,7 @@
   reducer.reduce(start + 10ms, RequestReceived{asked}, effects);
   reducer.reduce(start + 3s, Tick{}, effects);
   EXPECT_EQ(test::all_of<Answer>(effects).size(), 1U);
-  EXPECT_EQ(reducer.counters().all_violations(), 1U);
+  EXPECT_EQ(reducer.counters().total_violations(), 1U);
   EXPECT_EQ(reducer.counters().taken, 1U);
 }
 
