--- a/benchmarks/scale/capacity.py
+++ b/benchmarks/scale/capacity.py
@@ -745,7 +745,7 @@
         ("src/net/lingerer.cpp", "Lingerer"),
     ]),
     "data": Role("Data path of a broker", [
-        ("src/core/reducer.cpp", "Reducer::consult"), ("src/policy/scheduler.cpp", "Scheduler::handle"),
+        ("src/core/reducer.cpp", "Reducer::call_scheduler"), ("src/policy/scheduler.cpp", "Scheduler::handle"),
         ("src/platform/engines.cpp", "Engines"), ("src/net/pool.cpp", "Pool"),
     ]),
     "control": Role("Control part of a broker", [
--- /dev/null
+++ b/src/core/attempt_tracker.hpp
@@ -0,0 +1,65 @@
+// Attempts of requests, from the scheduler's decision until their end is known.
+#pragma once
+
+#include "core/endpoint_registry.hpp"
+#include "core/guard.hpp"
+#include "core/request_table.hpp"
+#include "core/responder.hpp"
+#include "core/scheduler_driver.hpp"
+#include "core/step_context.hpp"
+#include "core/timers.hpp"
+
+namespace bellstair::core {
+
+// connecting -> in_flight -> ended. An attempt that is cancelled, in either stage, ends once its AttemptEnded
+// has come.
+class AttemptTracker {
+ public:
+  AttemptTracker(StepContext& context, RequestTable& requests, const EndpointRegistry& endpoints,
+                 Guard& guard, Timers& timers, SchedulerDriver& scheduler, Responder& responder)
+      : context_(context),
+        requests_(requests),
+        endpoints_(endpoints),
+        guard_(guard),
+        timers_(timers),
+        scheduler_(scheduler),
+        responder_(responder) {}
+
+  // The scheduler's decisions. Those on requests that are no longer in the table are ignored.
+  void start(const policy::SendAttempt& send);
+  void cancel(const policy::CancelAttempt& cancel);
+  void set_terms(const policy::AttemptTerms& terms);
+
+  // Events. Those on attempts that have ended, or are being cancelled, are ignored.
+  void connected(AttemptId id);
+  void progressed(AttemptId id);
+  void expired(AttemptId id);
+  void ended(AttemptEnded& ended);
+
+  // Cancels the attempts of which nothing has been transmitted.
+  void cancel_connecting(RequestId id, Request& request);
+  // The same, of all requests, to engines that take no new work.
+  void cancel_connecting_to_unready();
+  void cancel_all(RequestId id, Request& request);
+
+ private:
+  [[nodiscard]] Attempt make_attempt(const policy::SendAttempt& send, const Request& request) const;
+  [[nodiscard]] GuardDecision may_start(AttemptId id, const Request& request) const;
+  void transmit(AttemptId id, Request& request, Attempt& attempt);
+  void cancel(AttemptId id, Attempt& attempt);
+  // `ended`: null if the attempt was not started.
+  void conclude(AttemptId id, Request& request, policy::AttemptResult result, AttemptEnded* ended);
+  void record_end(AttemptId id, Request& request, Attempt& attempt, policy::AttemptResult result,
+                  const AttemptEnded* ended);
+  void deliver_result(RequestId id, Request& request, policy::AttemptResult result, AttemptEnded& ended);
+
+  StepContext& context_;
+  RequestTable& requests_;
+  const EndpointRegistry& endpoints_;
+  Guard& guard_;
+  Timers& timers_;
+  SchedulerDriver& scheduler_;
+  Responder& responder_;
+};
+
+}  // namespace bellstair::core
--- /dev/null
+++ b/src/core/request_table.hpp
@@ -0,0 +1,56 @@
+// All requests from their admission until they are answered and each of their attempts has ended.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <unordered_set>
+
+#include "core/request.hpp"
+
+namespace bellstair::core {
+
+class RequestTable {
+ public:
+  // `max_bytes`: memory that all requests together may take.
+  explicit RequestTable(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+
+  [[nodiscard]] bool fits(const Submission& submission) const;
+  [[nodiscard]] bool ticket_in_use(const std::string& ticket) const { return tickets_.contains(ticket); }
+
+  // The id is new. References to requests stay valid until their erase_if_complete().
+  RequestId insert(Submission submission, Time received_at);
+  [[nodiscard]] RequestId last_id() const { return last_id_; }
+
+  [[nodiscard]] Request* find(RequestId id);
+  [[nodiscard]] const Request* find(RequestId id) const;
+  [[nodiscard]] Attempt* find(AttemptId id);
+  // `id` must be in the table.
+  [[nodiscard]] Request& at(RequestId id) { return requests_.at(id); }
+  // The client's unanswered request.
+  [[nodiscard]] std::optional<RequestId> find_by_client(ClientHandle client) const;
+
+  // From here on no answer is owed.
+  void mark_answered(Request& request);
+  void erase_if_complete(RequestId id);
+
+  [[nodiscard]] std::size_t size() const { return requests_.size(); }
+  [[nodiscard]] std::size_t unanswered() const { return unanswered_; }
+
+  auto begin() { return requests_.begin(); }
+  auto end() { return requests_.end(); }
+  [[nodiscard]] auto begin() const { return requests_.begin(); }
+  [[nodiscard]] auto end() const { return requests_.end(); }
+
+ private:
+  std::unordered_map<RequestId, Request> requests_;
+  std::unordered_map<ClientHandle, RequestId> by_client_;  // unanswered requests
+  std::unordered_set<std::string> tickets_;
+  RequestId last_id_ = 0;
+  std::size_t unanswered_ = 0;
+  std::size_t bytes_ = 0;
+  std::size_t max_bytes_;
+};
+
+}  // namespace bellstair::core
--- a/src/core/start_clock.hpp
+++ b/src/core/start_clock.hpp
@@ -1,17 +1,8 @@
-// When engines began, on the broker's own steady clock.
+// Start times of engines on the broker's steady clock, for slow start.
 //
-// Slow start goes by an engine's age, and the change log tells a start as a moment of Unix time, by the clock
-// of another machine. Either clock may be off or step. What holds without them: an engine has not begun after
-// the news of it came; it began later than a little before the change log's last answer without it; and it is
-// older than a newer one by as much as their starts lie apart.
-//
-// Starts that news tell of are read by the wall clock as it stood when the program began, as long as they lie
-// between the two bounds. News that do not tell how far it is off: they are taken to have come without delay,
-// which makes an engine younger than it is, and starts are read against each other from then on.
-//
-// Of what was known when the program began only the order is proof: the newest is taken to have just begun,
-// and the others to be older by as much as they are told to be. The wall clock is believed only where it is
-// beyond doubt.
+// The change log tells a start in Unix time, by another machine's wall clock. That clock and this machine's
+// may be off or step. Bounds that hold regardless: an engine did not start after the event that tells of it,
+// nor before the change log's previous answer by more than kMaxDelay.
 #pragma once
 
 #include <algorithm>
@@ -22,46 +13,49 @@
 
 using Time = std::chrono::nanoseconds;
 
+// `started_unix` is Unix time, all other times are of the steady clock. Results are above 0, which would mean
+// "long ago".
 class StartClock {
  public:
-  // How late an event may enter the change log. A clock that is off by less is not noticed.
+  // Delay of an event in the change log. A clock that is off by less goes unnoticed.
   static constexpr Time kMaxDelay = std::chrono::seconds(2);
-  // A wall clock is off by less: an engine that began longer ago by it is not new.
-  static constexpr Time kMaxOff = std::chrono::hours(24);
+  // No wall clock is off by more: an engine that started longer ago by it is not new.
+  static constexpr Time kMaxClockError = std::chrono::hours(24);
 
-  // To be told of each start that was known when the program began, before any of them is read.
+  // To be called for each start that was known when the program began, before start_of_known().
   void note_known(Time started_unix) { newest_known_ = std::max(newest_known_, started_unix); }
 
-  // Of an engine that was known when the program began: nothing tells when it was not there yet.
-  [[nodiscard]] Time of_known(Time started_unix, Time now) const {
+  // The start of an engine known when the program began. Only their order is proof: the newest counts as
+  // just started, the others as older than it by as much as their Unix times differ.
+  [[nodiscard]] Time start_of_known(Time started_unix, Time now) const {
     const Time by_wall_clock = started_unix + offset_;
-    const bool surely_old = now - by_wall_clock > kMaxOff;
+    const bool surely_old = now - by_wall_clock > kMaxClockError;
     return std::clamp(surely_old ? by_wall_clock : now - (newest_known_ - started_unix), Time(1), now);
   }
 
-  // Of one that was read before, once news have told how far the clock is off.
-  [[nodiscard]] Time read_anew(Time started_unix, Time now) const {
-    return std::clamp(started_unix + offset_, Time(1), now);
-  }
-
-  // Of an engine that news tell of. `absent`: the change log had not told of it by then.
-  [[nodiscard]] Time of_news(Time started_unix, Time now, Time absent) {
+  // The start of an engine that a watch event has told of. `absent_at`: it was not listed then. A start
+  // outside its bounds shows that a clock is off: the event then counts as told without delay.
+  [[nodiscard]] Time start_of_new(Time started_unix, Time now, Time absent_at) {
     const Time age = now - (started_unix + offset_);
-    const Time most_age = now - absent + kMaxDelay;
-    if (age < Time::zero() || age > most_age) {
+    const Time max_age = now - absent_at + kMaxDelay;
+    if (age < Time::zero() || age > max_age) {
       offset_ = now - started_unix;
-      was_off_ = true;
+      offset_changed_ = true;
     }
     return std::max(Time(1), started_unix + offset_);
   }
 
-  // True once after news have shown a clock to be off: starts known before are to be read anew.
-  [[nodiscard]] bool take_was_off() { return std::exchange(was_off_, false); }
+  // True once after start_of_new() has found a clock to be off: all other starts are to be corrected.
+  [[nodiscard]] bool take_offset_changed() { return std::exchange(offset_changed_, false); }
+
+  [[nodiscard]] Time corrected_start(Time started_unix, Time now) const {
+    return std::clamp(started_unix + offset_, Time(1), now);
+  }
 
  private:
-  Time offset_{};  // from a start as told to the core's clock, which began at the wall clock's Unix time
+  Time offset_{};  // steady clock less Unix time; the steady clock begins at the wall clock's time
   Time newest_known_{};
-  bool was_off_ = false;
+  bool offset_changed_ = false;
 };
 
 }  // namespace bellstair::core
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -326,7 +326,7 @@
     StartClock starts;
     const Time now = 5000s;
     const auto age = [&](Time told_after, Time at, Time absent) {
-      return at - starts.of_news(at - told_after - off, at, absent);
+      return at - starts.start_of_new(at - told_after - off, at, absent);
     };
     const Time late = off == 0s ? Time(0s) : Time(1s);  // taken to have come without delay
     EXPECT_EQ(age(1s, now, now - 1s), 1s - late);
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -436,7 +436,7 @@
     for (const auto& record : records_.all())
       if (record.find(ticket) != std::string::npos) std::cout << "    " << record << '\n';
     for (std::size_t i = 0; i < logs_.size(); ++i) {
-      const auto at = logs_[i].find(" ticket " + ticket + " is taken");
+      const auto at = logs_[i].find(" ticket " + ticket + " is admitted");
       if (at == std::string::npos) continue;
       const auto from = logs_[i].rfind(": request ", at);
       const auto of = logs_[i].substr(from, at + 1 - from);
