--- a/benchmarks/scale/capacity.py
+++ b/benchmarks/scale/capacity.py
@@ -749,7 +749,7 @@
         ("src/platform/engines.cpp", "Engines"), ("src/net/pool.cpp", "Pool"),
     ]),
     "control": Role("Control part of a broker", [
-        ("src/core/reducer.cpp", "Reducer::on"), ("src/policy/scheduler.cpp", "tell_peers"),
+        ("src/core/reducer.cpp", "Reducer::on"), ("src/policy/gossip.cpp", "Gossip::send"),
         ("src/platform/peers.cpp", "Peers::run"), ("src/platform/changelog.cpp", "ChangeLog"),
     ]),
     "database": Role("A database as seen by the fleet", [("src/net/pool.cpp", "Pool")],
--- /dev/null
+++ b/include/bellstair/policy/types.hpp
@@ -0,0 +1,15 @@
+// The basic types of the decision module.
+#pragma once
+
+#include <chrono>
+#include <cstdint>
+
+namespace bellstair::policy {
+
+using Time = std::chrono::nanoseconds;  // a moment on the caller's clock, or a span
+using RequestId = std::uint32_t;
+using EngineId = std::uint32_t;
+using ClassIndex = std::uint16_t;    // into Settings::classes
+using AttemptIndex = std::uint16_t;  // of one request, from 0
+
+}  // namespace bellstair::policy
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "config/read.hpp"
-#include "policy/state.hpp"
+#include "policy/settings_check.hpp"
 #include "simulator/wire.hpp"
 
 namespace bellstair::config {
@@ -145,7 +145,7 @@
   const json& settings = object(need(all, "settings"), "settings");
   try {
     out.settings = simulator::settings_from(settings);
-    policy::check(out.settings);  // what makes no sense is told before anything starts
+    policy::check_settings(out.settings);  // what makes no sense is told before anything starts
   } catch (const std::exception& error) {
     throw Invalid(error.what());
   }
--- /dev/null
+++ b/src/policy/dispatcher.hpp
@@ -0,0 +1,55 @@
+// Sending requests to engines, and the end of attempts.
+#pragma once
+
+#include "policy/attempt_terms.hpp"
+#include "policy/class_table.hpp"
+#include "policy/context.hpp"
+#include "policy/fleet.hpp"
+#include "policy/ordering_keys.hpp"
+#include "policy/request_table.hpp"
+#include "policy/retry_budget.hpp"
+#include "policy/send_rules.hpp"
+#include "policy/slow_start.hpp"
+#include "policy/thread_budget_controller.hpp"
+
+namespace bellstair::policy {
+
+/// What the dispatcher goes by and keeps up to date.
+struct DispatcherInputs {
+  const SendRules& rules;
+  const SlowStart& slow_start;
+  const AttemptTermsPolicy& terms;
+  Fleet& fleet;
+  ClassTable& classes;
+  RequestTable& requests;
+  OrderingKeys& ordering_keys;
+  RetryBudgetLimiter& retry_budget;
+  ThreadBudgetController& thread_budgets;
+};
+
+/// The only place that sends requests.
+class Dispatcher {
+ public:
+  Dispatcher(const Context& context, DispatcherInputs inputs) : context_(context), in_(inputs) {}
+
+  /// Sends the request if the rules allow it; returns whether it did. The caller takes it off its queue.
+  bool send(Request& request, Engine& engine);
+
+  /// Records the end of an attempt; false if it is unknown or has ended before.
+  [[nodiscard]] bool end_attempt(Request& request, Engine& engine, const AttemptOutcome& outcome);
+
+  /// Cancels an attempt of an idempotent request if another is awaited or a retry is allowed; the retry is
+  /// sent once the cancellation is confirmed.
+  void withdraw(RequestId id, std::size_t attempt);
+  /// As above, for all attempts in flight at the engine.
+  void withdraw_all(const Engine& engine);
+
+ private:
+  void add_attempt(Request& request, Engine& engine);
+  void block_ordering_key(const Request& request, const AttemptOutcome& outcome);
+
+  const Context& context_;
+  DispatcherInputs in_;
+};
+
+}  // namespace bellstair::policy
--- /dev/null
+++ b/src/policy/endpoint_selector.cpp
@@ -0,0 +1,87 @@
+#include "policy/endpoint_selector.hpp"
+
+#include <algorithm>
+#include <chrono>
+#include <ranges>
+
+namespace bellstair::policy {
+namespace {
+constexpr std::size_t kMaxComparedFleet = kMaxRecentReports;  // engines; larger fleets are sampled
+constexpr std::size_t kRandomCandidates = 2;
+constexpr Time kHealthCheckWait = std::chrono::milliseconds(40);
+constexpr int kHealthChecksForHeavyRequest = 4;  // others leave so many to the next heavy one
+constexpr double kHeavyFraction = 0.5;           // of the heaviest class's work, above which one is heavy
+// Scores differ at random by up to this many threads a core, so that brokers don't choose alike.
+constexpr double kMinScoreNoise = 0.01;
+constexpr double kMaxScoreNoise = 4.0;  // added where reports are not believed at all
+}  // namespace
+
+Engine* EndpointSelector::select(Request& request) {
+  const auto& engines = candidates(request);
+  if (awaits_health_checks(request, engines)) return nullptr;
+  const double noise = score_noise();
+  Engine* best = nullptr;
+  double best_score = 0;
+  for (auto* engine : engines) {
+    if (!is_eligible(request, *engine)) continue;
+    const double score = in_.scorer.score(request, *engine) + noise * context_.uniform();
+    if (best != nullptr && !(score < best_score)) continue;
+    best = engine;
+    best_score = score;
+  }
+  return best;
+}
+
+const std::vector<Engine*>& EndpointSelector::candidates(const Request& request) {
+  const auto& ready = in_.fleet.ready();
+  if (ready.size() <= kMaxComparedFleet) return ready;
+  candidates_.clear();
+  ++comparison_;
+  for (auto* engine : in_.slow_start.engines_in_turn()) add_candidate(engine);
+  for (std::size_t i = 0; i < kRandomCandidates; ++i) add_candidate(ready[context_.random() % ready.size()]);
+  if (!in_.scorer.ignores_affinity()) {
+    const auto& preferred = in_.affinity.preferred_engines(request.arrival.data_group);
+    if (!preferred.empty()) add_candidate(preferred[context_.random() % preferred.size()]);
+  }
+  for (const auto& [at, engine] : in_.load.recent_reports())
+    if (context_.now < at + kReportLifetime) add_candidate(engine);
+  return candidates_;
+}
+
+void EndpointSelector::add_candidate(Engine* engine) {
+  if (engine->last_comparison != comparison_ && engine->ready) candidates_.push_back(engine);
+  engine->last_comparison = comparison_;
+}
+
+// A broker with a small pool checks engines for single requests; with a large pool, all reports are kept
+// recent.
+bool EndpointSelector::awaits_health_checks(Request& request, const std::vector<Engine*>& engines) {
+  if (!in_.fleet.has_small_pool()) return false;
+  auto& awaited_until = request.health_checks_awaited_until;
+  if (awaited_until > Time::zero()) return awaited_until > context_.now;
+  awaited_until = context_.now;
+  const double work = in_.classes[request.arrival.cls].estimates.mean_work();
+  const bool heavy = work > kHeavyFraction * in_.classes.heaviest_work();
+  const int checks = heavy ? kHealthChecksForHeavyRequest : 1;
+  const double reserve = heavy ? 0 : kHealthChecksForHeavyRequest - 1;
+  for (auto* engine : engines | std::views::take(checks)) {
+    if (in_.health_checker.check_if_stale(*engine, reserve)) awaited_until = context_.now + kHealthCheckWait;
+  }
+  return awaited_until > context_.now;
+}
+
+bool EndpointSelector::is_eligible(const Request& request, Engine& engine) const {
+  if (!in_.outliers.admits(request, engine)) return false;
+  if (!in_.scorer.has_capacity(engine, request.arrival.cls)) return false;
+  if (!in_.rules.may_send(request, engine)) return false;
+  if (request.awaited_from(engine.endpoint.engine)) return false;
+  const bool locks = class_settings(context_.settings, request).locks_data_group;
+  return !locks || !is_data_group_locked(request, engine);
+}
+
+double EndpointSelector::score_noise() const {
+  if (!in_.load.uses_reports()) return kMinScoreNoise;
+  return kMinScoreNoise + kMaxScoreNoise * (1 - in_.load.report_confidence());
+}
+
+}  // namespace bellstair::policy
--- /dev/null
+++ b/src/policy/endpoint_selector.hpp
@@ -0,0 +1,53 @@
+// The choice of an engine for a request.
+#pragma once
+
+#include <vector>
+
+#include "policy/class_table.hpp"
+#include "policy/context.hpp"
+#include "policy/data_group_affinity.hpp"
+#include "policy/endpoint_scorer.hpp"
+#include "policy/fleet.hpp"
+#include "policy/health_checker.hpp"
+#include "policy/load_estimator.hpp"
+#include "policy/outlier_detector.hpp"
+#include "policy/send_rules.hpp"
+
+namespace bellstair::policy {
+
+/// What the selector goes by.
+struct SelectorInputs {
+  const Fleet& fleet;
+  const ClassTable& classes;
+  const LoadEstimator& load;
+  const OutlierDetector& outliers;
+  const SendRules& rules;
+  const EndpointScorer& scorer;
+  SlowStart& slow_start;
+  DataGroupAffinity& affinity;
+  HealthChecker& health_checker;
+};
+
+/// Compares all engines of a small fleet; of a large one those of the newest reports and a few at random.
+class EndpointSelector {
+ public:
+  EndpointSelector(Context& context, SelectorInputs inputs) : context_(context), in_(inputs) {}
+
+  /// The engine that the request is sent to now; nullptr if there is none, or while health checks that were
+  /// sent for it are awaited. A random draw for each engine that may be chosen.
+  [[nodiscard]] Engine* select(Request& request);
+
+ private:
+  [[nodiscard]] const std::vector<Engine*>& candidates(const Request& request);
+  void add_candidate(Engine* engine);
+  [[nodiscard]] bool awaits_health_checks(Request& request, const std::vector<Engine*>& engines);
+  [[nodiscard]] bool is_eligible(const Request& request, Engine& engine) const;
+  [[nodiscard]] double score_noise() const;  // threads a core
+
+  Context& context_;
+  SelectorInputs in_;
+  std::vector<Engine*> candidates_;  // of the last choice in a large fleet
+  std::uint64_t comparison_ = 0;     // number of that choice
+};
+
+}  // namespace bellstair::policy
--- /dev/null
+++ b/src/policy/engine_state.hpp
@@ -0,0 +1,69 @@
+// The record of an engine.
+#pragma once
+
+#include <chrono>
+#include <cstdint>
+#include <set>
+
+#include "bellstair/policy/events.hpp"
+#include "bellstair/policy/settings.hpp"
+#include "policy/request.hpp"
+#include "policy/slow_start_budget.hpp"
+#include "policy/start_tracker.hpp"
+
+namespace bellstair::policy {
+
+enum class Health { healthy, ejected, on_trial };
+
+/// An engine of the endpoint list, or one that has left it with attempts still in flight.
+struct Engine {
+  /// No process restarts in less time.
+  static constexpr Time kMinRestartTime = std::chrono::milliseconds(500);
+
+  Endpoint endpoint;
+  bool ready = false;  // may be sent queries, by the endpoint list
+
+  // This broker's attempts in flight.
+  unsigned threads = 0;
+  unsigned queries = 0;
+  std::set<AttemptKey> in_flight;
+  std::set<std::int64_t> locked_data_groups;
+
+  // Outlier detection.
+  Health health = Health::healthy;
+  Time ejected_until{};
+  Time ejection_time{};   // length of the last ejection; 0: none since it was healthy
+  double error_rate = 0;  // moving average, 0 to 1
+  Time last_heard_at{};
+  Time last_reset_at{};  // of a connection; 0: none, or heard since
+
+  // Latency over what was to be expected.
+  double latency_ratio = 1;  // moving average
+  double last_latency_ratio = 1;
+
+  // Slow start.
+  StartTracker start;
+  SlowStartBudget slow_start_budget;
+
+  // Load reports.
+  double other_brokers_threads = 0;  // at the last report
+  Time reported_at{};
+  Time health_checked_at{};
+
+  std::uint64_t last_comparison = 0;  // number of the last choice that it took part in
+
+  /// At `at` came a word on what was sent at `sent_at`.
+  void record_alive(Time at, Time sent_at) {
+    start.record_alive(at, sent_at, kMinRestartTime);
+    if (at > last_reset_at) last_reset_at = Time::zero();
+  }
+};
+
+/// Whether it has left the endpoint list and nothing is in flight there.
+inline bool is_removable(const Engine& engine) { return !engine.ready && engine.in_flight.empty(); }
+
+inline double cores_of(const Settings& settings, const Engine& engine) {
+  return settings.kinds[engine.endpoint.kind].cores;
+}
+
+}  // namespace bellstair::policy
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -532,7 +532,9 @@
       for (const auto& sent : d.all<Transmit>()) d.at(0ms, AttemptProgressed{sent.id});
     }
     const auto logs = d.all<Log>();
-    const auto silent = [](const Log& log) { return log.text.find("is silent") != std::string::npos; };
+    const auto silent = [](const Log& log) {
+      return log.text.find("ejected: no response") != std::string::npos;
+    };
     EXPECT_EQ(std::ranges::any_of(logs, silent), !heard);
   }
 }
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -6,7 +6,8 @@
 #include <tuple>
 
 #include "bench.hpp"
-#include "policy/state.hpp"
+#include "policy/gossip_codec.hpp"
+#include "policy/start_tracker.hpp"
 
 namespace bellstair::policy::test {
 namespace {
@@ -270,7 +271,7 @@
     for (int tick = 0; tick < 12; ++tick) {
       for (const auto& action : d.at(d.wake, {TimerFired{}})) {
         const auto* tell = std::get_if<SendGossip>(&action);
-        const auto text = tell == nullptr ? std::nullopt : decode(tell->bytes);
+        const auto text = tell == nullptr ? std::nullopt : decode_gossip(tell->bytes);
         if (!text || text->entries.empty() || id < 100) continue;
         least = std::min(least, text->entries[0].value);
         most = std::max(most, text->entries[0].value);
@@ -487,10 +488,10 @@
     if (probe) {
       d.at(d.now, {HealthCheckResult{7, AttemptResult::served, 20ms, {}}});
     } else {
-      PeerText text;
-      text.reports = true;
+      GossipPayload text;
+      text.has_reports = true;
       text.entries = {{7, 0, 0}};
-      d.at(d.now, {GossipMessage{3, encode(text)}});
+      d.at(d.now, {GossipMessage{3, encode_gossip(text)}});
     }
     for (RequestId id = 2; id < 10; ++id) d.ask(id, 0);
     d.until(d.now + 60ms);
@@ -531,33 +532,34 @@
   }
 }
 
-TEST(ColdStart, StandsUntilItsProcessTurnsOutToHaveOutlivedIt) {
+TEST(StartTracker, StandsUntilItsProcessTurnsOutToHaveOutlivedIt) {
   constexpr Time kSoon = 500ms;
-  ColdStart start;
-  start.begin(1s);
-  start.doubt(10s, false);
-  start.doubt(20s, true);
-  start.doubt(30s, false);
-  EXPECT_EQ(start.since(), 30s);
+  StartTracker start;
+  start.confirm(1s);
+  start.suspect_restart(10s, false);
+  start.suspect_restart(20s, true);
+  start.suspect_restart(30s, false);
+  EXPECT_EQ(start.started_at(), 30s);
   // What comes as the connection breaks may be its last word, and so may what is read a little later.
-  for (const Time at : {Time(30s), Time(30s) + 5ms, Time(30s) + 50ms}) start.heard(at, 29s, kSoon);
-  EXPECT_EQ(start.since(), 30s);
-  start.heard(33s, 25s, kSoon);  // alive since 25 s: the last break was the network's
-  EXPECT_EQ(start.since(), 20s);
+  for (const Time at : {Time(30s), Time(30s) + 5ms, Time(30s) + 50ms}) start.record_alive(at, 29s, kSoon);
+  EXPECT_EQ(start.started_at(), 30s);
+  start.record_alive(33s, 25s, kSoon);  // alive since 25 s: the last break was the network's
+  EXPECT_EQ(start.started_at(), 20s);
   // A new process may answer so soon, where nobody was.
-  start.heard(Time(20s) + 400ms, Time(20s) + 100ms, kSoon);
-  EXPECT_EQ(start.since(), 20s);
-  start.heard(35s, 5s, kSoon);
-  EXPECT_EQ(start.since(), 1s);
-  start.doubt(40s, false);
-  start.heard(Time(40s) + 400ms, Time(40s) + 300ms, kSoon);  // none ends and begins anew in so short a time
-  EXPECT_EQ(start.since(), 1s);
-  start.doubt(45s, false);
-  start.heard(Time(45s) + 1ms, 45s, kSoon);  // it was sent this after the break: no last word
-  EXPECT_EQ(start.since(), 1s);
-  for (int i = 0; i < 100; ++i) start.doubt(Time(50s) + i * 1s, false);
-  start.heard(200s, 2s, kSoon);
-  EXPECT_EQ(start.since(), Time(50s) + 83s) << "the oldest stand for good once there are too many";
+  start.record_alive(Time(20s) + 400ms, Time(20s) + 100ms, kSoon);
+  EXPECT_EQ(start.started_at(), 20s);
+  start.record_alive(35s, 5s, kSoon);
+  EXPECT_EQ(start.started_at(), 1s);
+  start.suspect_restart(40s, false);
+  start.record_alive(Time(40s) + 400ms, Time(40s) + 300ms,
+                     kSoon);  // none ends and begins anew in so short a time
+  EXPECT_EQ(start.started_at(), 1s);
+  start.suspect_restart(45s, false);
+  start.record_alive(Time(45s) + 1ms, 45s, kSoon);  // it was sent this after the break: no last word
+  EXPECT_EQ(start.started_at(), 1s);
+  for (int i = 0; i < 100; ++i) start.suspect_restart(Time(50s) + i * 1s, false);
+  start.record_alive(200s, 2s, kSoon);
+  EXPECT_EQ(start.started_at(), Time(50s) + 83s) << "the oldest stand for good once there are too many";
 }
 
 TEST(Unreachable, AnEngineThatBreaksConnectionsIsTakenForColdByAllGateways) {
--- a/tests/faults/connect_test.cpp
+++ b/tests/faults/connect_test.cpp
@@ -31,7 +31,7 @@
   std::size_t blamed() {
     std::size_t out = 0;
     for (const auto& line : broker.program->all_lines())
-      if (line.find("takes no connections") != std::string::npos) ++out;
+      if (line.find("ejected: connection refused") != std::string::npos) ++out;
     return out;
   }
   HttpEngine first{answer_and_close}, second{answer_and_close};
