--- a/benchmarks/hooks_cost.cpp
+++ b/benchmarks/hooks_cost.cpp
@@ -66,7 +66,7 @@
       std::string problem;
       machines.push_back(hooks::Machine::make(spec, kWords, 1s, problem));
       if (!machines.back()) std::abort();
-      machines.back()->remember(&store);
+      machines.back()->set_store(&store);
     }
   }
   static hooks::Set make(const std::vector<const char*>& scripts, const std::string& contains) {
@@ -156,7 +156,7 @@
   std::string problem;
   const auto machine = hooks::Machine::make(spec, kWords, 1s, problem);
   if (!machine) return state.SkipWithError(problem.c_str());
-  machine->remember(&world.store);
+  machine->set_store(&world.store);
   std::vector<double> took;
   hooks::JobId job = 0;
   for (auto _ : state) {
@@ -174,7 +174,7 @@
       if (ran.how != hooks::Ran::How::yielded) break;
       run.first = false;
     }
-    machine->drop(job);
+    machine->abort(job);
   }
   std::ranges::sort(took);
   state.counters["us_p99"] = took[took.size() * 99 / 100];
--- a/src/app/hook_tool.cpp
+++ b/src/app/hook_tool.cpp
@@ -30,7 +30,7 @@
       const auto& spec = loaded.set.hooks[i];
       auto& held = held_[spec.id];
       held.store = std::make_unique<hooks::Store>(spec.state);
-      loaded.machines[i]->remember(held.store.get());
+      loaded.machines[i]->set_store(held.store.get());
       held.machine = std::move(loaded.machines[i]);
       held.spec = spec;
     }
@@ -110,7 +110,7 @@
         for (const auto& line : ran.said) call["said"].push_back(line);
         control_.ran(now_, std::move(ran));
       } else if (const auto* drop = std::get_if<hooks::Drop>(&command)) {
-        held_.at(drop->hook).machine->drop(drop->job);
+        held_.at(drop->hook).machine->abort(drop->job);
         call_of(drop->job, held_.at(drop->hook).spec.name)["failed"] = "it was cut off";
       } else if (const auto* renew = std::get_if<hooks::Renew>(&command)) {
         control_.renewed(now_, {renew->hook, {}});
--- a/src/hooks/load.cpp
+++ b/src/hooks/load.cpp
@@ -42,7 +42,7 @@
     spec.digest = sha256(spec.source);
     std::string problem;
     auto machine = Machine::make(spec, words, kMaxLoad, problem);
-    if (machine) problem = machine->rehearse();
+    if (machine) problem = machine->dry_run();
     if (!problem.empty()) wrong(problem);
     out.machines.push_back(std::move(machine));
   }
--- a/src/hooks/machine.hpp
+++ b/src/hooks/machine.hpp
@@ -1,6 +1,6 @@
 // The Lua machine of one hook. Calls are coroutines that are made to yield after a slice, so that no script,
-// however it loops, holds up whoever runs it; to cut a call off is not to go on with it. Not safe for use by
-// two threads at once; may be made in one and used in another.
+// however it loops, holds up whoever runs it; a call is aborted by never resuming it. Not safe for use by two
+// threads at once; may be made in one and used in another.
 #pragma once
 
 #include <memory>
@@ -12,33 +12,35 @@
 
 namespace bellstair::hooks {
 
-// Positions in the settings' lists, to names; scripts see names.
+// Names by their positions in the settings' lists; scripts see the names.
 struct Words {
   std::vector<std::string> classes, tenants, fronts;
 };
 
 class Machine {
  public:
-  // Loads the script, within `most_time`. Null and `problem` if it can't be used.
-  [[nodiscard]] static std::unique_ptr<Machine> make(const Spec& spec, const Words& words, Time most_time,
+  // Loads the script within `load_timeout` of wall time. Null, with `problem` set, if it can't be used.
+  [[nodiscard]] static std::unique_ptr<Machine> make(const Spec& spec, const Words& names, Time load_timeout,
                                                      std::string& problem);
   ~Machine();
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
 
-  // One call of each phase that it has, for a request that any script should stand; what it remembers of them
-  // is forgotten. What goes wrong, or nothing.
-  [[nodiscard]] std::string rehearse();
+  // Makes one call of each phase of the hook, for a request that any script should handle, on a store of its
+  // own. Returns what went wrong; empty if nothing did.
+  [[nodiscard]] std::string dry_run();
 
-  void remember(Store* store);  // of use for all calls from now on
+  // For all slices from now on. The store outlives its use.
+  void set_store(Store* store);
   // Also for calls that have begun: a position never changes its name while a call is about it.
-  void know(std::shared_ptr<const Words> words);
-  // Goes on with the call, or begins it, for a slice.
+  void set_names(std::shared_ptr<const Words> names);
+  // Begins or resumes the call, for one slice.
   [[nodiscard]] Ran run(Run run);
-  void drop(JobId job);
+  // Ends a call that has yielded.
+  void abort(JobId job);
 
-  [[nodiscard]] std::size_t memory() const;
-  [[nodiscard]] std::size_t memory_peak() const;
+  [[nodiscard]] std::size_t memory() const;       // bytes
+  [[nodiscard]] std::size_t memory_peak() const;  // bytes, since the last call began
 
  private:
   struct State;
--- a/src/hooks/runner.cpp
+++ b/src/hooks/runner.cpp
@@ -12,15 +12,15 @@
     const auto& spec = loaded.set.hooks[i];
     auto& store = stores_.try_emplace(spec.name, spec.state).first->second;
     store.bound(spec.state);
-    loaded.machines[i]->remember(&store);
-    loaded.machines[i]->know(words_);  // those that it was made with may be of an older version
+    loaded.machines[i]->set_store(&store);
+    loaded.machines[i]->set_names(words_);  // those that it was made with may be of an older version
     held_[spec.id] = {spec, std::move(loaded.machines[i])};
   }
 }
 
 void Runner::know(Words words) {
   words_ = std::make_shared<const Words>(std::move(words));
-  for (auto& [id, held] : held_) held.machine->know(words_);
+  for (auto& [id, held] : held_) held.machine->set_names(words_);
 }
 
 void Runner::run(Run& run) {
@@ -30,7 +30,7 @@
 }
 
 void Runner::run(const Drop& drop) {
-  if (const auto found = held_.find(drop.hook); found != held_.end()) found->second.machine->drop(drop.job);
+  if (const auto found = held_.find(drop.hook); found != held_.end()) found->second.machine->abort(drop.job);
 }
 
 void Runner::run(const Renew& renew) {
@@ -43,8 +43,8 @@
       const auto held = held_.find(id);
       if (held == held_.end()) return;
       if (fresh) {
-        fresh->remember(&stores_.at(held->second.spec.name));
-        fresh->know(words_);
+        fresh->set_store(&stores_.at(held->second.spec.name));
+        fresh->set_names(words_);
         held->second.machine = fresh;
       }
       post_(core::HookRenewed{{id, *problem}});
--- /dev/null
+++ b/src/hooks/script_context.hpp
@@ -0,0 +1,52 @@
+// What the C functions of one Lua machine share.
+#pragma once
+
+#include <array>
+#include <lua.hpp>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "hooks/lua_allocator.hpp"
+#include "hooks/machine.hpp"
+#include "hooks/request_view.hpp"
+#include "hooks/slice_timer.hpp"
+#include "hooks/spec.hpp"
+#include "hooks/store.hpp"
+
+namespace bellstair::hooks {
+
+inline constexpr std::size_t kMaxMessageBytes = 400;  // of an error or a log line; the rest is cut off
+inline constexpr std::size_t kMaxLogLines = 4;        // of one slice; more are dropped
+
+struct ScriptContext {
+  ScriptContext(const Spec& hook, const Words& initial_names)
+      : spec(hook),
+        names(std::make_shared<const Words>(initial_names)),
+        allocator(hook.memory, slice_timer) {}
+  ScriptContext(const ScriptContext&) = delete;
+  ScriptContext& operator=(const ScriptContext&) = delete;
+
+  // The context whose address stands in the extra space of the machine's main thread and all others.
+  [[nodiscard]] static ScriptContext& of(lua_State* lua) {
+    return **static_cast<ScriptContext**>(lua_getextraspace(lua));
+  }
+
+  Spec spec;
+  std::shared_ptr<const Words> names;
+  Store* store = nullptr;  // null while the script is loaded
+  SliceTimer slice_timer;
+  LuaAllocator allocator;
+  Time now{};                          // of the slice, since the epoch
+  std::vector<std::string> log_lines;  // of the slice
+  RequestViewRefs view_refs;
+};
+
+// Pushes a number; whole ones as integers, which scripts see without a decimal point.
+void push_number(lua_State* lua, double value);
+void push_text(lua_State* lua, std::string_view text);
+// The text argument at `index`; raises an error if it is none.
+[[nodiscard]] std::string_view text_argument(lua_State* lua, int index);
+
+}  // namespace bellstair::hooks
--- a/tests/hooks_test.cpp
+++ b/tests/hooks_test.cpp
@@ -403,7 +403,7 @@
     described.source = source;
     described.memory = memory;
     machine = Machine::make(described, kWords, 1s, problem);
-    if (machine) machine->remember(&store);
+    if (machine) machine->set_store(&store);
   }
   // Calls the script for a request; slices until it has ended, at most `slices`.
   Ran call(const std::string& statement = "SELECT 1", int slices = 1) {
@@ -418,7 +418,7 @@
     auto ran = machine->run(run);
     run.first = false;
     for (int i = 1; i < slices && ran.how == Ran::How::yielded; ++i) ran = machine->run(run);
-    if (ran.how == Ran::How::yielded) machine->drop(run.job);
+    if (ran.how == Ran::How::yielded) machine->abort(run.job);
     return ran;
   }
   Spec described = spec(1);
@@ -583,7 +583,7 @@
       Scripted("state.set('a', 1, 1) function on_request(r) end").problem.find("while the script is loaded"),
       std::string::npos);
   Scripted fails("function on_request(r) return r.nothing.x end");
-  EXPECT_NE(fails.machine->rehearse().find("on_request: it failed"), std::string::npos);
+  EXPECT_NE(fails.machine->dry_run().find("on_request: it failed"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -689,7 +689,7 @@
     return ran.verdict.tags.empty() ? ran.text : ran.verdict.tags[0];
   };
   EXPECT_EQ(tag(1), "nobody");
-  machine->know(std::make_shared<const Words>(Words{{"lookup"}, {"first", "third"}, {"platform"}}));
+  machine->set_names(std::make_shared<const Words>(Words{{"lookup"}, {"first", "third"}, {"platform"}}));
   EXPECT_EQ(tag(2), "third");
 }
 
