--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,7 +7,7 @@
 
 #include "config/read.hpp"
 #include "policy/state.hpp"
-#include "simulator/wire.hpp"
+#include "simulator/settings_json.hpp"
 
 namespace bellstair::config {
 namespace {
@@ -33,16 +33,18 @@
   return hash;
 }
 
-core::EndpointRecord parse_member(const json& in, const Names& names) {
+policy::EngineState parse_engine_state(std::string_view name) {
+  if (name == "in_service") return policy::EngineState::ready;
+  if (name == "terminating") return policy::EngineState::draining;
+  if (name == "terminated") return policy::EngineState::gone;
+  bad("servers[].state", "holds an unknown word");
+}
+
+core::EndpointRecord parse_endpoint(const json& in, const Names& names) {
   object(in, "servers[]");
   core::EndpointRecord out;
   out.endpoint.engine = engine_id(text(need(in, "id"), "servers[].id"));
-  const auto state = text(need(in, "state"), "servers[].state");
-  out.endpoint.state = state == "in_service"    ? policy::EngineState::ready
-                       : state == "terminating" ? policy::EngineState::draining
-                       : state == "terminated"
-                           ? policy::EngineState::gone
-                           : (bad("servers[].state", "holds an unknown word"), policy::EngineState::gone);
+  out.endpoint.state = parse_engine_state(text(need(in, "state"), "servers[].state"));
   out.address = text_or_none(in, "addr");
   if (out.address.empty() && out.endpoint.state != policy::EngineState::gone)
     bad("servers[].addr", "is missing");
@@ -75,7 +77,7 @@
     if (const auto full = object(*fleet, "fleet").find("full"); full != fleet->end() && full->is_boolean())
       change.full = full->get<bool>();
     for (const json& server : list(need(*fleet, "servers"), "servers"))
-      change.endpoints.push_back(parse_member(server, names));
+      change.endpoints.push_back(parse_endpoint(server, names));
     out.changes.push_back(std::move(change));
   }
   return out;
@@ -106,6 +108,51 @@
   return out;
 }
 
+void parse_addresses(const json& in, Config& out) {
+  out.listen = text(need(in, "listen"), "listen");
+  out.changelog = text(need(in, "changelog"), "changelog");
+  out.peer_listen = text_or_none(in, "peer_listen");
+  out.peers_all = text_or_none(in, "peers_all");
+  if (const auto peers = in.find("peers"); peers != in.end() && !peers->is_null()) {
+    for (const json& peer : list(*peers, "peers")) out.peers.push_back(text(peer, "peers[]"));
+  }
+  for (const auto& [field, value] : {std::pair("listen", out.listen),
+                                     {"changelog", out.changelog},
+                                     {"peer_listen", out.peer_listen},
+                                     {"peers_all", out.peers_all}})
+    check_address(value, field);
+  for (const auto& peer : out.peers) check_address(peer, "peers[]");
+}
+
+void parse_limits(const json& in, Config& out) {
+  const auto limits = in.find("limits");
+  if (limits == in.end()) return;
+  if (const auto sockets = object(*limits, "limits").find("sockets"); sockets != limits->end())
+    out.sockets = whole(*sockets, "limits.sockets");
+  if (const auto memory = limits->find("memory_mb"); memory != limits->end())
+    out.memory_mb = whole(*memory, "limits.memory_mb");
+}
+
+void parse_settings(const json& in, Config& out) {
+  try {
+    out.settings = simulator::settings_from_json(in);
+    policy::check(out.settings);  // contradictions are errors before anything starts
+  } catch (const std::exception& error) {
+    throw Invalid(error.what());
+  }
+  out.names = parse_names(in);
+}
+
+void parse_timeouts(const json& settings, Config& out) {
+  const json& ceilings = object(need(settings, "ceilings"), "settings.ceilings");
+  const auto time_or = [&](const char* key, core::Time fallback) {
+    const auto found = ceilings.find(key);
+    return found == ceilings.end() ? fallback : core::Time(static_cast<std::int64_t>(whole(*found, key)));
+  };
+  out.dial_timeout = time_or("dial-timeout", 250ms);
+  out.idle_close = time_or("idle-close", 30s);
+}
+
 }  // namespace
 
 std::string read_file(const std::string& path, const char* what) {
@@ -120,43 +167,14 @@
   const json all = parse_json(in, "configuration");
   Config out;
   out.name = text_or_none(all, "name");
-  out.listen = text(need(all, "listen"), "listen");
-  out.changelog = text(need(all, "changelog"), "changelog");
-  out.peer_listen = text_or_none(all, "peer_listen");
-  out.peers_all = text_or_none(all, "peers_all");
-  if (const auto peers = all.find("peers"); peers != all.end() && !peers->is_null()) {
-    for (const json& peer : list(*peers, "peers")) out.peers.push_back(text(peer, "peers[]"));
-  }
-  for (const auto& [field, value] : {std::pair("listen", out.listen),
-                                     {"changelog", out.changelog},
-                                     {"peer_listen", out.peer_listen},
-                                     {"peers_all", out.peers_all}})
-    check_address(value, field);
-  for (const auto& peer : out.peers) check_address(peer, "peers[]");
+  parse_addresses(all, out);
   const auto seed = parse_hex<std::uint64_t>(text(need(all, "seed"), "seed"));
   if (!seed) bad("seed", "is not a number in hex digits");
   out.seed = *seed;
-  if (const auto limits = all.find("limits"); limits != all.end()) {
-    if (const auto sockets = object(*limits, "limits").find("sockets"); sockets != limits->end())
-      out.sockets = whole(*sockets, "limits.sockets");
-    if (const auto memory = limits->find("memory_mb"); memory != limits->end())
-      out.memory_mb = whole(*memory, "limits.memory_mb");
-  }
+  parse_limits(all, out);
   const json& settings = object(need(all, "settings"), "settings");
-  try {
-    out.settings = simulator::settings_from(settings);
-    policy::check(out.settings);  // what makes no sense is told before anything starts
-  } catch (const std::exception& error) {
-    throw Invalid(error.what());
-  }
-  out.names = parse_names(settings);
-  const json& ceilings = object(need(settings, "ceilings"), "settings.ceilings");
-  const auto time_or = [&](const char* key, core::Time otherwise) {
-    const auto found = ceilings.find(key);
-    return found == ceilings.end() ? otherwise : core::Time(static_cast<std::int64_t>(whole(*found, key)));
-  };
-  out.dial_timeout = time_or("dial-timeout", 250ms);
-  out.idle_close = time_or("idle-close", 30s);
+  parse_settings(settings, out);
+  parse_timeouts(settings, out);
   for (const char* field : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"})
     out.fixed[field] = all.value(field, json()).dump(-1, ' ', false, json::error_handler_t::replace);
   if (const auto known = all.find("known"); known != all.end() && !known->is_null())
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// Hosts gateways for the simulator: batches on standard input, replies on standard output.
+// Hosts schedulers for the simulator: batches on standard input, replies on standard output.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -8,37 +8,39 @@
 #include <vector>
 
 #include "bellstair/policy/scheduler.hpp"
-#include "simulator/wire.hpp"
+#include "simulator/batch_reader.hpp"
+#include "simulator/reply_writer.hpp"
 
 namespace {
 
 using bellstair::policy::Action;
 using bellstair::policy::Event;
 using bellstair::policy::Scheduler;
-namespace wire = bellstair::simulator;
+namespace simulator = bellstair::simulator;
 
 // False at the end of input; a frame cut short is malformed.
 bool read_frame(std::vector<std::uint8_t>& frame) {
-  frame.resize(wire::kLengthBytes);
+  frame.resize(simulator::kLengthBytes);
   const auto got = std::fread(frame.data(), 1, frame.size(), stdin);
   if (got == 0 && std::feof(stdin) != 0) return false;
-  if (got != frame.size()) throw wire::Malformed("frame: truncated");
-  const auto length = wire::frame_length(frame);
+  if (got != frame.size()) throw simulator::FrameError("frame: truncated");
+  const auto length = simulator::frame_length(frame);
   // Grow as bytes come, so that an absurd length costs no absurd memory.
-  constexpr std::size_t kChunk = std::size_t{1} << 20;
+  constexpr std::size_t kChunkBytes = std::size_t{1} << 20;
   while (frame.size() < length) {
     const auto at = frame.size();
-    const auto part = std::min(kChunk, length - at);
+    const auto part = std::min(kChunkBytes, length - at);
     frame.resize(at + part);
-    if (std::fread(frame.data() + at, 1, part, stdin) != part) throw wire::Malformed("frame: truncated");
+    if (std::fread(frame.data() + at, 1, part, stdin) != part)
+      throw simulator::FrameError("frame: truncated");
   }
   return true;
 }
 
 class Host {
  public:
-  std::vector<std::uint8_t> answer(const wire::Batch& batch) {
-    wire::ReplyWriter reply;
+  std::vector<std::uint8_t> answer(const simulator::Batch& batch) {
+    simulator::ReplyWriter reply;
     std::vector<Event> events;
     std::optional<std::uint32_t> current;
     const auto flush = [&] {
@@ -48,14 +50,14 @@
     for (const auto& record : batch.records) {
       if (current != record.instance) flush();
       current = record.instance;
-      if (const auto* start = std::get_if<wire::Start>(&record.what)) {
+      if (const auto* start = std::get_if<simulator::StartInstance>(&record.content)) {
         flush();
         schedulers_.insert_or_assign(record.instance, Scheduler(start->settings, start->seed));
-      } else if (std::holds_alternative<wire::Stop>(record.what)) {
+      } else if (std::holds_alternative<simulator::StopInstance>(record.content)) {
         events.clear();
         schedulers_.erase(record.instance);
       } else {
-        events.push_back(std::get<Event>(record.what));
+        events.push_back(std::get<Event>(record.content));
       }
     }
     flush();
@@ -64,10 +66,10 @@
 
  private:
   void decide(bellstair::policy::Time now, std::uint32_t id, const std::vector<Event>& events,
-              wire::ReplyWriter& reply) {
+              simulator::ReplyWriter& reply) {
     const auto found = schedulers_.find(id);
     if (found == schedulers_.end())
-      throw wire::Malformed("frame: an event for an instance that is not running");
+      throw simulator::FrameError("frame: an event for an instance that is not running");
     std::vector<Action> actions;
     found->second.handle(now, events, actions);
     if (actions.empty()) return;
@@ -82,7 +84,7 @@
 
 int main() {
   try {
-    wire::Reader reader;
+    simulator::BatchReader reader;
     Host host;
     std::vector<std::uint8_t> frame;
     while (read_frame(frame)) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,10 +1,12 @@
-#include "simulator/wire.hpp"
-
 #include <gtest/gtest.h>
 
 #include <initializer_list>
 #include <string>
 
+#include "simulator/batch_reader.hpp"
+#include "simulator/reply_writer.hpp"
+#include "simulator/settings_json.hpp"
+
 namespace bellstair::simulator {
 using namespace policy;
 namespace {
@@ -48,11 +50,11 @@
           "0000c043"
           "00003041"
           "01");
-  Reader reader;
+  BatchReader reader;
   const auto got = reader.read(batch(2, body));
   ASSERT_EQ(got.records.size(), 1U);
   EXPECT_EQ(got.records[0].instance, 3U);
-  const auto& arrival = std::get<RequestArrival>(std::get<Event>(got.records[0].what));
+  const auto& arrival = std::get<RequestArrival>(std::get<Event>(got.records[0].content));
   EXPECT_EQ(arrival.request, 0x5d3a91c4U);
   EXPECT_EQ(arrival.time_left, std::chrono::milliseconds(240));
   EXPECT_EQ(arrival.estimated_memory_mb, 384);
@@ -84,10 +86,10 @@
           "02"
           "02000000"
           "29000000");
-  Reader reader;
+  BatchReader reader;
   const auto got = reader.read(batch(3, body));
   ASSERT_EQ(got.records.size(), 1U);
-  const auto& list = std::get<EndpointList>(std::get<Event>(got.records[0].what));
+  const auto& list = std::get<EndpointList>(std::get<Event>(got.records[0].content));
   EXPECT_EQ(list.kind, EndpointListKind::cached);
   ASSERT_EQ(list.endpoints.size(), 2U);
   EXPECT_EQ(list.endpoints[0].engine, 0x03124a07U);
@@ -105,9 +107,9 @@
           "01"
           "60100100"
           "00");
-  Reader reader;
+  BatchReader reader;
   const auto got = reader.read(batch(2, body));
-  const auto& outcome = std::get<AttemptOutcome>(std::get<Event>(got.records[0].what));
+  const auto& outcome = std::get<AttemptOutcome>(std::get<Event>(got.records[0].content));
   EXPECT_EQ(outcome.result, AttemptResult::served);
   EXPECT_TRUE(outcome.request_closed);
   EXPECT_EQ(*outcome.work, std::chrono::milliseconds(17));
@@ -126,16 +128,16 @@
           "60100100"
           "00");
   for (std::size_t cut = 0; cut < body.size(); ++cut) {
-    Reader reader;
+    BatchReader reader;
     const Frame part(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(cut));
-    EXPECT_THROW((void)reader.read(batch(2, part)), Malformed) << cut;
+    EXPECT_THROW((void)reader.read(batch(2, part)), FrameError) << cut;
   }
 }
 
 TEST(Wire, RefusesWhatItDoesNotKnow) {
   const auto refused = [](std::uint32_t records, const std::string& text) {
-    Reader reader;
-    EXPECT_THROW((void)reader.read(batch(records, hex(text))), Malformed) << text;
+    BatchReader reader;
+    EXPECT_THROW((void)reader.read(batch(records, hex(text))), FrameError) << text;
   };
   refused(2,
           "8203000000"
@@ -161,12 +163,12 @@
           "0a"
           "0000000000000000"
           "ffffffff");  // settings past the frame
-  Reader reader;
+  BatchReader reader;
   Frame cut = batch(0, {});
   cut.pop_back();
-  EXPECT_THROW((void)reader.read(cut), Malformed);
-  EXPECT_THROW((void)frame_length(hex("ffffffff")), Malformed);
-  EXPECT_THROW((void)frame_length(hex("0300")), Malformed);
+  EXPECT_THROW((void)reader.read(cut), FrameError);
+  EXPECT_THROW((void)frame_length(hex("ffffffff")), FrameError);
+  EXPECT_THROW((void)frame_length(hex("0300")), FrameError);
 }
 
 TEST(Wire, WritesWhatThePageShows) {
@@ -193,25 +195,25 @@
 }
 
 TEST(SettingsText, BadOnesAreRefusedByName) {
-  EXPECT_THROW((void)parse_settings("{"), Malformed);
-  EXPECT_THROW((void)parse_settings("[]"), Malformed);
+  EXPECT_THROW((void)parse_settings("{"), SettingsError);
+  EXPECT_THROW((void)parse_settings("[]"), SettingsError);
   std::string text = kSettings;
   text.replace(text.find("balancers"), 9, "balancerz");
   try {
     (void)parse_settings(text);
     FAIL();
-  } catch (const Malformed& error) {
+  } catch (const SettingsError& error) {
     EXPECT_NE(std::string(error.what()).find("balancers"), std::string::npos);
   }
   text = kSettings;
   text.replace(text.find("\"safe\""), 6, "\"what\"");
-  EXPECT_THROW((void)parse_settings(text), Malformed);
+  EXPECT_THROW((void)parse_settings(text), SettingsError);
   text = kSettings;
   text.replace(text.find("800000000"), 9, "\"soon\"   ");
-  EXPECT_THROW((void)parse_settings(text), Malformed);
+  EXPECT_THROW((void)parse_settings(text), SettingsError);
   text = kSettings;
   text.insert(text.find('{') + 1, R"("report": {"how": "pull", "fields": [7]}, )");
-  EXPECT_THROW((void)parse_settings(text), Malformed);
+  EXPECT_THROW((void)parse_settings(text), SettingsError);
 }
 
 }  // namespace
