--- a/src/hcl/reader.cpp
+++ b/src/hcl/reader.cpp
@@ -14,22 +14,22 @@
 
 struct Unit {
   std::string_view name;
-  double of;
+  double factor;  // to nanoseconds or bytes
 };
-constexpr std::array<Unit, 7> kTimes{
+constexpr std::array<Unit, 7> kTimeUnits{
     {{"d", 86400e9}, {"h", 3600e9}, {"m", 60e9}, {"s", 1e9}, {"ms", 1e6}, {"us", 1e3}, {"ns", 1}}};
-constexpr std::array<Unit, 7> kSizes{{{"GB", 1 << 30},
-                                      {"GiB", 1 << 30},
-                                      {"MB", 1 << 20},
-                                      {"MiB", 1 << 20},
-                                      {"KB", 1024},
-                                      {"KiB", 1024},
-                                      {"B", 1}}};
+constexpr std::array<Unit, 7> kSizeUnits{{{"GB", 1 << 30},
+                                          {"GiB", 1 << 30},
+                                          {"MB", 1 << 20},
+                                          {"MiB", 1 << 20},
+                                          {"KB", 1024},
+                                          {"KiB", 1024},
+                                          {"B", 1}}};
 
-// Takes a number and its unit off the front; the unit's place in the list.
+// Takes a number and its unit off the front. Returns the amount and the unit's position in the list.
 template <std::size_t N>
-std::optional<std::pair<double, std::size_t>> amount(std::string_view& text,
-                                                     const std::array<Unit, N>& units) {
+std::optional<std::pair<double, std::size_t>> take_amount(std::string_view& text,
+                                                          const std::array<Unit, N>& units) {
   double value = 0;
   if (text.empty() || text[0] < '0' || text[0] > '9') return std::nullopt;
   const auto [end, error] =
@@ -40,7 +40,7 @@
   const auto found = std::ranges::find(units, text.substr(0, letters), &Unit::name);
   if (found == units.end()) return std::nullopt;
   text.remove_prefix(letters);
-  return std::pair(value * found->of, static_cast<std::size_t>(found - units.begin()));
+  return std::pair(value * found->factor, static_cast<std::size_t>(found - units.begin()));
 }
 
 std::string show_whole(std::int64_t value) { return std::to_string(value); }
@@ -56,7 +56,7 @@
   double sum = 0;
   std::size_t last = 0;
   for (bool first = true; first || !text.empty(); first = false) {
-    const auto part = amount(text, kTimes);
+    const auto part = take_amount(text, kTimeUnits);
     if (!part || (!first && part->second <= last)) return std::nullopt;
     last = part->second;
     sum += part->first;
@@ -66,28 +66,28 @@
 }
 
 std::optional<std::uint64_t> parse_size(std::string_view text) {
-  const auto part = amount(text, kSizes);
+  const auto part = take_amount(text, kSizeUnits);
   if (!part || !text.empty() || !(part->first <= 9e18)) return std::nullopt;
   return static_cast<std::uint64_t>(std::llround(part->first));
 }
 
 std::string show_duration(Time time) {
-  for (const auto& unit : {kTimes[3], kTimes[4], kTimes[5]}) {
-    if (static_cast<double>(time.count()) >= unit.of)
-      return show_number(static_cast<double>(time.count()) / unit.of) + std::string(unit.name);
+  for (const auto& unit : {kTimeUnits[3], kTimeUnits[4], kTimeUnits[5]}) {
+    if (static_cast<double>(time.count()) >= unit.factor)
+      return show_number(static_cast<double>(time.count()) / unit.factor) + std::string(unit.name);
   }
   return std::to_string(time.count()) + "ns";
 }
 
 std::string show_size(std::uint64_t bytes) {
-  for (const auto& unit : {kSizes[0], kSizes[2], kSizes[4]}) {
-    if (static_cast<double>(bytes) >= unit.of)
-      return show_number(static_cast<double>(bytes) / unit.of) + std::string(unit.name);
+  for (const auto& unit : {kSizeUnits[0], kSizeUnits[2], kSizeUnits[4]}) {
+    if (static_cast<double>(bytes) >= unit.factor)
+      return show_number(static_cast<double>(bytes) / unit.factor) + std::string(unit.name);
   }
   return std::to_string(bytes) + "B";
 }
 
-// Optimal string alignment: as Levenshtein's, and two neighbours that have changed places count once.
+// The optimal string alignment distance: Levenshtein's, where a transposition of neighbours counts once.
 std::optional<std::string> nearest(std::string_view name, const std::set<std::string>& known) {
   std::optional<std::string> out;
   auto best = std::max<std::size_t>(name.size() / 3, 1) + 1;  // farther away is another word
@@ -138,73 +138,73 @@
   return value;
 }
 
-std::string Reader::text(const std::string& name, std::optional<std::string> otherwise) {
-  const auto* value = need(name, !otherwise);
-  if (value == nullptr) return otherwise.value_or("");
+std::string Reader::text(const std::string& name, std::optional<std::string> fallback) {
+  const auto* value = need(name, !fallback);
+  if (value == nullptr) return fallback.value_or("");
   if (const auto* text = value->as<std::string>()) return *text;
   wrong(name, std::string("expected a text, not ") + kind_of(*value));
-  return otherwise.value_or("");
+  return fallback.value_or("");
 }
 
-bool Reader::flag(const std::string& name, bool otherwise) {
+bool Reader::flag(const std::string& name, bool fallback) {
   const auto* value = find(name);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   if (const auto* is = value->as<bool>()) return *is;
   wrong(name, std::string("expected true or false, not ") + kind_of(*value));
-  return otherwise;
+  return fallback;
 }
 
 template <class T>
-T Reader::within(const std::string& name, std::optional<T> value, T otherwise, Range<T> range,
+T Reader::within(const std::string& name, std::optional<T> value, T fallback, Range<T> range,
                  const char* expected, std::string (*show)(T)) {
   if (!value) {
     wrong(name, expected);
-    return otherwise;
+    return fallback;
   }
   if (*value >= range.least && *value <= range.most) return *value;
   wrong(name, show(*value) + " is out of range: expected " + show(range.least) + " to " + show(range.most));
-  return otherwise;
+  return fallback;
 }
 
-std::int64_t Reader::whole(const std::string& name, std::int64_t otherwise, Range<std::int64_t> range) {
+std::int64_t Reader::whole(const std::string& name, std::int64_t fallback, Range<std::int64_t> range) {
   const auto* value = find(name);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   const auto* number = value->as<std::int64_t>();
-  return within<std::int64_t>(name, number == nullptr ? std::nullopt : std::optional(*number), otherwise,
+  return within<std::int64_t>(name, number == nullptr ? std::nullopt : std::optional(*number), fallback,
                               range, "expected a whole number", show_whole);
 }
 
-double Reader::number(const std::string& name, double otherwise, Range<double> range) {
+double Reader::number(const std::string& name, double fallback, Range<double> range) {
   const auto* value = find(name);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   std::optional<double> number;
   if (const auto* whole = value->as<std::int64_t>()) number = static_cast<double>(*whole);
-  if (const auto* broken = value->as<double>()) number = *broken;
-  return within<double>(name, number, otherwise, range, "expected a number", show_number);
+  if (const auto* real = value->as<double>()) number = *real;
+  return within<double>(name, number, fallback, range, "expected a number", show_number);
 }
 
-Time Reader::duration(const std::string& name, Time otherwise, Durations range, const char* plain,
+Time Reader::duration(const std::string& name, Time fallback, Durations range, const char* old_name,
                       Time unit) {
-  if (plain != nullptr && find(plain) != nullptr && find(name) == nullptr) {
+  if (old_name != nullptr && find(old_name) != nullptr && find(name) == nullptr) {
     const auto most = range.most / unit;
-    return unit * whole(plain, 0, {std::min<std::int64_t>(1, most), most});
+    return unit * whole(old_name, 0, {std::min<std::int64_t>(1, most), most});
   }
   const auto* value = find(name);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
-  return within<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), otherwise, range,
+  return within<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), fallback, range,
                       "expected a duration, as \"2ms\" or \"1m30s\"", show_duration);
 }
 
-std::uint64_t Reader::size(const std::string& name, std::uint64_t otherwise, Sizes range, const char* plain,
+std::uint64_t Reader::size(const std::string& name, std::uint64_t fallback, Sizes range, const char* old_name,
                            std::uint64_t unit) {
-  if (plain != nullptr && find(plain) != nullptr && find(name) == nullptr)
+  if (old_name != nullptr && find(old_name) != nullptr && find(name) == nullptr)
     return unit *
-           static_cast<std::uint64_t>(whole(plain, 0, {1, static_cast<std::int64_t>(range.most / unit)}));
+           static_cast<std::uint64_t>(whole(old_name, 0, {1, static_cast<std::int64_t>(range.most / unit)}));
   const auto* value = find(name);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
-  return within<std::uint64_t>(name, text == nullptr ? std::nullopt : parse_size(*text), otherwise, range,
+  return within<std::uint64_t>(name, text == nullptr ? std::nullopt : parse_size(*text), fallback, range,
                                "expected a size, as \"64KB\" or \"1MB\"", show_size);
 }
 
@@ -229,55 +229,65 @@
 }
 
 std::size_t Reader::choice(const std::string& name, const std::vector<std::string>& words,
-                           std::size_t otherwise) {
+                           std::size_t fallback) {
   const auto* value = find(name);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
   const auto found = text == nullptr ? words.end() : std::ranges::find(words, *text);
   if (found != words.end()) return static_cast<std::size_t>(found - words.begin());
   std::string expected;
   for (const auto& word : words) expected += (expected.empty() ? "expected \"" : " or \"") + word + '"';
   wrong(name, expected);
-  return otherwise;
+  return fallback;
+}
+
+std::string Reader::section_name(const std::string& type, const std::vector<std::string>& labels) const {
+  auto name = what_.empty() ? type : what_ + '.' + type;
+  for (const auto& label : labels) name += " \"" + label + '"';
+  return name;
 }
 
 std::vector<Reader::Section> Reader::blocks(const std::string& type, std::size_t labels) {
   known_.insert(type);
   std::vector<Section> out;
-  const auto name_of = [&](const std::vector<std::string>& given) {
-    auto whole = what_.empty() ? type : what_ + '.' + type;
-    for (const auto& label : given) whole += " \"" + label + '"';
-    return whole;
-  };
   for (const auto& block : body_->blocks) {
     if (block.type != type) continue;
-    if (block.labels.size() != labels) {
-      problems_->push_back({block.at, name_of(block.labels) + ": expected " + std::to_string(labels) +
-                                          " labels, not " + std::to_string(block.labels.size())});
-      continue;
-    }
-    out.push_back({block.labels, Reader(block.body, name_of(block.labels), *problems_)});
-  }
-  const auto open = [&](auto& self, const Value& value, std::vector<std::string> given) -> void {
-    if (const auto* list = value.as<std::vector<Value>>()) {
-      for (const auto& item : *list) self(self, item, given);
-    } else if (const auto* object = value.as<std::vector<Member>>(); object == nullptr) {
-      problems_->push_back({value.at, name_of(given) + ": expected a block, not " + kind_of(value)});
-    } else if (given.size() < labels) {
-      for (const auto& member : *object) {
-        auto further = given;
-        further.push_back(member.name);
-        self(self, member.value, further);
-      }
+    const auto name = section_name(type, block.labels);
+    if (block.labels.size() == labels) {
+      out.push_back({block.labels, Reader(block.body, name, *problems_)});
     } else {
-      made_.push_back(std::make_shared<const Body>(Body{value.at, *object, {}}));
-      out.push_back({given, Reader(*made_.back(), name_of(given), *problems_)});
+      problems_->push_back({block.at, name + ": expected " + std::to_string(labels) + " labels, not " +
+                                          std::to_string(block.labels.size())});
     }
-  };
-  if (const auto* value = find(type)) open(open, *value, {});
+  }
+  if (const auto* value = find(type)) sections_of(*value, type, labels, {}, out);
   return out;
 }
 
+// A list holds sections; an object is one, or holds them by their next label.
+void Reader::sections_of(const Value& value, const std::string& type, std::size_t labels,
+                         const std::vector<std::string>& given, std::vector<Section>& out) {
+  if (const auto* list = value.as<std::vector<Value>>()) {
+    for (const auto& item : *list) sections_of(item, type, labels, given, out);
+    return;
+  }
+  const auto* object = value.as<std::vector<Member>>();
+  if (object == nullptr) {
+    problems_->push_back({value.at, section_name(type, given) + ": expected a block, not " + kind_of(value)});
+    return;
+  }
+  if (given.size() < labels) {
+    for (const auto& member : *object) {
+      auto more = given;
+      more.push_back(member.name);
+      sections_of(member.value, type, labels, more, out);
+    }
+    return;
+  }
+  object_bodies_.push_back(std::make_shared<const Body>(Body{value.at, *object, {}}));
+  out.push_back({given, Reader(*object_bodies_.back(), section_name(type, given), *problems_)});
+}
+
 std::optional<Reader::Section> Reader::block(const std::string& type) {
   auto all = blocks(type);
   if (all.empty()) return std::nullopt;
--- a/src/hcl/reader.hpp
+++ b/src/hcl/reader.hpp
@@ -1,5 +1,6 @@
-// Typed reading of a body. Whoever reads asks for each name once; what is wrong is gathered, so that a file's
-// errors are told together, and what nobody asked for is an error that names the nearest known name.
+// Typed reading of a body. Callers ask for each name once; problems are gathered, so that all errors of a
+// file are reported together, and a name that nobody has asked for is an error that suggests the nearest
+// known one.
 #pragma once
 
 #include <chrono>
@@ -40,20 +41,20 @@
       : body_(&body), what_(std::move(what)), problems_(&problems) {}
 
   [[nodiscard]] bool has(const std::string& name);
-  // Missing or null: `otherwise`, or else an error. What is wrong is noted, and gives `otherwise` or an empty
+  // Missing or null: `fallback`, or else an error. What is wrong is noted, and gives `fallback` or an empty
   // one.
-  std::string text(const std::string& name, std::optional<std::string> otherwise = std::nullopt);
-  bool flag(const std::string& name, bool otherwise);
-  std::int64_t whole(const std::string& name, std::int64_t otherwise, Range<std::int64_t> range);
-  double number(const std::string& name, double otherwise, Range<double> range);
-  // `plain`: an older name of the same, whose value is a number in units of `unit`.
-  Time duration(const std::string& name, Time otherwise, Durations range, const char* plain = nullptr,
+  std::string text(const std::string& name, std::optional<std::string> fallback = std::nullopt);
+  bool flag(const std::string& name, bool fallback);
+  std::int64_t whole(const std::string& name, std::int64_t fallback, Range<std::int64_t> range);
+  double number(const std::string& name, double fallback, Range<double> range);
+  // `old_name`: an older name of the same, whose value is a number in units of `unit`.
+  Time duration(const std::string& name, Time fallback, Durations range, const char* old_name = nullptr,
                 Time unit = std::chrono::milliseconds(1));
-  std::uint64_t size(const std::string& name, std::uint64_t otherwise, Sizes range,
-                     const char* plain = nullptr, std::uint64_t unit = 1024);
+  std::uint64_t size(const std::string& name, std::uint64_t fallback, Sizes range,
+                     const char* old_name = nullptr, std::uint64_t unit = 1024);
   std::vector<std::string> texts(const std::string& name);  // a text alone is a list of one
   // One of `words`, by its position.
-  std::size_t choice(const std::string& name, const std::vector<std::string>& words, std::size_t otherwise);
+  std::size_t choice(const std::string& name, const std::vector<std::string>& words, std::size_t fallback);
 
   // Blocks of the type; as attributes too: an object, by label if there are labels, or a list of objects.
   std::vector<Section> blocks(const std::string& type, std::size_t labels = 0);
@@ -68,16 +69,20 @@
 
  private:
   const Value* find(const std::string& name);
+  [[nodiscard]] std::string section_name(const std::string& type,
+                                         const std::vector<std::string>& labels) const;
+  void sections_of(const Value& value, const std::string& type, std::size_t labels,
+                   const std::vector<std::string>& given, std::vector<Section>& out);
   const Value* need(const std::string& name, bool required);
   template <class T>
-  T within(const std::string& name, std::optional<T> value, T otherwise, Range<T> range, const char* expected,
+  T within(const std::string& name, std::optional<T> value, T fallback, Range<T> range, const char* expected,
            std::string (*show)(T));
 
   const Body* body_;
   std::string what_;
   std::vector<Problem>* problems_;
   std::set<std::string> known_;
-  std::vector<std::shared_ptr<const Body>> made_;  // of objects read as blocks
+  std::vector<std::shared_ptr<const Body>> object_bodies_;  // of objects read as blocks
 };
 
 struct Reader::Section {
--- /dev/null
+++ b/src/hcl/scalar_actions.hpp
@@ -0,0 +1,186 @@
+// Actions of the grammar that build texts, numbers, true, false and null, and those that refuse what is not
+// supported. No rule with an action is tried where it may be taken back.
+#pragma once
+
+#include <charconv>
+#include <cstdint>
+#include <string>
+#include <tao/pegtl.hpp>
+#include <tao/pegtl/contrib/unescape.hpp>
+
+#include "hcl/grammar.hpp"
+#include "hcl/heredoc.hpp"
+#include "hcl/parse_errors.hpp"
+#include "hcl/parse_state.hpp"
+
+namespace bellstair::hcl::grammar {
+
+template <class Rule>
+struct Action : peg::nothing<Rule> {};
+
+template <>
+struct Action<text_begin> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.text.clear();
+    state.text_at = position_of(in);
+  }
+};
+template <>
+struct Action<plain_byte> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.text.append(in.begin(), in.end());
+  }
+};
+template <>
+struct Action<plain_template> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.text.append(in.begin() + 1, in.end());
+  }
+};
+template <>
+struct Action<template_begin> {
+  template <class Input>
+  static void apply(const Input& in, ParseState&) {
+    fail(in, "templates are not supported: '" + in.string() + "' (as text: '" + in.string()[0] + in.string() +
+                 "')");
+  }
+};
+template <>
+struct Action<plain_escape> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    const char c = *in.begin();
+    state.text += c == 'n' ? '\n' : c == 'r' ? '\r' : c == 't' ? '\t' : c;
+  }
+};
+template <>
+struct Action<json_escape> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    if (!state.json) fail(in, expected<escape_rest>);
+    const char c = *in.begin();
+    state.text += c == 'b' ? '\b' : c == 'f' ? '\f' : c;
+  }
+};
+template <>
+struct Action<unicode> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    try {
+      peg::unescape::unescape_j::apply(in, state.text);  // pairs of surrogates too
+    } catch (const peg::parse_error&) {
+      fail(in, "is no Unicode code point");
+    }
+  }
+};
+template <>
+struct Action<long_unicode> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    try {
+      peg::unescape::unescape_u::apply(in, state.text);
+    } catch (const peg::parse_error&) {
+      fail(in, "is no Unicode code point");
+    }
+  }
+};
+template <>
+struct Action<text> {
+  static void apply0(ParseState& state) { state.push(state.text_at, std::move(state.text)); }
+};
+template <>
+struct Action<heredoc_delimiter> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.heredoc_delimiter = in.string();
+    state.text_at = position_of(in);
+  }
+};
+template <>
+struct Action<heredoc> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    unescape_templates(state.text, state.text_at);
+    if (in.size() > 2 && in.begin()[2] == '-') remove_common_indent(state.text);
+    state.push(state.text_at, std::move(state.text));
+  }
+};
+template <>
+struct Action<integer> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    std::int64_t value = 0;
+    const auto [end, error] = std::from_chars(in.begin(), in.end(), value);
+    if (error != std::errc()) fail(in, "is a number out of range");
+    state.push(position_of(in), value);
+  }
+};
+template <>
+struct Action<decimal_number> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    double value = 0;
+    const auto [end, error] = std::from_chars(in.begin(), in.end(), value);
+    if (error != std::errc()) fail(in, "is a number out of range");
+    state.push(position_of(in), value);
+  }
+};
+template <>
+struct Action<literal_true> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.push(position_of(in), true);
+  }
+};
+template <>
+struct Action<literal_false> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.push(position_of(in), false);
+  }
+};
+template <>
+struct Action<literal_null> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.push(position_of(in), nullptr);
+  }
+};
+
+// ---- not supported
+
+template <>
+struct Action<function_call> {
+  template <class Input>
+  static void apply(const Input& in, ParseState&) {
+    fail(in, "functions are not supported: '" + in.string() + "...)'");
+  }
+};
+template <>
+struct Action<for_expression> {
+  template <class Input>
+  static void apply(const Input& in, ParseState&) {
+    fail(in, "'for' expressions are not supported");
+  }
+};
+template <>
+struct Action<reference> {
+  template <class Input>
+  static void apply(const Input& in, ParseState&) {
+    fail(in, "references are not supported: '" + in.string() + "' (a text stands in quotes)");
+  }
+};
+template <>
+struct Action<operation> {
+  template <class Input>
+  static void apply(const Input& in, ParseState&) {
+    fail(in, "operators are not supported: '" + in.string() + "'");
+  }
+};
+template <>
+struct Action<trailing_operation> : Action<operation> {};
+
+}  // namespace bellstair::hcl::grammar
--- /dev/null
+++ b/src/hcl/structure_actions.hpp
@@ -0,0 +1,119 @@
+// Actions of the grammar that build lists, objects, attributes and blocks.
+#pragma once
+
+#include <algorithm>
+#include <iterator>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "hcl/grammar.hpp"
+#include "hcl/parse_errors.hpp"
+#include "hcl/parse_state.hpp"
+#include "hcl/scalar_actions.hpp"
+
+namespace bellstair::hcl::grammar {
+
+// `what`: "the name" or "the attribute". Throws ParseFailure if there is one of that name.
+inline void add_member(std::vector<Member>& members, Member member, const char* what) {
+  const auto first = std::ranges::find(members, member.name, &Member::name);
+  if (first != members.end()) {
+    throw ParseFailure{{member.at, std::string(what) + " '" + member.name +
+                                       "' stands a second time; first in line " +
+                                       std::to_string(first->at.line)}};
+  }
+  members.push_back(std::move(member));
+}
+
+template <>
+struct Action<list_begin> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.enter_nested(position_of(in));
+    state.nested.push_back({state.values.size(), state.names.size()});
+  }
+};
+template <>
+struct Action<object_begin> : Action<list_begin> {};
+template <>
+struct Action<list> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    const auto from = state.values.begin() + static_cast<std::ptrdiff_t>(state.nested.back().values);
+    state.nested.pop_back();
+    std::vector<Value> out(std::make_move_iterator(from), std::make_move_iterator(state.values.end()));
+    state.values.erase(from, state.values.end());
+    state.push(position_of(in), std::move(out));
+  }
+};
+template <>
+struct Action<object> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    const auto [first_value, first_name] = state.nested.back();
+    state.nested.pop_back();
+    std::vector<Member> out;
+    for (std::size_t i = 0; first_value + i < state.values.size(); ++i) {
+      auto member = std::move(state.names[first_name + i]);
+      member.value = std::move(state.values[first_value + i]);
+      add_member(out, std::move(member), "the name");
+    }
+    state.values.resize(first_value);
+    state.names.resize(first_name);
+    state.push(position_of(in), std::move(out));
+  }
+};
+template <>
+struct Action<key_word> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    state.names.push_back({position_of(in), in.string(), {}});
+  }
+};
+template <>
+struct Action<key_text> {
+  static void apply0(ParseState& state) { state.names.push_back({state.text_at, std::move(state.text), {}}); }
+};
+
+template <>
+struct Action<item_name> : Action<key_word> {};
+template <>
+struct Action<attribute> {
+  static void apply0(ParseState& state) {
+    auto made = std::move(state.names.back());
+    state.names.pop_back();
+    made.value = std::move(state.values.back());
+    state.values.pop_back();
+    add_member(state.open_blocks.back().body.attributes, std::move(made), "the attribute");
+  }
+};
+template <>
+struct Action<label_word> : Action<key_word> {};
+template <>
+struct Action<label_text> : Action<key_text> {};
+template <>
+struct Action<block_begin> {
+  template <class Input>
+  static void apply(const Input& in, ParseState& state) {
+    // Outside of values, all names that are open are this block's type and labels.
+    state.enter_nested(position_of(in));
+    Block made;
+    made.at = state.names.front().at;
+    made.type = std::move(state.names.front().name);
+    for (std::size_t i = 1; i < state.names.size(); ++i)
+      made.labels.push_back(std::move(state.names[i].name));
+    made.body.at = made.at;
+    state.names.clear();
+    state.open_blocks.push_back(std::move(made));
+  }
+};
+template <>
+struct Action<block_end> {
+  static void apply0(ParseState& state) {
+    auto made = std::move(state.open_blocks.back());
+    state.open_blocks.pop_back();
+    state.open_blocks.back().body.blocks.push_back(std::move(made));
+  }
+};
+
+}  // namespace bellstair::hcl::grammar
