--- a/src/mysql/engines.cpp
+++ b/src/mysql/engines.cpp
@@ -2,6 +2,9 @@
 
 #include <algorithm>
 
+#include "mysql/handshake.hpp"
+#include "mysql/payload.hpp"
+#include "mysql/response.hpp"
 #include "sql/value.hpp"
 
 namespace bellstair::mysql {
--- a/src/mysql/engines.hpp
+++ b/src/mysql/engines.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "config/fronts.hpp"
+#include "mysql/command.hpp"
 #include "mysql/packet.hpp"
 #include "mysql/result.hpp"
 #include "net/driver.hpp"
--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -5,6 +5,9 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "mysql/handshake.hpp"
+#include "mysql/payload.hpp"
+#include "mysql/response.hpp"
 #include "mysql/result.hpp"
 #include "sql/statement.hpp"
 
--- a/src/mysql/front.hpp
+++ b/src/mysql/front.hpp
@@ -16,6 +16,7 @@
 #include "core/events.hpp"
 #include "core/wheel.hpp"
 #include "directory/verdict.hpp"
+#include "mysql/command.hpp"
 #include "mysql/mapping.hpp"
 #include "mysql/packet.hpp"
 #include "net/lingerer.hpp"
--- a/src/mysql/mapping.hpp
+++ b/src/mysql/mapping.hpp
@@ -7,7 +7,8 @@
 
 #include "config/config.hpp"
 #include "core/events.hpp"
-#include "mysql/packet.hpp"
+#include "mysql/command.hpp"
+#include "mysql/response.hpp"
 #include "sql/value.hpp"
 
 namespace bellstair::mysql {
--- a/src/mysql/result.cpp
+++ b/src/mysql/result.cpp
@@ -1,5 +1,7 @@
 #include "mysql/result.hpp"
 
+#include "sql/value.hpp"
+
 namespace bellstair::mysql {
 namespace {
 
--- a/src/mysql/result.hpp
+++ b/src/mysql/result.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "mysql/packet.hpp"
+#include "mysql/response.hpp"
 
 namespace bellstair::mysql {
 
--- a/src/sql/value.cpp
+++ b/src/sql/value.cpp
@@ -16,6 +16,7 @@
   out.append(raw.data(), raw.size());
 }
 
+// Reads what pack() has written; none where bytes are missing or make no sense.
 class Unpacker {
  public:
   explicit Unpacker(std::string_view in) : in_(in) {}
@@ -34,9 +35,37 @@
     in_.remove_prefix(*size);
     return out;
   }
+  std::optional<Value> take_value() {
+    const auto index = take<char>();
+    if (!index) return std::nullopt;
+    switch (*index) {  // of the type in the variant
+      case 0:
+        return Null{};
+      case 1:
+        return as_value(take<std::int64_t>());
+      case 2:
+        return as_value(take<std::uint64_t>());
+      case 3:
+        return as_value(take<double>());
+      case 4:
+        return as_value(take_text());
+      case 5: {
+        auto bytes = take_text();
+        return bytes ? std::optional<Value>(Bytes{std::move(*bytes)}) : std::nullopt;
+      }
+      default:
+        return std::nullopt;
+    }
+  }
   [[nodiscard]] bool empty() const { return in_.empty(); }
 
  private:
+  template <class T>
+  static std::optional<Value> as_value(std::optional<T> taken) {
+    if (!taken) return std::nullopt;
+    return Value(std::move(*taken));
+  }
+
   std::string_view in_;
 };
 
@@ -90,7 +119,10 @@
     if (const auto* d = std::get_if<double>(&value)) put(out, *d);
     const auto* text = std::get_if<std::string>(&value);
     if (const auto* bytes = std::get_if<Bytes>(&value)) text = &bytes->bytes;
-    if (text != nullptr) put(out, static_cast<std::uint64_t>(text->size())), out.append(*text);
+    if (text != nullptr) {
+      put(out, static_cast<std::uint64_t>(text->size()));
+      out.append(*text);
+    }
   }
   return out;
 }
@@ -99,43 +131,13 @@
   Unpacker in(packed);
   const auto count = in.take<std::uint32_t>();
   if (!count) return std::nullopt;
-  std::vector<Value> out;
+  std::vector<Value> values;
   for (std::uint32_t i = 0; i < *count; ++i) {
-    const auto kind = in.take<char>();
-    if (!kind) return std::nullopt;
-    const auto add = [&out](auto value) {
-      if (value) out.emplace_back(std::move(*value));
-      return value.has_value();
-    };
-    bool fine = false;
-    switch (*kind) {
-      case 0:
-        fine = add(std::optional<Null>(Null{}));
-        break;
-      case 1:
-        fine = add(in.take<std::int64_t>());
-        break;
-      case 2:
-        fine = add(in.take<std::uint64_t>());
-        break;
-      case 3:
-        fine = add(in.take<double>());
-        break;
-      case 4:
-        fine = add(in.take_text());
-        break;
-      case 5:
-        if (auto bytes = in.take_text()) {
-          out.emplace_back(Bytes{std::move(*bytes)});
-          fine = true;
-        }
-        break;
-      default:
-        break;
-    }
-    if (!fine) return std::nullopt;
+    auto value = in.take_value();
+    if (!value) return std::nullopt;
+    values.push_back(std::move(*value));
   }
-  return in.empty() ? std::optional(std::move(out)) : std::nullopt;
+  return in.empty() ? std::optional(std::move(values)) : std::nullopt;
 }
 
 std::optional<std::string> with_literals(std::string_view statement, const std::vector<Value>& values) {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,8 +1,11 @@
 // Codecs: pure, strict, and never the worse for bad input.
 #include <gtest/gtest.h>
 
+#include "mysql/command.hpp"
+#include "mysql/handshake.hpp"
 #include "mysql/mapping.hpp"
 #include "mysql/packet.hpp"
+#include "mysql/response.hpp"
 #include "mysql/result.hpp"
 #include "net/backoff.hpp"
 #include "platform/base64.hpp"
--- a/tests/net/mysql_client.hpp
+++ b/tests/net/mysql_client.hpp
@@ -4,7 +4,11 @@
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
+#include "mysql/command.hpp"
+#include "mysql/handshake.hpp"
 #include "mysql/packet.hpp"
+#include "mysql/payload.hpp"
+#include "mysql/response.hpp"
 
 namespace bellstair::test {
 namespace my = mysql;
