--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -20,8 +20,8 @@
 constexpr hcl::Durations kDeadlines{0ns, 24h};  // more would pass the clock's range when added to it
 constexpr hcl::Range<double> kFigures{0, 1e9};
 
-// Of the platform's file, of the operator's own, and of a class there: known, so that nobody takes the
-// refusal for a slip of the pen.
+// Settings of the platform's file, of the operator's own, and of a class there: known here, so that the error
+// is not the one of a misspelt name.
 constexpr std::array kFixed{"name",      "listen",        "peer_listen", "peers",     "peers_all",
                             "limits",    "settings",      "seed",        "mysql",     "user",
                             "directory", "mysql_engines", "control",     "balancers", "threads",
@@ -72,6 +72,76 @@
   return out;
 }
 
+using TenantsByName = std::map<std::string_view, policy::TenantSettings>;
+using Slot = std::uint32_t;
+
+void apply_classes(const Document& document, Overlay& out) {
+  for (const auto& named : document.classes) {
+    auto& cls = out.settings.classes.at(out.names.classes.at(named.name));
+    cls.latency_objective = named.aim.value_or(cls.latency_objective);
+    cls.client_timeout = named.give_up.value_or(cls.client_timeout);
+    cls.priority_weight = named.worth.value_or(cls.priority_weight);
+    cls.late_weight = named.late_share.value_or(cls.late_weight);
+  }
+}
+
+TenantsByName tenants_by_name(const Document& document) {
+  TenantsByName out;
+  if (!document.tenants) return out;
+  for (const auto& tenant : *document.tenants)
+    out[tenant.name] = {tenant.name, tenant.share, tenant.quota_per_s};
+  return out;
+}
+
+// Goes through the slots in force: tenants that keep theirs are taken from `unplaced`. Returns the slots that
+// may be given to others, the highest first.
+std::vector<Slot> keep_slots(const Overlay& start, const Overlay& in_force, bool has_tenants,
+                             const std::function<bool(std::uint32_t)>& held, TenantsByName& unplaced,
+                             Overlay& out) {
+  std::vector<Slot> free;
+  auto& slots = out.settings.tenants;
+  for (Slot slot = 0; slot < slots.size(); ++slot) {
+    auto& tenant = slots[slot];
+    const bool of_start = slot < start.settings.tenants.size();
+    if (of_start && !has_tenants) {
+      tenant = start.settings.tenants[slot];
+      continue;
+    }
+    if (const auto same = unplaced.find(tenant.name); same != unplaced.end()) {
+      tenant = same->second;
+      unplaced.erase(same);
+      out.names.tenants[tenant.name] = slot;
+      continue;
+    }
+    tenant.quota_fraction = tenant.quota_per_s = 0;
+    if (!of_start && !in_force.names.tenants.contains(tenant.name) && !held(slot)) free.push_back(slot);
+  }
+  std::ranges::reverse(free);
+  return free;
+}
+
+// New tenants get the lowest free slots, and then slots at the end.
+void place_new_tenants(TenantsByName& unplaced, std::vector<Slot>& free, Overlay& out) {
+  auto& slots = out.settings.tenants;
+  for (auto& [name, tenant] : unplaced) {
+    if (free.empty()) {
+      free.push_back(static_cast<Slot>(slots.size()));
+      slots.emplace_back();
+    }
+    out.names.tenants[tenant.name] = free.back();
+    slots[free.back()] = std::move(tenant);
+    free.pop_back();
+  }
+}
+
+// Free slots at the end go: a version with very many tenants leaves nothing behind.
+void remove_trailing_slots(std::vector<Slot>& free, std::vector<policy::TenantSettings>& slots) {
+  while (!free.empty() && free.front() + 1 == slots.size()) {
+    slots.pop_back();
+    free.erase(free.begin());
+  }
+}
+
 }  // namespace
 
 Document parse_document(std::string_view text, const std::string& file,
@@ -109,53 +179,16 @@
                 const std::function<bool(std::uint32_t)>& held) {
   Overlay out = start;
   if (document.changelog) out.changelog = *document.changelog;
-  for (const auto& named : document.classes) {
-    auto& cls = out.settings.classes.at(out.names.classes.at(named.name));
-    cls.latency_objective = named.aim.value_or(cls.latency_objective);
-    cls.client_timeout = named.give_up.value_or(cls.client_timeout);
-    cls.priority_weight = named.worth.value_or(cls.priority_weight);
-    cls.late_weight = named.late_share.value_or(cls.late_weight);
-  }
-
-  std::map<std::string_view, policy::TenantSettings> wanted;
-  auto& slots = out.settings.tenants = in_force.settings.tenants;
-  auto& names = out.names.tenants;
-  if (document.tenants) {
-    names.clear();
-    for (const auto& tenant : *document.tenants)
-      wanted[tenant.name] = {tenant.name, tenant.share, tenant.quota_per_s};
-  }
-  std::vector<std::uint32_t> free;
-  for (std::uint32_t slot = 0; slot < slots.size(); ++slot) {
-    auto& tenant = slots[slot];
-    const bool own = slot < start.settings.tenants.size();
-    if (own && !document.tenants) {
-      tenant = start.settings.tenants[slot];
-      continue;
-    }
-    if (const auto same = wanted.find(tenant.name); same != wanted.end()) {
-      tenant = same->second;
-      wanted.erase(same);
-      names[tenant.name] = slot;
-      continue;
-    }
-    tenant.quota_fraction = tenant.quota_per_s = 0;
-    if (!own && !in_force.names.tenants.contains(tenant.name) && !held(slot)) free.push_back(slot);
-  }
-  std::ranges::reverse(free);  // the lowest ones first
-  for (auto& [name, tenant] : wanted) {
-    if (free.empty()) {
-      free.push_back(static_cast<std::uint32_t>(slots.size()));
-      slots.emplace_back();
-    }
-    names[tenant.name] = free.back();
-    slots[free.back()] = std::move(tenant);
-    free.pop_back();
-  }
-  // A slot at the end that nobody needs goes: a version with very many tenants leaves nothing behind.
-  for (; !free.empty() && free.front() + 1 == slots.size(); free.erase(free.begin())) slots.pop_back();
-  const bool first = !start.settings.tenants.empty() && names.contains(start.settings.tenants[0].name);
-  out.names.no_tenant = first ? 0 : std::numeric_limits<std::uint32_t>::max();
+  apply_classes(document, out);
+  out.settings.tenants = in_force.settings.tenants;
+  if (document.tenants) out.names.tenants.clear();
+  auto unplaced = tenants_by_name(document);
+  auto free = keep_slots(start, in_force, document.tenants.has_value(), held, unplaced, out);
+  place_new_tenants(unplaced, free, out);
+  remove_trailing_slots(free, out.settings.tenants);
+  const bool has_default =
+      !start.settings.tenants.empty() && out.names.tenants.contains(start.settings.tenants[0].name);
+  out.names.no_tenant = has_default ? 0 : std::numeric_limits<std::uint32_t>::max();
   return out;
 }
 
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -15,6 +15,7 @@
 using hcl::Reader;
 
 constexpr std::int64_t kGiga = 1'000'000'000;
+constexpr std::size_t kMaxHookName = 64;  // bytes
 
 std::string secret(Reader& in, const char* name) {
   const auto variable = in.text(name);
@@ -112,15 +113,15 @@
   return out;
 }
 
-hooks::Spec parse_hook(Reader& in, const std::string& name, const Names& names, const std::string& file) {
-  hooks::Spec out;
-  out.name = name;
-  const auto plain = [](unsigned char c) { return std::isalnum(c) != 0 || c == '_' || c == '-' || c == '.'; };
-  if (name.empty() || name.size() > 64 || !std::ranges::all_of(name, plain))
+void check_hook_name(Reader& in, const std::string& name) {
+  const auto allowed = [](unsigned char c) {
+    return std::isalnum(c) != 0 || c == '_' || c == '-' || c == '.';
+  };
+  if (name.empty() || name.size() > kMaxHookName || !std::ranges::all_of(name, allowed))
     in.wrong("", "a hook's name has 1 to 64 letters, digits, '-', '_' or '.'");
-  // Beside the file, unless the path is a whole one.
-  const auto script = in.text("script");
-  out.path = (std::filesystem::path(file).parent_path() / script).string();
+}
+
+void parse_phases(Reader& in, hooks::Spec& out) {
   auto phases = in.texts("phases");
   if (!in.has("phases")) phases = {hooks::kPhaseNames[0]};
   for (const auto& phase : phases) {
@@ -132,7 +133,9 @@
     }
   }
   if (phases.empty()) in.wrong("phases", "names no phase");
-  out.order = in.whole("order", 0, {-kGiga, kGiga});
+}
+
+void parse_hook_limits(Reader& in, hooks::Spec& out) {
   out.time = in.duration("time", out.time, {10us, 1s}, "time_ms");
   out.wait = in.duration("wait", std::max(out.wait, out.time), {1ms, 10s});
   out.slice = in.duration("slice", out.slice, {20us, 2ms});
@@ -141,6 +144,17 @@
   out.memory = in.size("memory", out.memory, {64 << 10, 64 << 20}, "memory_kb");
   out.state = in.size("state", out.state, {0, 64 << 20});
   out.at_once = static_cast<std::size_t>(in.whole("at_once", 8, {1, 256}));
+}
+
+hooks::Spec parse_hook(Reader& in, const std::string& name, const Names& names, const std::string& file) {
+  hooks::Spec out;
+  out.name = name;
+  check_hook_name(in, name);
+  const auto script = in.text("script");
+  out.path = (std::filesystem::path(file).parent_path() / script).string();
+  parse_phases(in, out);
+  out.order = in.whole("order", 0, {-kGiga, kGiga});
+  parse_hook_limits(in, out);
   out.refuse_on_failure = in.choice("on_failure", {"pass", "refuse"}, 0) == 1;
   out.later = in.duration("later", out.later, {1ms, 1h});
   if (auto match = in.block("match")) out.match = parse_match(match->reader, names);
--- a/src/directory/ldap.cpp
+++ b/src/directory/ldap.cpp
@@ -15,8 +15,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxOpen = 32;  // questions at a time; each has a connection of its own
-constexpr std::size_t kMaxKnown = 4096;
+constexpr std::size_t kMaxConcurrentLookups = 32;  // each has a connection of its own
+constexpr std::size_t kMaxCachedVerdicts = 4096;
 
 struct MessageDeleter {
   void operator()(LDAPMessage* message) const { ldap_msgfree(message); }
@@ -39,25 +39,25 @@
   return out;
 }
 
-// One user looked up over one connection: bind as the service, search, bind as the user.
-class Ldap::Question {
+// The lookup of one user over one connection: bind as the service, search, bind as the user.
+class Ldap::UserLookup {
  public:
   enum class Stage { connecting, service_bind, search, user_bind };
 
-  Question(Ldap& owner, std::string user, std::string password, Done done)
+  UserLookup(Ldap& owner, std::string user, std::string password, Done done)
       : owner_(owner),
         user_(std::move(user)),
         password_(std::move(password)),
         done_(std::move(done)),
-        until_(owner.now_ + owner.config_.timeout),
+        deadline_(owner.now_ + owner.config_.timeout),
         io_(owner.loop_) {
-    io_.set<Question, &Question::on_io>(this);
+    io_.set<UserLookup, &UserLookup::on_io>(this);
   }
-  ~Question() { stop(); }
-  Question(const Question&) = delete;
-  Question& operator=(const Question&) = delete;
+  ~UserLookup() { stop(); }
+  UserLookup(const UserLookup&) = delete;
+  UserLookup& operator=(const UserLookup&) = delete;
 
-  // False: there is no way to the directory.
+  // False: the directory can't be reached.
   bool start() {
     const auto at = net::parse_address(owner_.config_.address);
     fd_ = at ? net::begin_connect(*at) : net::Fd();
@@ -72,49 +72,49 @@
     fd_.reset();
   }
 
-  [[nodiscard]] core::Time until() const { return until_; }
+  [[nodiscard]] core::Time deadline() const { return deadline_; }
   [[nodiscard]] const std::string& user() const { return user_; }
   [[nodiscard]] const std::string& password() const { return password_; }
   Done take_done() { return std::exchange(done_, {}); }
 
  private:
-  void conclude(Verdict::Kind kind, std::string tenant = {}) {
+  void finish(Verdict::Kind kind, std::string tenant = {}) {
     owner_.answer(*this, {kind, std::move(tenant)});
   }
-  void unavailable() { conclude(Verdict::Kind::unavailable); }
+  void finish_unavailable() { finish(Verdict::Kind::unavailable); }
 
   void on_io(int) {
-    if (stage_ == Stage::connecting) return connected();
+    if (stage_ == Stage::connecting) return on_connected();
     LDAPMessage* raw = nullptr;
     timeval at_once{0, 0};
-    const int kind = ldap_result(ldap_, pending_, LDAP_MSG_ALL, &at_once, &raw);
+    const int kind = ldap_result(ldap_, message_id_, LDAP_MSG_ALL, &at_once, &raw);
     const Message message(raw);
-    if (kind == 0) return;  // not whole yet
+    if (kind == 0) return;  // not complete yet
     int code = LDAP_OTHER;
     if (kind < 0 ||
         ldap_parse_result(ldap_, raw, &code, nullptr, nullptr, nullptr, nullptr, 0) != LDAP_SUCCESS)
-      return unavailable();
+      return finish_unavailable();
     switch (stage_) {
       case Stage::connecting:
         return;
       case Stage::service_bind:
-        return code == LDAP_SUCCESS ? search() : unavailable();
+        return code == LDAP_SUCCESS ? search() : finish_unavailable();
       case Stage::search:
-        return code == LDAP_SUCCESS ? found(raw) : unavailable();
+        return code == LDAP_SUCCESS ? on_entry(raw) : finish_unavailable();
       case Stage::user_bind:
-        if (code == LDAP_SUCCESS) return conclude(Verdict::Kind::granted, tenant_);
-        return code == LDAP_INVALID_CREDENTIALS ? conclude(Verdict::Kind::denied) : unavailable();
+        if (code == LDAP_SUCCESS) return finish(Verdict::Kind::granted, tenant_);
+        return code == LDAP_INVALID_CREDENTIALS ? finish(Verdict::Kind::denied) : finish_unavailable();
     }
   }
 
-  void connected() {
-    if (net::connect_error(fd_.get()) != 0) return unavailable();
+  void on_connected() {
+    if (net::connect_error(fd_.get()) != 0) return finish_unavailable();
     io_.watch(fd_.get(), ev::READ);
     const auto url = "ldap://" + owner_.config_.address;
-    // From here on libldap owns a descriptor: one of its own, so that closing it leaves ours alone.
+    // libldap closes the descriptor that it is given: it gets a duplicate.
     const int own = ::dup(fd_.get());
     if (own < 0 || ldap_init_fd(own, LDAP_PROTO_TCP, url.c_str(), &ldap_) != LDAP_SUCCESS)
-      return unavailable();
+      return finish_unavailable();
     const int version = LDAP_VERSION3;
     ldap_set_option(ldap_, LDAP_OPT_PROTOCOL_VERSION, &version);
     ldap_set_option(ldap_, LDAP_OPT_REFERRALS, LDAP_OPT_OFF);
@@ -125,9 +125,9 @@
   void bind(const std::string& dn, std::string password, Stage stage) {
     berval secret{password.size(), password.data()};
     stage_ = stage;
-    if (ldap_sasl_bind(ldap_, dn.c_str(), LDAP_SASL_SIMPLE, &secret, nullptr, nullptr, &pending_) !=
+    if (ldap_sasl_bind(ldap_, dn.c_str(), LDAP_SASL_SIMPLE, &secret, nullptr, nullptr, &message_id_) !=
         LDAP_SUCCESS)
-      unavailable();
+      finish_unavailable();
   }
 
   void search() {
@@ -137,33 +137,33 @@
     char* attributes[] = {attribute.data(), nullptr};
     stage_ = Stage::search;
     if (ldap_search_ext(ldap_, config.base.c_str(), LDAP_SCOPE_SUBTREE, filter.c_str(), attributes, 0,
-                        nullptr, nullptr, nullptr, 2, &pending_) != LDAP_SUCCESS)
-      unavailable();
+                        nullptr, nullptr, nullptr, 2, &message_id_) != LDAP_SUCCESS)
+      finish_unavailable();
   }
 
-  // An entry that is not the only one is nobody's.
-  void found(LDAPMessage* message) {
-    if (ldap_count_entries(ldap_, message) != 1) return conclude(Verdict::Kind::denied);
+  // An entry that is not the only one grants nothing.
+  void on_entry(LDAPMessage* message) {
+    if (ldap_count_entries(ldap_, message) != 1) return finish(Verdict::Kind::denied);
     LDAPMessage* entry = ldap_first_entry(ldap_, message);
     const std::unique_ptr<char, void (*)(void*)> dn(ldap_get_dn(ldap_, entry), ldap_memfree);
     const std::unique_ptr<berval*, void (*)(berval**)> values(
         ldap_get_values_len(ldap_, entry, owner_.config_.tenant_attribute.c_str()), ldap_value_free_len);
-    if (!dn || !values || values.get()[0] == nullptr) return conclude(Verdict::Kind::denied);
+    if (!dn || !values || values.get()[0] == nullptr) return finish(Verdict::Kind::denied);
     const auto* first = values.get()[0];
     tenant_.assign(first->bv_val, first->bv_len);
-    if (!owner_.names_.tenants.contains(tenant_)) return conclude(Verdict::Kind::denied);
+    if (!owner_.names_.tenants.contains(tenant_)) return finish(Verdict::Kind::denied);
     bind(dn.get(), password_, Stage::user_bind);
   }
 
   Ldap& owner_;
   std::string user_, password_;
   Done done_;
-  core::Time until_;
+  core::Time deadline_;
   net::IoWatch io_;
   net::Fd fd_;
   LDAP* ldap_ = nullptr;
   Stage stage_ = Stage::connecting;
-  int pending_ = 0;
+  int message_id_ = 0;
   std::string tenant_;
 };
 
@@ -176,7 +176,7 @@
 
 Ldap::~Ldap() = default;
 
-// Passwords are not kept, only what can be told from them.
+// Passwords are not cached, only a salted digest.
 std::string Ldap::key(const std::string& user, const std::string& password) const {
   const auto text = salt_ + std::to_string(user.size()) + ":" + user + password;
   std::array<unsigned char, EVP_MAX_MD_SIZE> out{};
@@ -188,34 +188,34 @@
 void Ldap::look_up(const std::string& user, const std::string& password, Done done) {
   // A bind with a name and no password is one as nobody (RFC 4513, 5.1.2), and always succeeds.
   if (user.empty() || password.empty()) return done({Verdict::Kind::denied, {}});
-  if (const auto found = known_.find(key(user, password));
-      found != known_.end() && now_ < found->second.until)
+  if (const auto found = cache_.find(key(user, password));
+      found != cache_.end() && now_ < found->second.until)
     return done(found->second.verdict);
-  if (open_.size() >= kMaxOpen) return done({Verdict::Kind::unavailable, {}});
-  open_.push_back(std::make_unique<Question>(*this, user, password, std::move(done)));
-  auto& question = *open_.back();
-  if (!question.start()) answer(question, {Verdict::Kind::unavailable, {}});
+  if (lookups_.size() >= kMaxConcurrentLookups) return done({Verdict::Kind::unavailable, {}});
+  lookups_.push_back(std::make_unique<UserLookup>(*this, user, password, std::move(done)));
+  auto& lookup = *lookups_.back();
+  if (!lookup.start()) answer(lookup, {Verdict::Kind::unavailable, {}});
 }
 
-void Ldap::answer(Question& question, Verdict verdict) {
-  const auto at = std::ranges::find(open_, &question, &std::unique_ptr<Question>::get);
-  if (at == open_.end()) return;
-  question.stop();
-  gone_.push_back(std::move(*at));
-  open_.erase(at);
+void Ldap::answer(UserLookup& lookup, Verdict verdict) {
+  const auto at = std::ranges::find(lookups_, &lookup, &std::unique_ptr<UserLookup>::get);
+  if (at == lookups_.end()) return;
+  lookup.stop();
+  finished_.push_back(std::move(*at));
+  lookups_.erase(at);
   if (verdict.kind == Verdict::Kind::granted) {
-    if (known_.size() >= kMaxKnown) known_.clear();
-    known_[key(question.user(), question.password())] = {verdict, now_ + config_.cache};
+    if (cache_.size() >= kMaxCachedVerdicts) cache_.clear();
+    cache_[key(lookup.user(), lookup.password())] = {verdict, now_ + config_.cache};
   }
-  question.take_done()(verdict);
+  lookup.take_done()(verdict);
 }
 
 void Ldap::tick(core::Time now) {
   now_ = now;
-  gone_.clear();
-  // In the order of asking, and so in that of their time running out.
-  while (!open_.empty() && open_.front()->until() <= now)
-    answer(*open_.front(), {Verdict::Kind::unavailable, {}});
+  finished_.clear();
+  // In the order of their begin, and so of their deadlines.
+  while (!lookups_.empty() && lookups_.front()->deadline() <= now)
+    answer(*lookups_.front(), {Verdict::Kind::unavailable, {}});
 }
 
 }  // namespace bellstair::directory
--- a/src/directory/ldap.hpp
+++ b/src/directory/ldap.hpp
@@ -1,5 +1,5 @@
 // Users and their tenants in an LDAP directory: a search for the user's entry, then a bind with the user's
-// own password. Nothing here blocks the loop; verdicts are kept for a while.
+// own password. Nothing here blocks the loop; granting verdicts are cached.
 #pragma once
 
 #include <ev++.h>
@@ -17,7 +17,7 @@
 
 namespace bellstair::directory {
 
-// As RFC 4515 wants a value in a filter: nothing in it can change what the filter says.
+// Escapes a value by RFC 4515, so that it can't change the meaning of a filter.
 [[nodiscard]] std::string escape_filter(std::string_view value);
 
 class Ldap {
@@ -25,25 +25,27 @@
   Ldap(ev::loop_ref loop, const config::Directory& config, const config::Names& names);
   ~Ldap();
 
+  // Calls `done` exactly once: from here if the verdict is cached or the directory can't be asked, else from
+  // the event loop.
   void look_up(const std::string& user, const std::string& password, Done done);
-  void tick(core::Time now);
+  void tick(core::Time now);  // ends lookups whose deadline has passed
 
  private:
-  class Question;
-  struct Known {
+  class UserLookup;
+  struct CachedVerdict {
     Verdict verdict;
     core::Time until{};
   };
-  void answer(Question& question, Verdict verdict);
+  void answer(UserLookup& lookup, Verdict verdict);
   [[nodiscard]] std::string key(const std::string& user, const std::string& password) const;
 
   ev::loop_ref loop_;
   const config::Directory& config_;
   const config::Names& names_;
   std::string salt_;
-  std::unordered_map<std::string, Known> known_;
-  std::list<std::unique_ptr<Question>> open_;
-  std::vector<std::unique_ptr<Question>> gone_;
+  std::unordered_map<std::string, CachedVerdict> cache_;
+  std::list<std::unique_ptr<UserLookup>> lookups_;
+  std::vector<std::unique_ptr<UserLookup>> finished_;  // destroyed by tick(): they may be on the call stack
   core::Time now_{};
 };
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMaxQueued = 512;  // lines that wait to be written
-constexpr auto kLook = 2ms;              // between looks at whether all has been written
+constexpr auto kPollInterval = 2ms;      // between looks at whether all has been written
 // With the time in UTC: whoever reads the log may be anywhere.
 constexpr const char* kPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
 
@@ -112,7 +112,7 @@
   if (running == nullptr) return;
   const auto until = std::chrono::steady_clock::now() + patience;
   while (!running->all_written() && std::chrono::steady_clock::now() < until)
-    std::this_thread::sleep_for(kLook);
+    std::this_thread::sleep_for(kPollInterval);
 }
 
 }  // namespace bellstair::log
