--- /dev/null
+++ b/src/app/hook_case_runner.cpp
@@ -0,0 +1,133 @@
+#include "app/hook_case_runner.hpp"
+
+#include <algorithm>
+#include <stdexcept>
+#include <utility>
+#include <variant>
+
+namespace bellstair::app {
+namespace {
+using nlohmann::json;
+using Milliseconds = std::chrono::duration<double, std::milli>;
+
+constexpr hooks::Time kBudgetStep = std::chrono::microseconds(100);
+
+hooks::Time read_milliseconds(const json& in, const char* key, double fallback) {
+  return hooks::Time(static_cast<std::int64_t>(in.value(key, fallback) * 1e6));
+}
+
+// `what`: how a name of the list is called in the error.
+std::uint16_t index_of(const std::vector<std::string>& names, const std::string& name, const char* what) {
+  const auto found = std::ranges::find(names, name);
+  if (found == names.end()) throw std::runtime_error(std::string(what) + " '" + name + "' is not known");
+  return static_cast<std::uint16_t>(found - names.begin());
+}
+
+std::string statement_of(const json& request) { return request.value("statement", "SELECT 1"); }
+
+std::string first_of(const std::vector<std::string>& names) { return names.empty() ? "" : names.front(); }
+
+}  // namespace
+
+HookCaseRunner::HookCaseRunner(hooks::Loaded loaded, hooks::Words names)
+    : control_(loaded.set), names_(std::move(names)) {
+  for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
+    const auto& spec = loaded.set.hooks[i];
+    auto& hook = hooks_[spec.id];
+    hook.store = std::make_unique<hooks::Store>(spec.state);
+    loaded.machines[i]->set_store(hook.store.get());
+    hook.machine = std::move(loaded.machines[i]);
+    hook.spec = spec;
+  }
+}
+
+json HookCaseRunner::run(const json& test_case) {
+  const auto request = test_case.value("request", json::object());
+  auto subject = read_request(request);
+  now_ += read_milliseconds(test_case, "after", 1000);
+  calls_ = json::array();
+  json out{{"pass", "untouched"}};
+  if (control_.enter(now_, 1, std::move(subject), statement_of(request))) {
+    while (control_.passed.empty()) step();
+    out = outcome_of(std::exchange(control_.passed, {}).front());
+  }
+  while (!control_.commands.empty() || !control_.said.empty()) step();
+  out["calls"] = calls_;
+  return out;
+}
+
+hooks::Subject HookCaseRunner::read_request(const json& request) const {
+  hooks::Subject subject;
+  subject.cls = index_of(names_.classes, request.value("class", first_of(names_.classes)), "class");
+  subject.tenant = index_of(names_.tenants, request.value("tenant", first_of(names_.tenants)), "tenant");
+  subject.front =
+      static_cast<std::uint8_t>(index_of(names_.fronts, request.value("front", "platform"), "front"));
+  subject.statement_size = statement_of(request).size();
+  subject.limit = read_milliseconds(request, "limit", 2000);
+  if (request.contains("cpu")) subject.cpu = read_milliseconds(request, "cpu", 0);
+  subject.ram = request.value("ram", 0.0);
+  subject.group = request.value("group", std::int64_t{0});
+  subject.second = request.value("second", false);
+  return subject;
+}
+
+json HookCaseRunner::outcome_of(const hooks::Passed& passed) const {
+  json out{{"pass", passed.refused ? "refused" : "taken"},
+           {"tags", passed.subject.tags},
+           {"ram", passed.subject.ram},
+           {"second", passed.subject.second}};
+  if (passed.subject.cpu) out["cpu"] = Milliseconds(*passed.subject.cpu).count();
+  if (passed.refused) {
+    out["refuse"] = Milliseconds(*passed.refused).count();
+    out["by"] = hooks_.at(passed.by).spec.name;
+  }
+  return out;
+}
+
+void HookCaseRunner::step() {
+  control_.turn(now_);
+  control_.dispatch(now_);
+  if (control_.commands.empty()) {
+    now_ = std::max(now_ + kBudgetStep, control_.due(now_).value_or(now_));
+    control_.tick(now_);
+  }
+  for (auto& command : std::exchange(control_.commands, {}))
+    std::visit([this](const auto& each) { execute(each); }, command);
+  control_.said.clear();
+}
+
+void HookCaseRunner::execute(const hooks::Run& run) {
+  auto& hook = hooks_.at(run.hook);
+  auto result = hook.machine->run(run);
+  auto& call = call_report(run.job, hook.spec.name);
+  call["us"] = call["us"].get<double>() + std::chrono::duration<double, std::micro>(result.cpu).count();
+  call["instructions"] = call["instructions"].get<std::uint64_t>() + result.instructions;
+  call["slices"] = call["slices"].get<int>() + 1;
+  call["memory"] = std::max(call["memory"].get<std::size_t>(), hook.machine->memory_peak());
+  if (result.how == hooks::Ran::How::failed)
+    call["failed"] = std::string(hooks::name(result.failure)) + ": " + result.text;
+  for (const auto& line : result.said) call["said"].push_back(line);
+  control_.ran(now_, std::move(result));
+}
+
+void HookCaseRunner::execute(const hooks::Drop& drop) {
+  auto& hook = hooks_.at(drop.hook);
+  hook.machine->abort(drop.job);
+  call_report(drop.job, hook.spec.name)["failed"] = "it was cut off";
+}
+
+// No machine is made: the old one goes on.
+void HookCaseRunner::execute(const hooks::Renew& renew) { control_.renewed(now_, {renew.hook, {}}); }
+
+void HookCaseRunner::execute(const hooks::Retire&) {}  // the hooks never change here
+
+json& HookCaseRunner::call_report(hooks::JobId job, const std::string& hook) {
+  for (auto& call : calls_) {
+    if (call["job"] == job) return call;
+  }
+  calls_.push_back(
+      {{"job", job}, {"hook", hook}, {"us", 0.0}, {"instructions", 0}, {"slices", 0}, {"memory", 0}});
+  return calls_.back();
+}
+
+}  // namespace bellstair::app
