--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -16,25 +16,25 @@
 using namespace std::chrono_literals;
 using hcl::Reader;
 
-constexpr std::size_t kMaxTenantName = 256;     // bytes
-constexpr hcl::Durations kDeadlines{0ns, 24h};  // more would pass the clock's range when added to it
-constexpr hcl::Range<double> kFigures{0, 1e9};
+constexpr std::size_t kMaxTenantName = 256;    // bytes
+constexpr hcl::Durations kTimeouts{0ns, 24h};  // more would pass the clock's range when added to it
+constexpr hcl::Range<double> kWeights{0, 1e9};
 
 // Settings of the platform's file, of the operator's own, and of a class there: known here, so that the error
 // is not the one of a misspelt name.
-constexpr std::array kFixed{"name",      "listen",        "peer_listen", "peers",     "peers_all",
-                            "limits",    "settings",      "seed",        "mysql",     "user",
-                            "directory", "mysql_engines", "control",     "balancers", "threads",
-                            "kinds",     "zones",         "semantics",   "classes",   "over-share-worth"};
-constexpr std::array kHooks{"hook", "hooks", "plugin"};
-constexpr std::array kFixedOfClass{"name",   "threads",        "semantics", "effect",      "group",
-                                   "window", "in_order",       "in-order",  "aim_stretch", "aim-stretch",
-                                   "zones",  "zones-allowed",  "kinds",     "bound-to",    "holds_group",
-                                   "loads",  "waits_for_group"};
-
-void refuse(Reader& in, const auto& names, const char* why) {
+constexpr std::array kFixedSettings{
+    "name",    "listen", "peer_listen", "peers",     "peers_all",     "limits",          "settings",
+    "seed",    "mysql",  "user",        "directory", "mysql_engines", "control",         "balancers",
+    "threads", "kinds",  "zones",       "semantics", "classes",       "over-share-worth"};
+constexpr std::array kHookSettings{"hook", "hooks", "plugin"};
+constexpr std::array kFixedClassSettings{
+    "name",     "threads",  "semantics",   "effect",      "group",          "window",
+    "in_order", "in-order", "aim_stretch", "aim-stretch", "zones",          "zones-allowed",
+    "kinds",    "bound-to", "holds_group", "loads",       "waits_for_group"};
+
+void reject_settings(Reader& in, const auto& names, const char* reason) {
   for (const char* name : names) {
-    if (in.has(name)) in.wrong(name, why);
+    if (in.has(name)) in.wrong(name, reason);
   }
 }
 
@@ -49,11 +49,11 @@
   out.name = name;
   out.at = in.at();
   check_class_name(in, name, classes);
-  if (in.has("aim")) out.aim = in.duration("aim", 1ns, {1ns, kDeadlines.most});
-  if (in.has("give_up")) out.give_up = in.duration("give_up", 0ns, kDeadlines);
-  if (in.has("worth")) out.worth = in.number("worth", 0, kFigures);
-  if (in.has("late_share")) out.late_share = in.number("late_share", 0, {0, 1});
-  refuse(in, kFixedOfClass, "needs a restart: it can't change in a running broker");
+  if (in.has("aim")) out.latency_objective = in.duration("aim", 1ns, {1ns, kTimeouts.most});
+  if (in.has("give_up")) out.client_timeout = in.duration("give_up", 0ns, kTimeouts);
+  if (in.has("worth")) out.priority_weight = in.number("worth", 0, kWeights);
+  if (in.has("late_share")) out.late_weight = in.number("late_share", 0, {0, 1});
+  reject_settings(in, kFixedClassSettings, "needs a restart: it can't change in a running broker");
   in.finish();
   return out;
 }
@@ -66,8 +66,8 @@
   out.name = name;
   // Left out, it would starve the tenant without a word.
   if (!in.has("share")) in.wrong("share", "is missing");
-  out.share = in.number("share", 0, kFigures);
-  out.quota_per_s = in.number("quota", 0, kFigures);
+  out.quota_fraction = in.number("share", 0, kWeights);
+  out.quota_per_s = in.number("quota", 0, kWeights);
   in.finish();
   return out;
 }
@@ -78,10 +78,10 @@
 void apply_classes(const Document& document, Overlay& out) {
   for (const auto& named : document.classes) {
     auto& cls = out.settings.classes.at(out.names.classes.at(named.name));
-    cls.latency_objective = named.aim.value_or(cls.latency_objective);
-    cls.client_timeout = named.give_up.value_or(cls.client_timeout);
-    cls.priority_weight = named.worth.value_or(cls.priority_weight);
-    cls.late_weight = named.late_share.value_or(cls.late_weight);
+    cls.latency_objective = named.latency_objective.value_or(cls.latency_objective);
+    cls.client_timeout = named.client_timeout.value_or(cls.client_timeout);
+    cls.priority_weight = named.priority_weight.value_or(cls.priority_weight);
+    cls.late_weight = named.late_weight.value_or(cls.late_weight);
   }
 }
 
@@ -89,7 +89,7 @@
   TenantsByName out;
   if (!document.tenants) return out;
   for (const auto& tenant : *document.tenants)
-    out[tenant.name] = {tenant.name, tenant.share, tenant.quota_per_s};
+    out[tenant.name] = {tenant.name, tenant.quota_fraction, tenant.quota_per_s};
   return out;
 }
 
@@ -168,8 +168,9 @@
     if (!out.tenants) out.tenants.emplace();
     out.tenants->push_back(parse_tenant(section.reader, name));
   }
-  refuse(top, kFixed, "needs a restart: it can't change in a running broker");
-  refuse(top, kHooks, "needs a restart, or a reload of each broker's own file: hooks are not of a version");
+  reject_settings(top, kFixedSettings, "needs a restart: it can't change in a running broker");
+  reject_settings(top, kHookSettings,
+                  "needs a restart, or a reload of each broker's own file: hooks are not of a version");
   top.finish();
   if (!problems.empty()) throw hcl::Invalid(file, std::move(problems));
   return out;
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -1,6 +1,6 @@
-// A document of the configuration as control nodes hand it out, in HCL: what of the settings may change in a
-// running fleet. What it does not name is as the platform's own configuration has it, so that what is in
-// force depends on one version alone, and never on those before.
+// A document of the configuration as control nodes distribute it, in HCL: the settings that may change in a
+// running fleet. Others are as in the platform's own configuration, so that the settings in force depend on
+// one version alone.
 //
 //     changelog = "10.2.0.1:9092"
 //     class "lookup" {
@@ -30,12 +30,13 @@
   struct Class {
     std::string name;
     hcl::Position at;
-    std::optional<core::Time> aim, give_up;
-    std::optional<double> worth, late_share;
+    std::optional<core::Time> latency_objective, client_timeout;
+    std::optional<double> priority_weight, late_weight;
   };
   struct Tenant {
     std::string name;
-    double share = 0, quota_per_s = 0;
+    double quota_fraction = 0;
+    double quota_per_s = 0;  // requests a second, over all brokers
   };
   std::optional<std::string> changelog;
   std::vector<Class> classes;
