--- a/benchmarks/hooks_cost.cpp
+++ b/benchmarks/hooks_cost.cpp
@@ -71,9 +71,9 @@
   }
   static hooks::Set make(const std::vector<const char*>& scripts, const std::string& contains) {
     hooks::Set out;
-    out.limits.share = 0.9;  // the virtual clock is slower than the one that hooks are measured by
-    out.limits.burst = 1h;
-    out.limits.turn = 1h;
+    out.limits.cpu_share = 0.9;  // the virtual clock is slower than the one that hooks are measured by
+    out.limits.max_burst = 1h;
+    out.limits.max_turn_cpu = 1h;
     for (const char* script : scripts) {
       hooks::Spec spec;
       spec.id = static_cast<hooks::HookId>(out.hooks.size() + 1);
--- a/src/app/hook_case_runner.cpp
+++ b/src/app/hook_case_runner.cpp
@@ -34,7 +34,7 @@
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
     auto& hook = hooks_[spec.id];
-    hook.store = std::make_unique<hooks::Store>(spec.state);
+    hook.store = std::make_unique<hooks::Store>(spec.store_limit);
     loaded.machines[i]->set_store(hook.store.get());
     hook.machine = std::move(loaded.machines[i]);
     hook.spec = spec;
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -82,16 +82,16 @@
 
 hooks::Limits parse_limits(Reader& in) {
   hooks::Limits out;
-  out.share = in.number("share", out.share, {0.01, 0.9});
-  out.burst = in.duration("burst", out.burst, {100us, 100ms});
-  out.turn = in.duration("turn", out.turn, {50us, 10ms});
+  out.cpu_share = in.number("share", out.cpu_share, {0.01, 0.9});
+  out.max_burst = in.duration("burst", out.max_burst, {100us, 100ms});
+  out.max_turn_cpu = in.duration("turn", out.max_turn_cpu, {50us, 10ms});
   if (auto breaker = in.block("breaker")) {
     auto& b = breaker->reader;
-    out.failures = static_cast<unsigned>(b.whole("failures", out.failures, {1, 1000}));
-    out.pause = b.duration("pause", out.pause, {10ms, 1h});
-    out.most_pause = b.duration("most_pause", out.most_pause, {10ms, 24h});
-    out.trials = static_cast<unsigned>(b.whole("trials", out.trials, {1, 1000}));
-    if (out.most_pause < out.pause) b.wrong("most_pause", "is less than pause");
+    out.failure_threshold = static_cast<unsigned>(b.whole("failures", out.failure_threshold, {1, 1000}));
+    out.open_duration = b.duration("pause", out.open_duration, {10ms, 1h});
+    out.max_open_duration = b.duration("most_pause", out.max_open_duration, {10ms, 24h});
+    out.success_threshold = static_cast<unsigned>(b.whole("trials", out.success_threshold, {1, 1000}));
+    if (out.max_open_duration < out.open_duration) b.wrong("most_pause", "is less than pause");
     b.finish();
   }
   in.finish();
@@ -136,14 +136,14 @@
 }
 
 void parse_hook_limits(Reader& in, hooks::Spec& out) {
-  out.time = in.duration("time", out.time, {10us, 1s}, "time_ms");
-  out.wait = in.duration("wait", std::max(out.wait, out.time), {1ms, 10s});
+  out.cpu_limit = in.duration("time", out.cpu_limit, {10us, 1s}, "time_ms");
+  out.wait_timeout = in.duration("wait", std::max(out.wait_timeout, out.cpu_limit), {1ms, 10s});
   out.slice = in.duration("slice", out.slice, {20us, 2ms});
-  out.every = in.duration("every", out.every, {10ms, 24h});
-  out.instructions = static_cast<std::uint64_t>(in.whole("instructions", 1'000'000, {1000, kGiga}));
-  out.memory = in.size("memory", out.memory, {64 << 10, 64 << 20}, "memory_kb");
-  out.state = in.size("state", out.state, {0, 64 << 20});
-  out.at_once = static_cast<std::size_t>(in.whole("at_once", 8, {1, 256}));
+  out.timer_interval = in.duration("every", out.timer_interval, {10ms, 24h});
+  out.instruction_limit = static_cast<std::uint64_t>(in.whole("instructions", 1'000'000, {1000, kGiga}));
+  out.memory_limit = in.size("memory", out.memory_limit, {64 << 10, 64 << 20}, "memory_kb");
+  out.store_limit = in.size("state", out.store_limit, {0, 64 << 20});
+  out.max_concurrent_calls = static_cast<std::size_t>(in.whole("at_once", 8, {1, 256}));
 }
 
 hooks::Spec parse_hook(Reader& in, const std::string& name, const Names& names, const std::string& file) {
@@ -155,8 +155,8 @@
   parse_phases(in, out);
   out.order = in.whole("order", 0, {-kGiga, kGiga});
   parse_hook_limits(in, out);
-  out.refuse_on_failure = in.choice("on_failure", {"pass", "refuse"}, 0) == 1;
-  out.later = in.duration("later", out.later, {1ms, 1h});
+  out.reject_on_failure = in.choice("on_failure", {"pass", "refuse"}, 0) == 1;
+  out.retry_after = in.duration("later", out.retry_after, {1ms, 1h});
   if (auto match = in.block("match")) out.match = parse_match(match->reader, names);
   if (in.has("every") && !out.phases[static_cast<std::size_t>(hooks::Phase::timer)])
     in.wrong("every", "is for phase \"timer\" only");
--- a/src/hooks/breaker.cpp
+++ b/src/hooks/breaker.cpp
@@ -8,58 +8,59 @@
 bool Breaker::admit(Time now) {
   if (state_ == State::closed) return true;
   if (state_ == State::open) {
-    if (now < until_ || !fresh_) return false;
-    state_ = State::trying;
-    trials_ = 0;
-    trial_out_ = false;
+    if (now < open_until_ || !machine_renewed_) return false;
+    state_ = State::half_open;
+    successful_trials_ = 0;
+    trial_pending_ = false;
   }
-  if (trial_out_) return false;
-  trial_out_ = true;
+  if (trial_pending_) return false;
+  trial_pending_ = true;
   return true;
 }
 
 void Breaker::open(Time now) {
-  // One that fails soon after it was put back has proved little: its pause goes on growing.
-  const bool again = state_ == State::trying || (openings_ > 0 && now < closed_at_ + 4 * pause_);
-  pause_ = again ? std::min(2 * pause_, limits_->most_pause) : limits_->pause;
+  // One that fails soon after it was closed has recovered little: its backoff goes on growing.
+  const bool again = state_ == State::half_open || (openings_ > 0 && now < closed_at_ + 4 * open_duration_);
+  open_duration_ = again ? std::min(2 * open_duration_, limits_->max_open_duration) : limits_->open_duration;
   state_ = State::open;
-  until_ = now + pause_;
-  fresh_ = trial_out_ = false;
-  recent_ = 0;
-  seen_ = row_ = 0;
+  open_until_ = now + open_duration_;
+  machine_renewed_ = trial_pending_ = false;
+  outcomes_ = 0;
+  recorded_ = consecutive_failures_ = 0;
   ++openings_;
 }
 
-bool Breaker::good(Time now) {
-  row_ = 0;
-  recent_ <<= 1U;
-  seen_ = std::min(seen_ + 1, kWindow);
-  trial_out_ = false;
-  if (state_ != State::trying || ++trials_ < limits_->trials) return false;
+bool Breaker::on_success(Time now) {
+  consecutive_failures_ = 0;
+  outcomes_ <<= 1U;
+  recorded_ = std::min(recorded_ + 1, kWindowCalls);
+  trial_pending_ = false;
+  if (state_ != State::half_open || ++successful_trials_ < limits_->success_threshold) return false;
   state_ = State::closed;
   closed_at_ = now;
   return true;
 }
 
-bool Breaker::bad(Time now) {
+bool Breaker::on_failure(Time now) {
   if (state_ == State::open) return false;
-  recent_ = recent_ << 1U | 1U;
-  seen_ = std::min(seen_ + 1, kWindow);
-  const auto failed = static_cast<unsigned>(std::popcount(recent_));
-  const bool half = seen_ >= kWindow && failed * 2 >= kWindow;
-  if (state_ == State::closed && ++row_ < limits_->failures && !half) return false;
+  outcomes_ = outcomes_ << 1U | 1U;
+  recorded_ = std::min(recorded_ + 1, kWindowCalls);
+  const auto failed = static_cast<unsigned>(std::popcount(outcomes_));
+  const bool half_failed = recorded_ >= kWindowCalls && failed * 2 >= kWindowCalls;
+  if (state_ == State::closed && ++consecutive_failures_ < limits_->failure_threshold && !half_failed)
+    return false;
   open(now);
   return true;
 }
 
-void Breaker::renewed(bool well, Time now) {
+void Breaker::on_machine_renewed(bool loads, Time now) {
   if (state_ != State::open) return;
-  fresh_ = true;
-  if (well) return;
-  // Its script does not even load any more: as if a trial had failed.
-  state_ = State::trying;
+  machine_renewed_ = true;
+  if (loads) return;
+  // The script does not even load any more: counts as a failed trial.
+  state_ = State::half_open;
   open(now);
-  fresh_ = true;
+  machine_renewed_ = true;
 }
 
 }  // namespace bellstair::hooks
--- a/src/hooks/breaker.hpp
+++ b/src/hooks/breaker.hpp
@@ -1,5 +1,5 @@
-// Takes a hook out that fails, and puts it back once it has proved itself. The circuit breaker of M. Nygard,
-// "Release It!" (2007), chapter 5, with pauses that grow. No clock but the one told.
+// The circuit breaker of one hook (M. Nygard, "Release It!", 2007, chapter 5), with an exponential backoff of
+// the time that it stays open. Reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,43 +10,43 @@
 
 class Breaker {
  public:
-  enum class State : std::uint8_t { closed, open, trying };
+  enum class State : std::uint8_t { closed, open, half_open };
 
   explicit Breaker(const Limits& limits) : limits_(&limits) {}
 
-  // Whether a call may begin; a trial is out from then on until it is told how it went.
+  // Whether a call may begin. While the breaker is half-open, one trial at a time may.
   [[nodiscard]] bool admit(Time now);
-  // How a call that was admitted ended. True: the state has changed.
-  bool good(Time now);
-  bool bad(Time now);
-  void void_trial() { trial_out_ = false; }  // it ended, and proves nothing
-  void renewed(bool well, Time now);         // the machine that was asked for on opening
+  // Outcomes of calls that were admitted. True if the state has changed.
+  bool on_success(Time now);
+  bool on_failure(Time now);
+  void abandon_trial() { trial_pending_ = false; }  // it ended without an outcome
+  void on_machine_renewed(bool loads, Time now);    // the one asked for at opening
 
   [[nodiscard]] State state() const { return state_; }
-  [[nodiscard]] Time until() const { return until_; }  // while open: the earliest trial
-  [[nodiscard]] Time pause() const { return pause_; }
+  [[nodiscard]] Time open_until() const { return open_until_; }  // of the earliest trial
+  [[nodiscard]] Time open_duration() const { return open_duration_; }
   [[nodiscard]] unsigned openings() const { return openings_; }
 
  private:
-  static constexpr unsigned kWindow = 32;
+  static constexpr unsigned kWindowCalls = 32;
   void open(Time now);
 
   const Limits* limits_;
   State state_ = State::closed;
-  std::uint32_t recent_ = 0;  // a bit for each of the last calls; 1: it failed
-  unsigned seen_ = 0, row_ = 0, trials_ = 0, openings_ = 0;
-  bool trial_out_ = false, fresh_ = true;
-  Time until_{}, pause_{}, closed_at_{};
+  std::uint32_t outcomes_ = 0;  // a bit for each of the last calls; 1: a failure
+  unsigned recorded_ = 0, consecutive_failures_ = 0, successful_trials_ = 0, openings_ = 0;
+  bool trial_pending_ = false, machine_renewed_ = true;
+  Time open_until_{}, open_duration_{}, closed_at_{};
 };
 
 [[nodiscard]] constexpr const char* name(Breaker::State state) {
   switch (state) {
     case Breaker::State::closed:
-      return "in";
+      return "closed";
     case Breaker::State::open:
-      return "out";
-    case Breaker::State::trying:
-      return "on trial";
+      return "open";
+    case Breaker::State::half_open:
+      return "half-open";
   }
   return "?";
 }
--- a/src/hooks/budget.cpp
+++ b/src/hooks/budget.cpp
@@ -2,11 +2,11 @@
 
 namespace bellstair::hooks {
 
-Time Budget::level(Time now) const {
-  if (!begun_) return limits_.burst;
+Time Budget::tokens(Time now) const {
+  if (!charged_) return limits_.max_burst;
   const auto filled =
-      Time(static_cast<std::int64_t>(static_cast<double>((now - told_).count()) * limits_.share));
-  return std::min(limits_.burst, level_ + std::max(filled, Time::zero()));
+      Time(static_cast<std::int64_t>(static_cast<double>((now - charged_at_).count()) * limits_.cpu_share));
+  return std::min(limits_.max_burst, tokens_ + std::max(filled, Time::zero()));
 }
 
 void Budget::begin_turn(Time now) {
@@ -14,31 +14,31 @@
   turn_used_ = Time::zero();
 }
 
-bool Budget::open(Time now) {
-  if (now >= turn_begun_ + kNewTurn) begin_turn(now);
-  return turn_used_ < limits_.turn && level(now) > Time::zero();
+bool Budget::may_run(Time now) {
+  if (now >= turn_begun_ + kMaxTurnDuration) begin_turn(now);
+  return turn_used_ < limits_.max_turn_cpu && tokens(now) > Time::zero();
 }
 
-Time Budget::due(Time now) const {
-  const auto have = level(now);
+Time Budget::next_available(Time now) const {
+  const auto have = tokens(now);
   if (have > Time::zero()) return now;
   const double missing = static_cast<double>((Time(1) - have).count());
-  return now + Time(static_cast<std::int64_t>(missing / limits_.share) + 1);
+  return now + Time(static_cast<std::int64_t>(missing / limits_.cpu_share) + 1);
 }
 
 void Budget::charge(Time now, HookId hook, Time cpu) {
-  level_ = level(now) - cpu;
-  told_ = now;
-  begun_ = true;
+  tokens_ = tokens(now) - cpu;
+  charged_at_ = now;
+  charged_ = true;
   turn_used_ += cpu;
-  auto& had = attained_[hook];
-  floor_ = std::max(floor_, had);  // the one that was called had least of all
-  had += cpu;
+  auto& attained = attained_[hook];
+  least_attained_ = std::max(least_attained_, attained);  // the called hook had attained least
+  attained += cpu;
 }
 
-void Budget::awake(HookId hook, bool others) {
-  auto& had = attained_[hook];
-  if (others) had = std::max(had, floor_);
+void Budget::on_active(HookId hook, bool others_active) {
+  auto& attained = attained_[hook];
+  if (others_active) attained = std::max(attained, least_attained_);
 }
 
 Time Budget::attained(HookId hook) const {
--- a/src/hooks/chain.hpp
+++ b/src/hooks/chain.hpp
@@ -1,8 +1,8 @@
-// The hooks of one request, in their order, and what comes of them together:
-// - labels (cpu, ram, second): each hook sees what those before it have set; the last one to set it wins;
+// The hooks of one request, in their order, and the combination of their decisions:
+// - labels (cpu, ram, second): each hook sees those of the hooks before it; the last one to set a label wins;
 // - tags add up, the first kMaxTags of them;
-// - the first refusal ends the chain, and no later hook is called;
-// - a hook that fails has said nothing, whatever it had said; its on_failure decides, and it is blamed.
+// - the first rejection ends the chain; no later hook is called;
+// - the decision of a hook that fails is discarded; its on_failure setting decides.
 #pragma once
 
 #include <optional>
@@ -19,30 +19,32 @@
   Chain() = default;
   explicit Chain(std::vector<HookId> hooks) : hooks_(std::move(hooks)) {}
 
-  [[nodiscard]] std::optional<HookId> next() const;  // to be called now; none: the chain has ended
-  void took(const Verdict& verdict, Subject& subject);
-  void failed(const Spec& spec, Failure failure);
+  [[nodiscard]] std::optional<HookId> next() const;  // the hook to call; none at the end of the chain
+  // Outcomes of the call of next().
+  void apply(const Verdict& decision, Subject& subject);
+  void on_failure(const Spec& spec, Failure failure);
 
-  [[nodiscard]] const std::optional<Time>& refused() const { return refused_; }
-  [[nodiscard]] HookId refused_by() const { return refused_by_; }
+  // Of a rejection; none if no hook rejects the request.
+  [[nodiscard]] const std::optional<Time>& retry_after() const { return retry_after_; }
+  [[nodiscard]] HookId rejected_by() const { return rejected_by_; }
   [[nodiscard]] const std::vector<HookId>& hooks() const { return hooks_; }
   [[nodiscard]] HookId labelled_by() const { return labelled_by_; }  // the last that set a label
-  struct Blame {
+  struct HookFailure {
     HookId hook = 0;
     Failure failure = Failure::none;
   };
-  [[nodiscard]] const std::vector<Blame>& blamed() const { return blamed_; }
+  [[nodiscard]] const std::vector<HookFailure>& failures() const { return failures_; }
 
  private:
   std::vector<HookId> hooks_;
-  std::size_t at_ = 0;
-  std::optional<Time> refused_;
-  HookId refused_by_ = 0, labelled_by_ = 0;
-  std::vector<Blame> blamed_;
+  std::size_t position_ = 0;
+  std::optional<Time> retry_after_;
+  HookId rejected_by_ = 0, labelled_by_ = 0;
+  std::vector<HookFailure> failures_;
 };
 
-// `statement`: as far as hooks are shown it; the subject need not hold it yet.
-[[nodiscard]] bool fits(const Match& match, const Subject& subject, std::string_view statement);
+// Whether a hook is for the request. `statement`: as far as hooks see it; the subject need not hold it yet.
+[[nodiscard]] bool matches(const Match& match, const Subject& subject, std::string_view statement);
 // Plain search, in time linear in the text whatever both hold: std::string::find is not.
 [[nodiscard]] bool contains(std::string_view text, std::string_view part);
 
--- a/src/hooks/control.cpp
+++ b/src/hooks/control.cpp
@@ -7,7 +7,7 @@
 namespace bellstair::hooks {
 namespace {
 using namespace std::chrono_literals;
-constexpr Time kLineEvery = 1s;  // at most one line of the log about a hook's failures in so long
+constexpr Time kLogInterval = 1s;  // between lines about failures of one hook
 
 std::string seconds(Time time) {
   char out[32];
@@ -20,57 +20,62 @@
 
 void Control::install(Time now, Set set) {
   limits_ = set.limits;
-  budget_.limit(limits_);
+  budget_.set_limits(limits_);
   std::ranges::stable_sort(set.hooks, {}, &Spec::order);
-  for (auto& list : phased_) list.clear();
-  std::vector<HookId> before;
+  for (auto& list : hooks_by_phase_) list.clear();
+  std::vector<HookId> replaced;
   for (auto& [id, hook] : hooks_) {
     hook.current = false;
-    before.push_back(id);
+    replaced.push_back(id);
   }
-  for (auto& spec : set.hooks) {
-    const auto id = spec.id;
-    for (std::size_t phase = 0; phase < kPhases; ++phase) {
-      if (spec.phases[phase]) phased_[phase].push_back(id);
-    }
-    auto& hook = hooks_.try_emplace(id, std::move(spec), limits_).first->second;
-    hook.next_timer = now + hook.spec.every;
-    for (const auto old : before) {
-      const auto& known = hooks_.at(old);
-      if (known.spec.name != hook.spec.name) continue;
-      hook.counts = known.counts;
-      // What is out stays out, unless the script has been mended; its new machine is a fresh one.
-      if (known.spec.digest != hook.spec.digest) continue;
-      hook.breaker = known.breaker;
-      hook.breaker.void_trial();
-      hook.breaker.renewed(true, now);
-    }
+  for (auto& spec : set.hooks) add_hook(now, std::move(spec), replaced);
+  for (const auto id : replaced) {
+    remove_unowned_calls(hooks_.at(id));
+    retire_if_done(id);
   }
-  for (const auto id : before) {
-    auto& hook = hooks_.at(id);
-    // Calls that belong to no request are not worth an old machine.
-    std::vector<JobId> loose;
-    for (const auto* list : {&hook.waiting, &hook.begun}) {
-      for (const auto job : *list) {
-        if (jobs_.at(job).phase != Phase::request) loose.push_back(job);
-      }
+}
+
+void Control::add_hook(Time now, Spec spec, const std::vector<HookId>& replaced) {
+  const auto id = spec.id;
+  for (std::size_t phase = 0; phase < kPhases; ++phase) {
+    if (spec.phases[phase]) hooks_by_phase_[phase].push_back(id);
+  }
+  auto& hook = hooks_.try_emplace(id, std::move(spec), limits_).first->second;
+  hook.next_timer = now + hook.spec.timer_interval;
+  for (const auto old : replaced) {
+    const auto& previous = hooks_.at(old);
+    if (previous.spec.name != hook.spec.name) continue;
+    hook.counts = previous.counts;
+    // An open breaker stays open unless the script has changed; the new hook has a new machine.
+    if (previous.spec.digest != hook.spec.digest) continue;
+    hook.breaker = previous.breaker;
+    hook.breaker.abandon_trial();
+    hook.breaker.on_machine_renewed(true, now);
+  }
+}
+
+// Calls that belong to no request don't keep an old machine alive.
+void Control::remove_unowned_calls(const Hook& hook) {
+  std::vector<JobId> unowned;
+  for (const auto* list : {&hook.waiting, &hook.begun}) {
+    for (const auto job : *list) {
+      if (jobs_.at(job).phase != Phase::request) unowned.push_back(job);
     }
-    for (const auto job : loose) remove(job);
-    retire_if_done(id);
   }
+  for (const auto job : unowned) remove(job);
 }
 
 bool Control::enter(Time now, Owner owner, Subject subject, std::string_view statement) {
   statement = statement.substr(0, kMaxStatement);
   std::vector<HookId> called;
-  for (const auto id : phased_[static_cast<std::size_t>(Phase::request)]) {
-    if (fits(hooks_.at(id).spec.match, subject, statement)) called.push_back(id);
+  for (const auto id : hooks_by_phase_[static_cast<std::size_t>(Phase::request)]) {
+    if (matches(hooks_.at(id).spec.match, subject, statement)) called.push_back(id);
   }
   if (called.empty()) return false;
-  for (const auto id : called) ++hooks_.at(id).chains;
+  for (const auto id : called) ++hooks_.at(id).open_chains;
   subject.statement = std::make_shared<const std::string>(statement);
-  owners_[owner] = {Chain(std::move(called)), std::move(subject), 0};
-  advance(now, owner);
+  requests_[owner] = {Chain(std::move(called)), std::move(subject), 0};
+  call_next_hook(now, owner);
   return true;
 }
 
@@ -78,64 +83,64 @@
   const auto before = hook.breaker.state();
   trial = before != Breaker::State::closed;
   const bool admitted = hook.breaker.admit(now);
-  if (hook.breaker.state() != before) changed(now, hook);
+  if (hook.breaker.state() != before) on_breaker_changed(now, hook);
   return admitted;
 }
 
-// On to the next hook that takes the request, or out.
-void Control::advance(Time now, Owner owner) {
-  auto& inside = owners_.at(owner);
-  inside.job = 0;
-  while (const auto next = inside.chain.next()) {
+// Calls the next hook that admits a call; after the last one, the request leaves.
+void Control::call_next_hook(Time now, Owner owner) {
+  auto& request = requests_.at(owner);
+  request.job = 0;
+  while (const auto next = request.chain.next()) {
     auto& hook = hooks_.at(*next);
-    if (hook.waiting.size() >= limits_.most_waiting) {
+    if (hook.waiting.size() >= limits_.max_queued) {
       ++hook.counts.crowded;
-      inside.chain.failed(hook.spec, Failure::crowded);
+      request.chain.on_failure(hook.spec, Failure::crowded);
       continue;
     }
     bool trial = false;
     if (!admit(now, hook, trial)) {
       ++hook.counts.passed_over;
-      inside.chain.failed(hook.spec, Failure::out);
+      request.chain.on_failure(hook.spec, Failure::out);
       continue;
     }
-    inside.job = add(now, hook, Phase::request, owner, {}, trial);
+    request.job = enqueue(now, hook, Phase::request, owner, {}, trial);
     return;
   }
   Passed out;
   out.owner = owner;
-  out.subject = std::move(inside.subject);
-  out.refused = inside.chain.refused();
-  out.by = inside.chain.refused_by();
+  out.subject = std::move(request.subject);
+  out.refused = request.chain.retry_after();
+  out.by = request.chain.rejected_by();
   if (out.by != 0) ++hooks_.at(out.by).counts.refusals;
   leave(owner);
   passed.push_back(std::move(out));
 }
 
 void Control::leave(Owner owner) {
-  const auto found = owners_.find(owner);
-  if (found == owners_.end()) return;
-  const auto inside = std::move(found->second);
-  owners_.erase(found);
-  if (inside.job != 0) {
-    if (jobs_.at(inside.job).trial) hooks_.at(jobs_.at(inside.job).hook).breaker.void_trial();
-    remove(inside.job);
+  const auto found = requests_.find(owner);
+  if (found == requests_.end()) return;
+  const auto request = std::move(found->second);
+  requests_.erase(found);
+  if (request.job != 0) {
+    if (jobs_.at(request.job).trial) hooks_.at(jobs_.at(request.job).hook).breaker.abandon_trial();
+    remove(request.job);
   }
-  for (const auto id : inside.chain.hooks()) {
-    --hooks_.at(id).chains;
+  for (const auto id : request.chain.hooks()) {
+    --hooks_.at(id).open_chains;
     retire_if_done(id);
   }
 }
 
-JobId Control::add(Time now, Hook& hook, Phase phase, Owner owner, Subject subject, bool trial) {
+JobId Control::enqueue(Time now, Hook& hook, Phase phase, Owner owner, Subject subject, bool trial) {
   const auto id = ++last_job_;
   if (hook.jobs++ == 0) {
-    budget_.awake(hook.spec.id, !busy_.empty());
+    budget_.on_active(hook.spec.id, !busy_.empty());
     busy_.push_back(&hook);
   }
   jobs_[id] = {hook.spec.id, phase, owner, std::move(subject), false, trial, false, {}};
   hook.waiting.push_back(id);
-  waits_.emplace(now + hook.spec.wait, id);
+  wait_deadlines_.emplace(now + hook.spec.wait_timeout, id);
   return id;
 }
 
@@ -150,19 +155,19 @@
   } else {
     std::erase(list, id);
   }
-  if (job.begun && !job.over) commands.emplace_back(Drop{id, job.hook});
-  if (job.phase == Phase::answer) --hook.answers;
-  if (job.phase == Phase::timer) hook.timing = false;
+  if (job.begun && !job.finished) commands.emplace_back(Drop{id, job.hook});
+  if (job.phase == Phase::answer) --hook.answer_calls;
+  if (job.phase == Phase::timer) hook.timer_running = false;
   if (--hook.jobs == 0) std::erase(busy_, &hook);
   jobs_.erase(found);
 }
 
 void Control::told(Time now, const Subject& end, std::string_view statement) {
   statement = statement.substr(0, kMaxStatement);
-  for (const auto id : phased_[static_cast<std::size_t>(Phase::answer)]) {
+  for (const auto id : hooks_by_phase_[static_cast<std::size_t>(Phase::answer)]) {
     auto& hook = hooks_.at(id);
-    if (!fits(hook.spec.match, end, statement)) continue;
-    if (hook.answers >= limits_.most_told) {
+    if (!matches(hook.spec.match, end, statement)) continue;
+    if (hook.answer_calls >= limits_.max_answer_calls) {
       ++hook.counts.dropped;
       continue;
     }
@@ -171,54 +176,54 @@
       ++hook.counts.passed_over;
       continue;
     }
-    ++hook.answers;
-    add(now, hook, Phase::answer, 0, end, trial);
+    ++hook.answer_calls;
+    enqueue(now, hook, Phase::answer, 0, end, trial);
   }
 }
 
 void Control::tick(Time now) {
-  for (const auto id : phased_[static_cast<std::size_t>(Phase::timer)]) {
+  for (const auto id : hooks_by_phase_[static_cast<std::size_t>(Phase::timer)]) {
     auto& hook = hooks_.at(id);
-    if (hook.timing || now < hook.next_timer) continue;
-    hook.next_timer = now + hook.spec.every;
+    if (hook.timer_running || now < hook.next_timer) continue;
+    hook.next_timer = now + hook.spec.timer_interval;
     bool trial = false;
     if (!admit(now, hook, trial)) continue;
-    hook.timing = true;
-    add(now, hook, Phase::timer, 0, {}, trial);
+    hook.timer_running = true;
+    enqueue(now, hook, Phase::timer, 0, {}, trial);
   }
-  while (!waits_.empty() && waits_.top().first <= now) {
-    const auto id = waits_.top().second;
-    waits_.pop();
+  while (!wait_deadlines_.empty() && wait_deadlines_.top().first <= now) {
+    const auto id = wait_deadlines_.top().second;
+    wait_deadlines_.pop();
     if (jobs_.contains(id)) fail(now, id, Failure::crowded, {});
   }
 }
 
 void Control::ran(Time now, Ran ran) {
-  if (out_ == ran.job) out_ = 0;
+  if (running_job_ == ran.job) running_job_ = 0;
   const auto hook_found = hooks_.find(ran.hook);
   if (hook_found == hooks_.end()) return;
   auto& hook = hook_found->second;
   budget_.charge(now, ran.hook, ran.cpu);
   hook.counts.cpu += ran.cpu;
   hook.memory = ran.memory;
-  for (auto& line : ran.said) said.push_back("hook " + hook.spec.name + " says: " + std::move(line));
+  for (auto& line : ran.said) said.push_back("hook " + hook.spec.name + " logs: " + std::move(line));
   const auto found = jobs_.find(ran.job);
-  if (found == jobs_.end()) return;  // left meanwhile
+  if (found == jobs_.end()) return;  // the request has left meanwhile
   auto& job = found->second;
-  job.use.cpu += ran.cpu;
-  job.use.instructions += ran.instructions;
-  job.over = ran.how != Ran::How::yielded;
+  job.usage.cpu += ran.cpu;
+  job.usage.instructions += ran.instructions;
+  job.finished = ran.how != Ran::How::yielded;
   switch (ran.how) {
     case Ran::How::failed:
       return fail(now, ran.job, ran.failure, ran.text);
     case Ran::How::done:
-      return end(now, ran.job, Failure::none, ran.verdict);
+      return complete(now, ran.job, Failure::none, ran.verdict);
     case Ran::How::yielded:
       break;
   }
-  if (const auto failure = judge(hook.spec, job.use); failure != Failure::none)
+  if (const auto failure = exceeded_limit(hook.spec, job.usage); failure != Failure::none)
     return fail(now, ran.job, failure, {});
-  // It goes on before those that began later: one that never ends is found out the sooner.
+  // Before those that began later: an endless call reaches its limits sooner.
   hook.begun.insert(std::ranges::lower_bound(hook.begun, ran.job), ran.job);
 }
 
@@ -228,13 +233,13 @@
   if (failure == Failure::crowded) ++hook.counts.crowded;
   if (blames(failure)) {
     ++hook.counts.failures;
-    blame(now, hook, failure, text);
+    log_failure(now, hook, failure, text);
   }
-  end(now, id, failure, {});
+  complete(now, id, failure, {});
 }
 
-// The call has ended, one way or the other; its request goes on.
-void Control::end(Time now, JobId id, Failure failure, const Verdict& verdict) {
+// Ends the call in either way; its request goes on.
+void Control::complete(Time now, JobId id, Failure failure, const Verdict& verdict) {
   const auto& job = jobs_.at(id);
   const auto hook_id = job.hook;
   const auto owner = job.owner;
@@ -243,44 +248,44 @@
   auto& hook = hooks_.at(hook_id);
   ++hook.counts.calls;
   remove(id);
-  bool moved = false;
+  bool breaker_changed = false;
   if (failure == Failure::none) {
-    moved = hook.breaker.good(now);
+    breaker_changed = hook.breaker.on_success(now);
   } else if (blames(failure)) {
-    moved = hook.breaker.bad(now);
+    breaker_changed = hook.breaker.on_failure(now);
   } else if (trial) {
-    hook.breaker.void_trial();
+    hook.breaker.abandon_trial();
   }
   if (phase == Phase::request) {
-    auto& inside = owners_.at(owner);
+    auto& request = requests_.at(owner);
     if (failure == Failure::none) {
-      inside.chain.took(verdict, inside.subject);
+      request.chain.apply(verdict, request.subject);
     } else {
-      inside.chain.failed(hook.spec, failure);
+      request.chain.on_failure(hook.spec, failure);
     }
   }
-  if (moved) changed(now, hook);
-  if (phase == Phase::request) advance(now, owner);
+  if (breaker_changed) on_breaker_changed(now, hook);
+  if (phase == Phase::request) call_next_hook(now, owner);
   retire_if_done(hook_id);
 }
 
-void Control::blame(Time now, Hook& hook, Failure failure, const std::string& text) {
-  if (now < hook.next_line) {
-    ++hook.unsaid;
+void Control::log_failure(Time now, Hook& hook, Failure failure, const std::string& text) {
+  if (now < hook.next_log_line) {
+    ++hook.suppressed_lines;
     return;
   }
-  hook.next_line = now + kLineEvery;
+  hook.next_log_line = now + kLogInterval;
   auto line = "hook " + hook.spec.name + ": " + name(failure);
   if (!text.empty()) line += ": " + text;
-  if (hook.unsaid > 0)
-    line += " (" + std::to_string(std::exchange(hook.unsaid, 0)) + " more failures before)";
+  if (hook.suppressed_lines > 0)
+    line += " (" + std::to_string(std::exchange(hook.suppressed_lines, 0)) + " more failures before)";
   said.push_back(std::move(line));
 }
 
-// Its breaker has moved: when it opens, what is inside has nothing to hope for.
-void Control::changed(Time now, Hook& hook) {
-  auto line = "hook " + hook.spec.name + " is " + name(hook.breaker.state());
-  if (hook.breaker.state() == Breaker::State::open) line += " for " + seconds(hook.breaker.pause());
+// When the breaker opens, all calls of the hook fail.
+void Control::on_breaker_changed(Time now, Hook& hook) {
+  auto line = "hook " + hook.spec.name + ": circuit breaker " + name(hook.breaker.state());
+  if (hook.breaker.state() == Breaker::State::open) line += " for " + seconds(hook.breaker.open_duration());
   said.push_back(std::move(line));
   if (hook.breaker.state() != Breaker::State::open) return;
   commands.emplace_back(Renew{hook.spec.id});
@@ -295,21 +300,21 @@
   const auto found = hooks_.find(renewed.hook);
   if (found == hooks_.end()) return;
   auto& hook = found->second;
-  hook.breaker.renewed(renewed.problem.empty(), now);
+  hook.breaker.on_machine_renewed(renewed.problem.empty(), now);
   if (renewed.problem.empty()) return;
-  said.push_back("hook " + hook.spec.name + ": can't be made anew: " + renewed.problem);
+  said.push_back("hook " + hook.spec.name + ": its machine can't be renewed: " + renewed.problem);
   commands.emplace_back(Renew{hook.spec.id});
 }
 
-bool Control::ready(const Hook& hook) {
-  return !hook.begun.empty() || (!hook.waiting.empty() && hook.begun.size() < hook.spec.at_once);
+bool Control::has_runnable_call(const Hook& hook) {
+  return !hook.begun.empty() || (!hook.waiting.empty() && hook.begun.size() < hook.spec.max_concurrent_calls);
 }
 
-Control::Hook* Control::pick() {
+Control::Hook* Control::least_served_hook() {
   Hook* best = nullptr;
   Time least{};
   for (auto* hook : busy_) {
-    if (!ready(*hook)) continue;
+    if (!has_runnable_call(*hook)) continue;
     const auto had = busy_.size() == 1 ? Time::zero() : budget_.attained(hook->spec.id);
     if (best != nullptr && std::pair(had, hook->spec.id) >= std::pair(least, best->spec.id)) continue;
     best = hook;
@@ -319,38 +324,38 @@
 }
 
 void Control::dispatch(Time now) {
-  if (out_ != 0 || jobs_.empty() || !budget_.open(now)) return;
-  auto* hook = pick();
+  if (running_job_ != 0 || jobs_.empty() || !budget_.may_run(now)) return;
+  auto* hook = least_served_hook();
   if (hook == nullptr) return;
   Run run;
   run.hook = hook->spec.id;
   run.now = now;
-  const bool first = !hook->waiting.empty() && hook->begun.size() < hook->spec.at_once;
+  const bool first = !hook->waiting.empty() && hook->begun.size() < hook->spec.max_concurrent_calls;
   auto& list = first ? hook->waiting : hook->begun;
   run.job = list.front();
   list.pop_front();
   auto& job = jobs_.at(run.job);
   run.first = first;
   run.phase = job.phase;
-  run.slice = next_slice(hook->spec, job.use);
+  run.slice = next_slice(hook->spec, job.usage);
   if (first) {
     job.begun = true;
-    run.subject = job.phase == Phase::request ? owners_.at(job.owner).subject : std::move(job.subject);
+    run.subject = job.phase == Phase::request ? requests_.at(job.owner).subject : std::move(job.subject);
   }
-  out_ = run.job;
+  running_job_ = run.job;
   commands.emplace_back(std::move(run));
 }
 
 std::optional<Time> Control::due(Time now) const {
-  if (out_ != 0 || jobs_.empty()) return std::nullopt;
-  return budget_.due(now);
+  if (running_job_ != 0 || jobs_.empty()) return std::nullopt;
+  return budget_.next_available(now);
 }
 
 void Control::retire_if_done(HookId id) {
   const auto found = hooks_.find(id);
   if (found == hooks_.end()) return;
   const auto& hook = found->second;
-  if (hook.current || hook.chains > 0 || hook.jobs > 0) return;
+  if (hook.current || hook.open_chains > 0 || hook.jobs > 0) return;
   commands.emplace_back(Retire{id});
   budget_.forget(id);
   hooks_.erase(found);
@@ -370,8 +375,8 @@
   std::vector<Status> out;
   for (const auto& [id, hook] : hooks_) {
     if (hook.current)
-      out.push_back(
-          {hook.spec.name, hook.breaker.state(), hook.breaker.until(), hook.jobs, hook.memory, hook.counts});
+      out.push_back({hook.spec.name, hook.breaker.state(), hook.breaker.open_until(), hook.jobs, hook.memory,
+                     hook.counts});
   }
   std::ranges::sort(out, {}, &Status::name);
   return out;
--- a/src/hooks/machine.cpp
+++ b/src/hooks/machine.cpp
@@ -48,7 +48,7 @@
   Run run;
   run.phase = phase;
   run.first = true;
-  run.slice = std::max<Time>(10 * spec.time, std::chrono::milliseconds(100));
+  run.slice = std::max<Time>(10 * spec.cpu_limit, std::chrono::milliseconds(100));
   run.now = std::chrono::system_clock::now().time_since_epoch();
   run.subject.statement = std::make_shared<const std::string>("SELECT 1");
   run.subject.statement_size = run.subject.statement->size();
@@ -253,7 +253,7 @@
 }
 
 std::string Machine::dry_run() {
-  Store scratch(state_->spec.state);
+  Store scratch(state_->spec.store_limit);
   auto* const store = std::exchange(state_->store, &scratch);
   std::string problem;
   for (std::size_t phase = 0; phase < kPhases && problem.empty(); ++phase) {
--- a/src/hooks/runner.cpp
+++ b/src/hooks/runner.cpp
@@ -10,8 +10,8 @@
 void Runner::adopt(Loaded& loaded) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
-    auto& store = stores_.try_emplace(spec.name, spec.state).first->second;
-    store.bound(spec.state);
+    auto& store = stores_.try_emplace(spec.name, spec.store_limit).first->second;
+    store.bound(spec.store_limit);
     loaded.machines[i]->set_store(&store);
     loaded.machines[i]->set_names(words_);  // those that it was made with may be of an older version
     held_[spec.id] = {spec, std::move(loaded.machines[i])};
--- a/src/hooks/script_context.hpp
+++ b/src/hooks/script_context.hpp
@@ -24,7 +24,7 @@
   ScriptContext(const Spec& hook, const Words& initial_names)
       : spec(hook),
         names(std::make_shared<const Words>(initial_names)),
-        allocator(hook.memory, slice_timer) {}
+        allocator(hook.memory_limit, slice_timer) {}
   ScriptContext(const ScriptContext&) = delete;
   ScriptContext& operator=(const ScriptContext&) = delete;
 
--- a/src/hooks/spec.hpp
+++ b/src/hooks/spec.hpp
@@ -38,30 +38,31 @@
   std::string path, source, digest;  // the script's file, its text and the text's SHA-256
   std::array<bool, kPhases> phases{};
   std::int64_t order = 0;  // lower ones are called first; equal ones as they stand in the file
-  Time time = std::chrono::milliseconds(2);     // CPU time of one call
-  Time wait = std::chrono::milliseconds(50);    // from when a request comes to the hook until it leaves it
-  Time slice = std::chrono::microseconds(100);  // of the loop's time at once
-  Time every = std::chrono::seconds(1);         // phase timer
-  std::uint64_t instructions = 1'000'000;       // of one call; the machine counts them by the hundred
-  std::size_t memory = std::size_t{1} << 20;    // bytes, of all its calls together
-  std::size_t state = std::size_t{64} << 10;    // bytes, of what it remembers
-  std::size_t at_once = 8;                      // calls that have begun and not ended
-  bool refuse_on_failure = false;               // else a request passes as if the hook were not there
-  Time later = std::chrono::milliseconds(500);  // and for so long it is to stay away
+  Time cpu_limit = std::chrono::milliseconds(2);      // CPU time of one call
+  Time wait_timeout = std::chrono::milliseconds(50);  // from the begin of a call's waiting to its end
+  Time slice = std::chrono::microseconds(100);        // of the loop's time at once
+  Time timer_interval = std::chrono::seconds(1);      // phase timer
+  std::uint64_t instruction_limit = 1'000'000;        // of one call; counted by the hundred
+  std::size_t memory_limit = std::size_t{1} << 20;    // bytes, of all its calls together
+  std::size_t store_limit = std::size_t{64} << 10;    // bytes, of its state between calls
+  std::size_t max_concurrent_calls = 8;               // that have begun and not ended
+  bool reject_on_failure = false;                     // else the request goes on without the hook
+  Time retry_after = std::chrono::milliseconds(500);  // of that rejection
   Match match;
 };
 
-// Bounds of all hooks together, and of what is done with those that fail.
+// Limits of all hooks together, and the settings of their circuit breakers.
 struct Limits {
-  double share = 0.2;                          // of the loop's time, over `span`
-  Time burst = std::chrono::milliseconds(4);   // CPU time that may be saved up
-  Time turn = std::chrono::microseconds(300);  // CPU time within one turn of the loop
-  unsigned failures = 5;                       // in a row, or half of the last 32: the hook is taken out
-  Time pause = std::chrono::seconds(1);        // before it is tried again; doubles
-  Time most_pause = std::chrono::seconds(60);
-  unsigned trials = 3;              // calls that must go well before it is put back
-  std::size_t most_waiting = 4096;  // calls of one hook that wait; requests beyond take its failure's way
-  std::size_t most_told = 256;      // calls of phase answer that wait; more are dropped
+  double cpu_share = 0.2;                              // of the loop's time, of all hooks together
+  Time max_burst = std::chrono::milliseconds(4);       // CPU time that may be saved up
+  Time max_turn_cpu = std::chrono::microseconds(300);  // within one turn of the loop
+  // The circuit breaker opens after this number of failures in a row, or if half of the last 32 calls failed.
+  unsigned failure_threshold = 5;
+  Time open_duration = std::chrono::seconds(1);  // before the first trial; doubles
+  Time max_open_duration = std::chrono::seconds(60);
+  unsigned success_threshold = 3;  // trials that must succeed before the breaker closes
+  std::size_t max_queued = 4096;   // calls of one hook that wait; requests beyond are failures of the hook
+  std::size_t max_answer_calls = 256;  // calls of phase answer that wait; more are dropped
 };
 
 struct Set {
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -146,8 +146,8 @@
   EXPECT_EQ(fronts.mysql.value().users.at(0).name, "amina");
   EXPECT_EQ(fronts.directory.value().timeout, 1500ms);
   ASSERT_EQ(fronts.hooks.hooks.size(), 1U);
-  EXPECT_EQ(fronts.hooks.hooks[0].time, 3ms);
-  EXPECT_EQ(fronts.hooks.hooks[0].memory, 256U * 1024);
+  EXPECT_EQ(fronts.hooks.hooks[0].cpu_limit, 3ms);
+  EXPECT_EQ(fronts.hooks.hooks[0].memory_limit, 256U * 1024);
 }
 
 }  // namespace
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -29,8 +29,8 @@
   spec.id = 1;
   spec.name = "h";
   spec.phases = {true, answers, false};
-  spec.time = 1s;
-  spec.wait = 10s;
+  spec.cpu_limit = 1s;
+  spec.wait_timeout = 10s;
   spec.match.contains = "hooked";
   return {{}, {spec}};
 }
--- a/tests/hooks_test.cpp
+++ b/tests/hooks_test.cpp
@@ -23,36 +23,36 @@
 TEST(Breaker, TakesAHookOutAfterFailuresInARowAndPutsItBackAfterTrials) {
   const Limits limits;
   Breaker breaker(limits);
-  for (unsigned i = 1; i < limits.failures; ++i) EXPECT_FALSE(breaker.bad(1s));
+  for (unsigned i = 1; i < limits.failure_threshold; ++i) EXPECT_FALSE(breaker.on_failure(1s));
   EXPECT_TRUE(breaker.admit(1s));
-  EXPECT_TRUE(breaker.bad(1s));
+  EXPECT_TRUE(breaker.on_failure(1s));
   EXPECT_EQ(breaker.state(), Breaker::State::open);
   EXPECT_FALSE(breaker.admit(3s)) << "its machine is not made anew yet";
-  breaker.renewed(true, 1s);
+  breaker.on_machine_renewed(true, 1s);
   EXPECT_FALSE(breaker.admit(1999ms));
   EXPECT_TRUE(breaker.admit(2s));
   EXPECT_FALSE(breaker.admit(2s)) << "one trial at a time";
-  EXPECT_FALSE(breaker.good(2s));
-  breaker.void_trial();
-  for (unsigned i = 1; i < limits.trials; ++i) {
+  EXPECT_FALSE(breaker.on_success(2s));
+  breaker.abandon_trial();
+  for (unsigned i = 1; i < limits.success_threshold; ++i) {
     EXPECT_TRUE(breaker.admit(2s));
-    EXPECT_EQ(breaker.good(2s), i + 1 == limits.trials);
+    EXPECT_EQ(breaker.on_success(2s), i + 1 == limits.success_threshold);
   }
   EXPECT_EQ(breaker.state(), Breaker::State::closed);
 }
 
 TEST(Breaker, PausesGrowWhileTrialsFailUpToABound) {
   Limits limits;
-  limits.most_pause = 5s;
+  limits.max_open_duration = 5s;
   Breaker breaker(limits);
   Time now = 0s;
-  for (unsigned i = 0; i < limits.failures; ++i) (void)breaker.bad(now);
+  for (unsigned i = 0; i < limits.failure_threshold; ++i) (void)breaker.on_failure(now);
   for (const Time pause : {1s, 2s, 4s, 5s, 5s}) {
-    EXPECT_EQ(breaker.pause(), pause);
-    breaker.renewed(true, now);
+    EXPECT_EQ(breaker.open_duration(), pause);
+    breaker.on_machine_renewed(true, now);
     now += pause;
     ASSERT_TRUE(breaker.admit(now));
-    EXPECT_TRUE(breaker.bad(now));
+    EXPECT_TRUE(breaker.on_failure(now));
   }
 }
 
@@ -61,8 +61,8 @@
   Breaker half(limits), few(limits);
   bool opened = false;
   for (int i = 0; i < 64; ++i) {
-    opened = (i % 2 == 0 ? half.bad(1s) : half.good(1s)) || opened;
-    EXPECT_FALSE(i % 4 == 0 ? few.bad(1s) : few.good(1s));
+    opened = (i % 2 == 0 ? half.on_failure(1s) : half.on_success(1s)) || opened;
+    EXPECT_FALSE(i % 4 == 0 ? few.on_failure(1s) : few.on_success(1s));
   }
   EXPECT_TRUE(opened);
 }
@@ -71,32 +71,32 @@
 
 TEST(Budget, AllHooksTogetherGetTheirShareAndNoMore) {
   Limits limits;
-  limits.share = 0.1;
+  limits.cpu_share = 0.1;
   Budget budget;
-  budget.limit(limits);
+  budget.set_limits(limits);
   Time used{}, now = 100s;
   for (const Time end = now + 1s; now < end; now += 100us) {
     budget.begin_turn(now);
-    while (budget.open(now)) {
+    while (budget.may_run(now)) {
       budget.charge(now, 1, 100us);
       used += 100us;
     }
   }
   EXPECT_GE(used, 99ms);
-  EXPECT_LE(used, 100ms + limits.burst + 100us);
-  EXPECT_GT(budget.due(now), now);
-  EXPECT_LE(budget.due(now), now + 2ms);
+  EXPECT_LE(used, 100ms + limits.max_burst + 100us);
+  EXPECT_GT(budget.next_available(now), now);
+  EXPECT_LE(budget.next_available(now), now + 2ms);
 }
 
 TEST(Budget, OneTurnIsBounded) {
   Budget budget;
-  budget.limit({});
+  budget.set_limits({});
   budget.begin_turn(1s);
   int slices = 0;
-  for (; budget.open(1s); ++slices) budget.charge(1s, 1, 100us);
+  for (; budget.may_run(1s); ++slices) budget.charge(1s, 1, 100us);
   EXPECT_EQ(slices, 3);
   budget.begin_turn(1s + 1us);
-  EXPECT_TRUE(budget.open(1s + 1us));
+  EXPECT_TRUE(budget.may_run(1s + 1us));
 }
 
 // ---- chain
@@ -105,12 +105,12 @@
   Chain chain({1, 2, 3});
   Subject subject;
   subject.ram = 1;
-  chain.took({5ms, 10.0, {}, {}, {"a", "b"}}, subject);
+  chain.apply({5ms, 10.0, {}, {}, {"a", "b"}}, subject);
   EXPECT_EQ(chain.labelled_by(), 1U);
-  chain.took({{}, 20.0, true, 100ms, {"b", "c"}}, subject);
+  chain.apply({{}, 20.0, true, 100ms, {"b", "c"}}, subject);
   EXPECT_FALSE(chain.next());
-  EXPECT_EQ(chain.refused(), 100ms);
-  EXPECT_EQ(chain.refused_by(), 2U);
+  EXPECT_EQ(chain.retry_after(), 100ms);
+  EXPECT_EQ(chain.rejected_by(), 2U);
   EXPECT_EQ(subject.cpu, 5ms);
   EXPECT_EQ(subject.ram, 20);
   EXPECT_EQ(subject.tags, (std::vector<std::string>{"a", "b", "c"}));
@@ -119,25 +119,25 @@
 TEST(Chain, AHookThatFailsSaysNothingAndIsBlamed) {
   Chain chain({1, 2});
   auto strict = spec(2);
-  strict.refuse_on_failure = true;
-  chain.failed(spec(1), Failure::error);
+  strict.reject_on_failure = true;
+  chain.on_failure(spec(1), Failure::error);
   EXPECT_EQ(chain.next(), 2U);
-  chain.failed(strict, Failure::time);
-  EXPECT_EQ(chain.refused(), strict.later);
-  ASSERT_EQ(chain.blamed().size(), 2U);
-  EXPECT_EQ(chain.blamed()[1].failure, Failure::time);
+  chain.on_failure(strict, Failure::time);
+  EXPECT_EQ(chain.retry_after(), strict.retry_after);
+  ASSERT_EQ(chain.failures().size(), 2U);
+  EXPECT_EQ(chain.failures()[1].failure, Failure::time);
 }
 
 TEST(Chain, MatchesLookAtWhatHooksAreShown) {
   Match match;
   Subject subject;
-  EXPECT_TRUE(fits(match, subject, ""));
+  EXPECT_TRUE(matches(match, subject, ""));
   match.classes = {1};
-  EXPECT_FALSE(fits(match, subject, ""));
+  EXPECT_FALSE(matches(match, subject, ""));
   subject.cls = 1;
   match.contains = "archive_";
-  EXPECT_TRUE(fits(match, subject, "SELECT 1 FROM archive_3.x"));
-  EXPECT_FALSE(fits(match, subject, "SELECT 1"));
+  EXPECT_TRUE(matches(match, subject, "SELECT 1 FROM archive_3.x"));
+  EXPECT_FALSE(matches(match, subject, "SELECT 1"));
 }
 
 // ---- control, with a machine of the test's own
@@ -242,8 +242,8 @@
 // A call is cut by its own time, not by that of others: all at once, the first ones are found out.
 TEST(Control, AFloodInsideARunawayHookIsLetOutWhenItIsTakenOut) {
   auto strict = spec(1);
-  strict.refuse_on_failure = true;
-  strict.wait = 10s;
+  strict.reject_on_failure = true;
+  strict.wait_timeout = 10s;
   Controlled c({strict, spec(2, "quick")});
   c.scripts[1] = Controlled::endless;
   for (Owner owner = 1; owner <= 1000; ++owner) c.enter(owner);
@@ -261,7 +261,7 @@
   wild.match.classes = {1};
   quick.match.classes = {0};
   Limits limits;
-  limits.failures = 1000;  // it stays in
+  limits.failure_threshold = 1000;  // it stays in
   Controlled c({wild, quick}, limits);
   c.scripts[1] = Controlled::endless;
   for (Owner owner = 1; owner <= 50; ++owner) c.enter(owner, 1);
@@ -280,8 +280,8 @@
 // Not to get its turn is no fault of the hook's.
 TEST(Control, WhoWaitsTooLongPassesAndTheHookIsNotBlamed) {
   auto slow = spec(1);
-  slow.time = 1s;
-  slow.at_once = 1;
+  slow.cpu_limit = 1s;
+  slow.max_concurrent_calls = 1;
   Controlled c({slow});
   c.scripts[1] = Controlled::endless;
   for (Owner owner = 1; owner <= 10; ++owner) c.enter(owner);
@@ -294,7 +294,7 @@
 
 TEST(Control, ANewSetIsUsedAtOnceAndWhoIsInsideFinishesWithTheOldOne) {
   auto first = spec(1), second = spec(2, "second");
-  first.time = second.time = 1s;
+  first.cpu_limit = second.cpu_limit = 1s;
   Controlled c({first, second});
   bool held = true;
   std::vector<HookId> called;
@@ -335,7 +335,7 @@
 TEST(Control, CallsOfPhaseAnswerAreBoundedAndMoreAreDropped) {
   auto watcher = spec(1);
   watcher.phases = {false, true, false};
-  watcher.time = 1s;
+  watcher.cpu_limit = 1s;
   Controlled c({watcher});
   c.scripts[1] = Controlled::endless;
   for (int i = 0; i < 1000; ++i) c.control.told(c.now, {}, "");
@@ -345,7 +345,7 @@
 
 TEST(Control, ARequestThatLeavesTakesItsCallWithIt) {
   auto slow = spec(1);
-  slow.time = 1s;
+  slow.cpu_limit = 1s;
   Controlled c({slow});
   c.scripts[1] = Controlled::endless;
   c.control.enter(c.now, 1, {}, "SELECT 1");
@@ -361,8 +361,8 @@
 TEST(Control, TimersComeEverySoOftenAndNeverTwiceAtOnce) {
   auto timer = spec(1);
   timer.phases = {false, false, true};
-  timer.every = 10ms;
-  timer.time = timer.wait = 10s;
+  timer.timer_interval = 10ms;
+  timer.cpu_limit = timer.wait_timeout = 10s;
   Controlled c({timer});
   int calls = 0;
   c.scripts[1] = [&](const Slice& run, Ran& ran) {
@@ -401,7 +401,7 @@
 struct Scripted {
   explicit Scripted(const std::string& source, std::size_t memory = 1 << 20) : store(16 << 10) {
     described.source = source;
-    described.memory = memory;
+    described.memory_limit = memory;
     machine = Machine::make(described, kWords, 1s, problem);
     if (machine) machine->set_store(&store);
   }
--- a/tests/net/hooks_test.cpp
+++ b/tests/net/hooks_test.cpp
@@ -93,11 +93,11 @@
              {{"breaker", {{"failures", 3}, {"pause", "20ms"}, {"most_pause", "40ms"}}}});
   for (int i = 0; i < 3; ++i) EXPECT_EQ(s.ask("wild")["error"]["data"]["later"], 30);
   s.broker.program->said("hook h: it took too long");
-  s.broker.program->said("hook h is out for 0.02 s");
+  s.broker.program->said("hook h: circuit breaker open for 0.02 s");
   EXPECT_EQ(s.ask("SELECT 1")["error"]["code"], -32066) << "while it is out, its failure's way is gone";
   // It is tried again, and is back: nothing is wrong with tame statements.
   for (json answer; !answer.contains("result");) answer = s.ask("SELECT 1");
-  s.broker.program->said("hook h is on trial");
+  s.broker.program->said("hook h: circuit breaker half-open");
   while (s.ask("SELECT 1").contains("error")) {
   }
   s.rewrite("function on_request(r) return {tags = {'mended'}} end");
@@ -166,8 +166,8 @@
     function on_answer(a) log("end " .. a.kind .. " " .. a.class .. " " .. math.tointeger(a.attempts)) end)",
              {{"phases", {"answer", "timer"}}, {"every", "10ms"}});
   s.ask("SELECT 1");
-  s.broker.program->said("hook h says: end served lookup 1");
-  s.broker.program->said("hook h says: timer");
+  s.broker.program->said("hook h logs: end served lookup 1");
+  s.broker.program->said("hook h logs: timer");
 }
 
 // ---- the command line
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -559,7 +559,7 @@
   spec.id = 1;
   spec.name = "h";
   spec.phases = {true, false, false};
-  spec.wait = spec.time = 10s;
+  spec.wait_timeout = spec.cpu_limit = 10s;
   spec.match.classes = {1};
   Running r({{}, {spec}});
   r.ask(1, 0, 1);
@@ -603,7 +603,7 @@
   spec.id = 1;
   spec.name = "h";
   spec.phases = {false, true, false};
-  spec.wait = 10s;
+  spec.wait_timeout = 10s;
   Running r({{}, {spec}});
   r.ask(1, 0, 1, 100ms);
   r.pass(200ms);
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -44,7 +44,7 @@
   all.name = "all";
   all.phases = {true, false, true};
   all.match = {};
-  all.refuse_on_failure = true;
+  all.reject_on_failure = true;
   return {{}, {gate, all}};
 }
 
