--- a/benchmarks/scale/hollow_fleet.hpp
+++ b/benchmarks/scale/hollow_fleet.hpp
@@ -64,7 +64,7 @@
   }
   // The call that the loop's timer makes for what has happened.
   void call(Time now) {
-    if (reducer_.next_call()) take(now, core::Tick{});
+    if (reducer_.next_scheduler_call()) take(now, core::Tick{});
   }
   void hear(Time now) {
     for (auto& datagram : std::exchange(mail, {})) {
--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -104,7 +104,7 @@
   const auto share = client_share(config_.sockets);
   front_ = std::make_unique<platform::Front>(
       loop, listen(config_.listen, "listen"), config_.names, fronts_.mysql ? share / 2 : share, handles_,
-      [this] { return reducer_.lifecycle().green(); }, poster());
+      [this] { return reducer_.lifecycle().is_serving(); }, poster());
   runner_.adopt(loaded);
   if (fronts_.directory)
     directory_ = std::make_unique<directory::Ldap>(loop, *fronts_.directory, config_.names);
@@ -137,7 +137,7 @@
   interrupt_.set<Broker, &Broker::on_signal>(this);
   hangup_.set<Broker, &Broker::on_hangup>(this);
   counters_asked_.set<Broker, &Broker::on_counters_asked>(this);
-  reducer_.tell_all(log::enabled(log::Level::debug));
+  reducer_.enable_tracing(log::enabled(log::Level::debug));
 }
 
 void Broker::run() {
@@ -253,8 +253,9 @@
     longest_hooks_ = std::max(longest_hooks_, turn_hooks_);
   }
   // What hooks have still to do waits for the next turn, after the sockets.
-  if (const auto go_on = reducer_.hooks_due()) hooks_turn_.start(std::max(0.0, seconds(*go_on - now())), 0);
-  const auto due = reducer_.next_call();
+  if (const auto go_on = reducer_.next_hook_dispatch())
+    hooks_turn_.start(std::max(0.0, seconds(*go_on - now())), 0);
+  const auto due = reducer_.next_scheduler_call();
   if (!due) return;
   call_.start(std::max(0.0, seconds(*due - now())) + 1e-5, 0);
 }
@@ -304,9 +305,9 @@
   const auto label = "version " + control::to_text(version.place);
   try {
     auto document = config::parse_document(version.text, label, config_.names.class_names);
-    const auto held = reducer_.tenants_held();
+    const auto referenced = reducer_.referenced_tenants();
     auto overlay = config::overlay(start_, {config_.settings, config_.names, config_.changelog}, document,
-                                   [&](std::uint32_t slot) { return held.contains(slot); });
+                                   [&](std::uint32_t slot) { return referenced.contains(slot); });
     offered.settings = std::move(overlay.settings);
     offered.changelog = std::move(document.changelog).value_or("");
     offered.names = std::make_shared<const config::Names>(std::move(overlay.names));
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -1,4 +1,6 @@
-// What happens to the core, and what it asks for. Plain values: no sockets, no JSON, no HTTP, no SQL.
+// The core's events (inputs) and effects (outputs). Plain values: no sockets, no JSON, no HTTP, no SQL.
+//
+// Times are of the core's steady clock, in nanoseconds, where nothing else is said.
 #pragma once
 
 #include <chrono>
@@ -21,7 +23,7 @@
 using policy::EngineId;
 using policy::RequestId;
 using Time = std::chrono::nanoseconds;
-using ClientHandle = std::uint64_t;  // a front's handle for one request of one client
+using ClientHandle = std::uint64_t;  // a front's name for one request of one client
 
 struct AttemptId {
   RequestId request = 0;
@@ -31,82 +33,81 @@
 
 enum class FrontKind : std::uint8_t { platform, mysql };
 
-// A request as a front has understood it. Bodies are opaque here.
+// A request as parsed by a front. Its body is opaque here.
 struct Submission {
   ClientHandle client = 0;
   FrontKind front = FrontKind::platform;
   ClassIndex cls = 0;
   std::uint32_t tenant = 0;
   std::uint64_t ordering_key = 0;  // 0: none
-  Time time_limit{};               // the client waits for so long
+  Time time_limit{};               // how long the client waits, from when the request was received
   std::optional<Time> estimated_work;
   double estimated_memory_mb = 0;
   std::int64_t data_group = 0;
   bool is_client_retry = false;
-  std::string ticket;           // the client's id of the request
-  std::string idempotency_key;  // its idempotency key, or none
+  std::string ticket;           // the client's id of the request, unique among those open; or empty
+  std::string idempotency_key;  // or empty
   std::string body;
   std::string parameters;
 };
 
 struct EndpointRecord {
-  policy::Endpoint endpoint;  // its last_start on the core's clock, which sets it
+  policy::Endpoint endpoint;  // started_at is set by the core
   std::string address;
-  Time started_unix{};  // Unix time of a late start, as told; 0: long ago
+  Time started_unix{};  // Unix time, as listed; 0: long ago
 };
 
 enum class AttemptEnd {
   served,
   error,           // it may have run
   rejected,        // it never ran
-  expired,         // it never ran: over before it began
+  expired,         // it never ran: nothing was transmitted
   connect_failed,  // it never ran
   reset,           // the connection broke: it may have run
-  cancelled        // given up, and the engine has been told as far as it could be
+  cancelled        // the engine has been notified, as far as it could be
 };
 
 // ---- events
 
 struct ListenersReady {};  // the fronts accept connections
 struct EndpointUpdate {
-  bool full = false;
+  bool full = false;  // the complete list; else changes only
   std::vector<EndpointRecord> endpoints;
-  bool from_change_log = false;  // from the change log itself, not from what was known at the start
+  bool from_change_log = false;  // else from the list cached before the start
 };
-struct EndpointListPolled {  // the change log has nothing newer, or cannot be asked
-  bool answered = false;     // it answered, and what it told has come before this
+struct EndpointListPolled {  // the change log has nothing newer, or can't be reached
+  bool answered = false;     // its updates have come before this event
 };
 struct RequestReceived {
   Submission submission;
-  // The earliest moment at which it may have come, of the core's clock; 0: when the event is heard. The
-  // client's time runs from there.
+  // The earliest time at which it may have been received; 0: now. Its time limit counts from there.
   Time since{};
 };
 struct ProcessStalled {  // the process did not run for a while
-  Time since{};          // its last look at its sockets before
+  Time since{};          // when its sockets were last polled before
   Time length{};
 };
-struct ClientCancelled {  // the client has stopped waiting
+struct ClientCancelled {  // no answer is owed any more
   ClientHandle client = 0;
 };
-struct ClientHalfClosed {  // the client writes no more, and may be gone: nothing further is sent on for it
+struct ClientHalfClosed {  // the client writes no more and may be gone: no further attempt is made for it
   ClientHandle client = 0;
 };
-struct AttemptConnected {  // a connection is free for it; nothing has been written
+struct AttemptConnected {  // it has a connection; nothing has been written
   AttemptId id;
 };
-struct AttemptProgressed {  // its engine says that it goes on
+struct AttemptProgressed {  // its engine reports that it is running
   AttemptId id;
 };
 struct AttemptEnded {
   AttemptId id;
   AttemptEnd end = AttemptEnd::error;
-  std::string body;   // the whole answer, if served; else what the engine said, if anything
-  std::string shape;  // beside the body, where an engine tells one; opaque too
-  std::optional<Time> work;
-  double memory_mb = 0;
-  std::vector<double> load_report;
-  Time may_run_for{};  // nothing proves that it is over at its engine, where it may run on for so long
+  std::string body;                 // the complete answer, if served; else the engine's message, if any
+  std::string shape;                // of the answer, where an engine tells it; opaque too
+  std::optional<Time> work;         // CPU time, as reported
+  double memory_mb = 0;             // as reported; 0: not reported
+  std::vector<double> load_report;  // of the engine, in the order of the settings' fields
+  Time may_run_for{};               // at its engine, where nothing proves that it has ended; 0: it has
 };
 struct HealthCheckEnded {
   EngineId engine = 0;
@@ -118,25 +119,23 @@
   std::string bytes;
 };
 struct ShutdownRequested {
-  Time since{};  // the earliest moment at which it may have come; 0: when the event is heard
+  Time since{};  // the earliest time at which the signal may have come; 0: now
 };
 struct ReloadRequested {};
-struct ConfigurationRead {  // again, because it was asked for
-  std::string problem;      // why it can't be used; the old one stays then
+struct ConfigurationRead {  // in answer to ReadConfiguration
+  std::string problem;      // why it can't be used, one reason a line; empty: it can
   std::string changelog;
-  std::vector<std::string> fixed;   // fields that have changed and need a restart
-  std::optional<hooks::Set> hooks;  // loaded and tried
-};
-// A version of the settings, whole. Taken up in this one event or not at all, in every phase of the program:
-// whichever decision comes after it, in the reducer or in the module, goes by the new aims, worths, shares
-// and quotas, about requests taken before as well. Those keep what they were taken with: their deadline,
-// their tenant (also one that is no longer in the settings) and what their class allows, which no version can
-// change.
+  std::vector<std::string> fixed;   // changed settings that need a restart
+  std::optional<hooks::Set> hooks;  // loaded and tested
+};
+// A complete version of the settings, applied within this one event or not at all. From the next event on all
+// decisions go by it. Requests received before keep their deadline, their tenant, even if it is removed, and
+// what their class allows, which no version can change.
 struct SettingsOffered {
   std::uint64_t epoch = 0, number = 0;
   policy::Settings settings;
-  std::string changelog;              // empty: that of the platform's own configuration
-  std::shared_ptr<const void> names;  // whoever offers it knows what it is
+  std::string changelog;              // its address; empty: that of the configuration file
+  std::shared_ptr<const void> names;  // opaque; handed back in SettingsApplied
 };
 struct HookRan {
   hooks::Ran ran;
@@ -144,9 +143,9 @@
 struct HookRenewed {
   hooks::Renewed renewed;
 };
-struct HooksTurn {};  // a turn of the loop in which calls that wait may go on
+struct HooksTurn {};  // an iteration of the event loop in which waiting hook calls may continue
 struct Tick {
-  bool unwritten = false;  // a front still has something to write, or a connection to close
+  bool unwritten = false;  // a front has still to write, or to close a connection
 };
 
 using Event =
@@ -158,26 +157,26 @@
 // ---- effects
 
 enum class AnswerKind { served, rejected, failed, timed_out };
-struct Answer {  // the one final answer
+struct Answer {  // the one final answer to a request
   ClientHandle client = 0;
   AnswerKind kind = AnswerKind::failed;
-  Time retry_after{};  // refused: how long to stay away
-  std::string body;    // served: the answer; else what an engine said last, if anything
-  std::string shape;   // served: as the engine told it
+  Time retry_after{};  // rejected: how long the client should stay away
+  std::string body;    // served: the answer; else an engine's last message, if any
+  std::string shape;   // served: as in AttemptEnded
 };
-struct StartAttempt {  // find a connection, then report AttemptReady
+struct StartAttempt {  // get a connection, then post AttemptConnected or AttemptEnded
   AttemptId id;
   EngineId engine = 0;
 };
-struct Transmit {  // the first byte may leave now
+struct Transmit {  // on the attempt's connection; its first byte may leave now
   AttemptId id;
   ClassIndex cls = 0;
-  Time wait{};
-  double memory_mb = 0;
+  Time wait{};           // until the attempt expires
+  double memory_mb = 0;  // to be reserved
   std::uint8_t priority = 1;
   std::string ticket, nonce, body, parameters;
 };
-struct CancelAttempt {  // ends with an AttemptEnded all the same
+struct CancelAttempt {  // it still ends with an AttemptEnded
   AttemptId id;
 };
 struct Reprioritize {
@@ -191,21 +190,21 @@
   std::optional<std::uint32_t> to;
   std::string bytes;
 };
-struct EndpointChanged {  // new, at another address, or no longer to be used
+struct EndpointChanged {  // added, moved to another address, or removed
   EngineId engine = 0;
   std::string address;
-  bool usable = true;     // its connections are of use
-  bool accepting = true;  // it takes new work
+  bool usable = true;     // its connections may be used
+  bool accepting = true;  // it accepts new attempts
 };
 struct Log {
   std::string text;
   log::Level level = log::Level::info;
 };
-struct ReadConfiguration {};  // whole, then report ConfigurationRead
-struct FollowChangeLog {      // there from now on; the number of the last event carries on
+struct ReadConfiguration {};  // then post ConfigurationRead
+struct FollowChangeLog {      // watch it at this address, from the last event on
   std::string address;
 };
-struct SettingsApplied {  // names, hooks' words and the change log are those of it from here on
+struct SettingsApplied {  // its names and change log are in force from here on
   std::uint64_t epoch = 0, number = 0;
   policy::Settings settings;
   std::string changelog;
@@ -215,11 +214,11 @@
   std::uint64_t epoch = 0, number = 0;
   std::string problem;
 };
-using RunHook = hooks::Run;  // then report HookRan, before anything else of a hook
+using RunHook = hooks::Run;  // then post HookRan, before any other hook event
 using DropHook = hooks::Drop;
-using RenewHook = hooks::Renew;  // then report HookRenewed
+using RenewHook = hooks::Renew;  // then post HookRenewed
 using RetireHook = hooks::Retire;
-struct CloseClientConnections {};  // each client's connection, once nothing on it is owed
+struct CloseClientConnections {};  // each one once all of its requests are answered
 struct Exit {};
 
 using Effect =
--- a/src/core/lifecycle.hpp
+++ b/src/core/lifecycle.hpp
@@ -26,62 +26,69 @@
   return "?";
 }
 
-// starting -> serving once the fronts listen and an engine is known; any of both -> draining on a request to
-// stop; draining -> stopping once clients have had time to turn away and nothing taken is unanswered;
-// stopping -> exited once all that is left has been written.
+// starting -> serving: the fronts listen and a ready engine is known.
+// starting, serving -> draining: a shutdown is requested. New requests are still served.
+// draining -> stopping: clients have had time to see it, and every request is answered.
+// stopping -> exited: everything is written, or kFlushTimeout has passed.
 class Lifecycle {
  public:
-  // After the request to stop, connections and requests go on coming for 0.7 s at the most.
-  static constexpr Time kLinger = std::chrono::milliseconds(800);
-  // The platform kills the program no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s
-  // after the request to stop. What is not answered by then is given up so long before that clients hear of
-  // it, and ask elsewhere.
+  // After a shutdown request, new connections and requests may still come for 0.7 s.
+  static constexpr Time kMinDrain = std::chrono::milliseconds(800);
+  // The platform kills the program after the longest deadline, counted as at most kMaxDeadline, and
+  // kKillGrace.
   static constexpr Time kMaxDeadline = std::chrono::seconds(3);
-  static constexpr Time kKill = std::chrono::milliseconds(700), kBeforeKill = std::chrono::milliseconds(400);
-  // What is left to write, and what engines still have to be told, gets this long.
-  static constexpr Time kFlush = std::chrono::milliseconds(300);
+  static constexpr Time kKillGrace = std::chrono::milliseconds(700);
+  // Unanswered requests are given up so long before, for clients to hear of it and retry elsewhere.
+  static constexpr Time kKillMargin = std::chrono::milliseconds(400);
+  static constexpr Time kFlushTimeout = std::chrono::milliseconds(300);
 
-  // `deadline`: the longest of all classes, as the platform's own configuration has them: its kill goes by
-  // them.
-  explicit Lifecycle(Time deadline = kMaxDeadline) : most_drain_(drain_for(deadline)) {}
+  // `longest_deadline`: of all classes in the configuration file, which the platform's kill goes by.
+  explicit Lifecycle(Time longest_deadline = kMaxDeadline) : max_drain_(max_drain_for(longest_deadline)) {}
 
-  void listening() { listening_ = true; }
-  void fleet_known() { fleet_known_ = true; }
-  // `deadline`: the longest that counts by now. A version of the settings may have made it shorter; one that
-  // makes it longer does not move the kill. What comes into force later moves nothing any more.
-  void stop(Time now, Time deadline = kMaxDeadline) {
+  void listeners_ready() { listening_ = true; }
+  void engine_ready() { engine_known_ = true; }
+
+  // `longest_deadline`: of all classes and unanswered requests now. A version of the settings can't put off
+  // the platform's kill: one that made deadlines longer has no effect here.
+  void request_shutdown(Time requested_at, Time longest_deadline = kMaxDeadline) {
     if (phase_ != Phase::starting && phase_ != Phase::serving) return;
-    most_drain_ = std::min(most_drain_, drain_for(deadline));
+    max_drain_ = std::min(max_drain_, max_drain_for(longest_deadline));
     phase_ = Phase::draining;
-    since_ = now;
+    phase_since_ = requested_at;
   }
-  // Moves on as far as what is unanswered (`owed`) and unwritten allows. True if the phase has changed.
-  bool advance(Time now, bool owed, bool unwritten) {
+
+  // Moves on by one phase at most. `unanswered`: requests have no answer; `unwritten`: bytes or cancellations
+  // have still to be written. True if the phase has changed.
+  bool advance(Time now, bool unanswered, bool unwritten) {
     const Phase before = phase_;
-    if (phase_ == Phase::starting && listening_ && fleet_known_) phase_ = Phase::serving;
-    if (phase_ == Phase::draining && !owed && now >= since_ + kLinger) {
+    if (phase_ == Phase::starting && listening_ && engine_known_) phase_ = Phase::serving;
+    if (phase_ == Phase::draining && !unanswered && now >= phase_since_ + kMinDrain) {
       phase_ = Phase::stopping;
-      since_ = now;
+      phase_since_ = now;
     }
-    // Not in the step in which it began to stop: what there is to write and to close shows only after that.
-    if (before == Phase::stopping && (!unwritten || now >= since_ + kFlush)) phase_ = Phase::exited;
+    // Not in the step that began to stop: what has to be written and closed shows only after it.
+    if (before == Phase::stopping && (!unwritten || now >= phase_since_ + kFlushTimeout))
+      phase_ = Phase::exited;
     return phase_ != before;
   }
 
   [[nodiscard]] Phase phase() const { return phase_; }
-  [[nodiscard]] bool overdue(Time now) const {
-    return phase_ == Phase::draining && now >= since_ + most_drain_;
+  // Unanswered requests are to be given up now.
+  [[nodiscard]] bool drain_expired(Time now) const {
+    return phase_ == Phase::draining && now >= phase_since_ + max_drain_;
   }
-  [[nodiscard]] bool green() const { return phase_ == Phase::serving; }
+  [[nodiscard]] bool is_serving() const { return phase_ == Phase::serving; }
 
  private:
-  static constexpr Time drain_for(Time deadline) {
-    return std::max(std::min(deadline, kMaxDeadline) + kKill - kBeforeKill, kLinger);
+  static constexpr Time max_drain_for(Time longest_deadline) {
+    return std::max(std::min(longest_deadline, kMaxDeadline) + kKillGrace - kKillMargin, kMinDrain);
   }
 
   Phase phase_ = Phase::starting;
-  bool listening_ = false, fleet_known_ = false;
-  Time most_drain_, since_{};
+  bool listening_ = false;
+  bool engine_known_ = false;
+  Time max_drain_;
+  Time phase_since_{};
 };
 
 }  // namespace bellstair::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -33,13 +33,15 @@
   context_.begin(now, effects);
   std::visit([this](auto& alternative) { on(alternative); }, event);
   settle_hooks();
-  if (const auto due = next_call(); due && now >= *due) {
+  if (const auto due = next_scheduler_call(); due && now >= *due) {
     call_scheduler();
     settle_hooks();
   }
 }
 
-std::optional<Time> Reducer::next_call() const { return scheduler_.next_call(settings_.min_call_interval); }
+std::optional<Time> Reducer::next_scheduler_call() const {
+  return scheduler_.next_call(settings_.min_call_interval);
+}
 
 void Reducer::call_scheduler() {
   for (auto& action : scheduler_.run(context_.now(), requests_))
@@ -67,7 +69,7 @@
   requests_.erase_if_complete(passed.owner);
 }
 
-std::unordered_set<std::uint32_t> Reducer::tenants_held() const {
+std::unordered_set<std::uint32_t> Reducer::referenced_tenants() const {
   auto tenants = hook_stage_.referenced_tenants();
   for (const auto& [id, request] : requests_) tenants.insert(request.submission.tenant);
   return tenants;
@@ -85,7 +87,7 @@
 
 void Reducer::on(const EndpointListPolled& polled) {
   if (polled.answered) endpoints_.change_log_answered();
-  if (endpoints_.any_ready()) lifecycle_.fleet_known();
+  if (endpoints_.any_ready()) lifecycle_.engine_ready();
 }
 
 void Reducer::on(HealthCheckEnded& ended) { scheduler_.notify(health_checks_.ended(ended, context_.now())); }
@@ -191,7 +193,7 @@
     last_key_removal_ = now;
     guard_.remove_idle_keys(now);
   }
-  if (lifecycle_.overdue(now)) give_up_all();
+  if (lifecycle_.drain_expired(now)) give_up_all();
   advance_lifecycle(tick.unwritten);
 }
 
@@ -223,7 +225,8 @@
     if (!request.answered) longest = std::max(longest, request.deadline - now);
   }
   // The platform counts from its signal, not from when that was read.
-  lifecycle_.stop(requested.since == Time::zero() ? now : std::min(requested.since, now), longest);
+  lifecycle_.request_shutdown(requested.since == Time::zero() ? now : std::min(requested.since, now),
+                              longest);
   log_phase();
 }
 
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -43,22 +43,22 @@
 
   [[nodiscard]] const Lifecycle& lifecycle() const { return lifecycle_; }
   // When an event, of any kind, is needed for the scheduler to be called; none: it has been told everything.
-  [[nodiscard]] std::optional<Time> next_call() const;
+  [[nodiscard]] std::optional<Time> next_scheduler_call() const;
   // When a HooksTurn is needed for hook calls that wait; none: no call waits.
-  [[nodiscard]] std::optional<Time> hooks_due() const { return hook_stage_.next_dispatch(); }
-  [[nodiscard]] std::vector<hooks::Status> hooks() const { return hook_stage_.status(); }
+  [[nodiscard]] std::optional<Time> next_hook_dispatch() const { return hook_stage_.next_dispatch(); }
+  [[nodiscard]] std::vector<hooks::Status> hook_status() const { return hook_stage_.status(); }
   // Requests without their final answer.
-  [[nodiscard]] std::size_t owed() const { return requests_.unanswered(); }
+  [[nodiscard]] std::size_t unanswered_requests() const { return requests_.unanswered(); }
   // The same, and those whose attempts have still to end.
-  [[nodiscard]] std::size_t held() const { return requests_.size(); }
+  [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
   [[nodiscard]] const Counters& counters() const { return context_.counters(); }
   // Log lines of level "debug" on each request.
-  void tell_all(bool enabled) { context_.enable_tracing(enabled); }
+  void enable_tracing(bool enabled) { context_.enable_tracing(enabled); }
   // Positions in the settings of tenants that requests or hooks refer to.
-  [[nodiscard]] std::unordered_set<std::uint32_t> tenants_held() const;
+  [[nodiscard]] std::unordered_set<std::uint32_t> referenced_tenants() const;
 
  private:
-  void on(const ListenersReady&) { lifecycle_.listening(); }
+  void on(const ListenersReady&) { lifecycle_.listeners_ready(); }
   void on(EndpointUpdate& update);
   void on(const EndpointListPolled& polled);
   void on(RequestReceived& received);
--- a/src/core/wheel.hpp
+++ b/src/core/wheel.hpp
@@ -1,4 +1,4 @@
-// A hashed timer wheel of coarse ticks. Arming costs O(1); a tick looks at one slot only.
+// A hashed timer wheel with coarse ticks: arming is O(1), a tick visits one slot.
 #pragma once
 
 #include <algorithm>
@@ -13,41 +13,32 @@
 
 using Time = std::chrono::nanoseconds;
 
-// Timers can't be taken back: whoever is called checks whether it is still of interest.
+// Timers can't be cancelled: `fire` checks whether its key still matters.
 template <class Key>
 class TimerWheel {
  public:
   explicit TimerWheel(Time tick) : tick_(tick) {}
 
-  // Due in the first advance() whose time is `at` or later, within a tick. What is past is due in the next.
+  // Fires in the first advance() at or after `at`, rounded up to a tick; if that is past, in the next one.
   void arm(Time at, Key key) {
-    const auto due = std::max(at.count() / tick_.count() + (at.count() % tick_.count() != 0 ? 1 : 0), hand_);
+    const bool between_ticks = at.count() % tick_.count() != 0;
+    const auto due = std::max(at.count() / tick_.count() + (between_ticks ? 1 : 0), next_tick_);
     slots_[static_cast<std::size_t>(due) % kSlots].push_back({due, std::move(key)});
     ++armed_;
   }
 
-  // Calls `fire(key)` for all that is due at `now`; `fire` may arm further timers.
+  // Calls `fire(key)` for each timer due at `now`, once. `fire` may arm timers.
   template <class Fire>
   void advance(Time now, Fire fire) {
     const auto target = now.count() / tick_.count();
-    if (target < hand_) return;
-    // After a long sleep one turn round visits every slot; entries are compared with the target.
-    const auto from = std::max(hand_, target - kTurn + 1);
-    hand_ = target + 1;
-    for (auto at = from; at <= target; ++at) {
-      auto& slot = slots_[static_cast<std::size_t>(at) % kSlots];
+    if (target < next_tick_) return;
+    // After a long pause one revolution visits every slot: entries are compared with the target.
+    const auto first = std::max(next_tick_, target - kRevolution + 1);
+    next_tick_ = target + 1;
+    for (auto tick = first; tick <= target; ++tick) {
+      auto& slot = slots_[static_cast<std::size_t>(tick) % kSlots];
       if (slot.empty()) continue;
-      due_.clear();
-      std::size_t kept = 0;
-      for (auto& entry : slot) {
-        if (entry.first <= target) {
-          due_.push_back(std::move(entry.second));
-        } else {
-          if (&slot[kept] != &entry) slot[kept] = std::move(entry);
-          ++kept;
-        }
-      }
-      slot.resize(kept);
+      take_due(slot, target);
       armed_ -= due_.size();
       for (std::size_t i = 0; i < due_.size(); ++i) fire(due_[i]);
     }
@@ -56,12 +47,33 @@
   [[nodiscard]] std::size_t armed() const { return armed_; }
 
  private:
+  struct Entry {
+    std::int64_t tick = 0;
+    Key key;
+  };
+  using Slot = std::vector<Entry>;
   static constexpr std::size_t kSlots = 1024;
-  static constexpr std::int64_t kTurn = kSlots;
+  static constexpr std::int64_t kRevolution = kSlots;  // in ticks
+
+  // Moves what is due at `target` from the slot to due_; both keep their order.
+  void take_due(Slot& slot, std::int64_t target) {
+    due_.clear();
+    std::size_t kept = 0;
+    for (auto& entry : slot) {
+      if (entry.tick <= target) {
+        due_.push_back(std::move(entry.key));
+        continue;
+      }
+      if (&slot[kept] != &entry) slot[kept] = std::move(entry);
+      ++kept;
+    }
+    slot.resize(kept);
+  }
+
   Time tick_;
-  std::int64_t hand_ = 0;  // the first tick not yet visited
+  std::int64_t next_tick_ = 0;  // the first one not yet visited
   std::size_t armed_ = 0;
-  std::array<std::vector<std::pair<std::int64_t, Key>>, kSlots> slots_;
+  std::array<Slot, kSlots> slots_;
   std::vector<Key> due_;
 };
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -102,34 +102,34 @@
 }
 
 TEST(Lifecycle, PassesThroughItsPhases) {
-  Lifecycle life;
-  life.listening();
-  EXPECT_FALSE(life.advance(0s, false, false));  // no engine is known yet
-  EXPECT_FALSE(life.green());
-  life.fleet_known();
-  EXPECT_TRUE(life.advance(1s, false, false));
-  EXPECT_TRUE(life.green());
-  life.stop(2s);
-  EXPECT_FALSE(life.green());
-  EXPECT_FALSE(life.advance(2s + Lifecycle::kLinger, true, false));  // something is owed
-  EXPECT_FALSE(life.advance(2s, false, false));                      // clients still come
-  EXPECT_TRUE(life.advance(2s + Lifecycle::kLinger, false, true));
-  EXPECT_EQ(life.phase(), Phase::stopping);
-  EXPECT_TRUE(life.advance(10s, false, true));  // it does not wait for ever
-  EXPECT_EQ(life.phase(), Phase::exited);
+  Lifecycle lifecycle;
+  lifecycle.listeners_ready();
+  EXPECT_FALSE(lifecycle.advance(0s, false, false));  // no engine is known yet
+  EXPECT_FALSE(lifecycle.is_serving());
+  lifecycle.engine_ready();
+  EXPECT_TRUE(lifecycle.advance(1s, false, false));
+  EXPECT_TRUE(lifecycle.is_serving());
+  lifecycle.request_shutdown(2s);
+  EXPECT_FALSE(lifecycle.is_serving());
+  EXPECT_FALSE(lifecycle.advance(2s + Lifecycle::kMinDrain, true, false));  // something is owed
+  EXPECT_FALSE(lifecycle.advance(2s, false, false));                        // clients still come
+  EXPECT_TRUE(lifecycle.advance(2s + Lifecycle::kMinDrain, false, true));
+  EXPECT_EQ(lifecycle.phase(), Phase::stopping);
+  EXPECT_TRUE(lifecycle.advance(10s, false, true));  // it does not wait for ever
+  EXPECT_EQ(lifecycle.phase(), Phase::exited);
 }
 
 // With short deadlines the platform kills sooner than 3.7 s after the request to stop.
 TEST(Lifecycle, WhatIsLeftIsGivenUpBeforeTheKillWhichFollowsTheLongestDeadline) {
   for (const Time deadline : {Time(1s), Time(3s), Time(60s)}) {
-    Lifecycle life(deadline);
-    life.listening();
-    life.fleet_known();
-    life.advance(0s, false, false);
-    life.stop(10s);
+    Lifecycle lifecycle(deadline);
+    lifecycle.listeners_ready();
+    lifecycle.engine_ready();
+    lifecycle.advance(0s, false, false);
+    lifecycle.request_shutdown(10s);
     const Time kill = 10s + std::min<Time>(deadline, 3s) + 700ms;
-    EXPECT_FALSE(life.overdue(kill - 500ms));
-    EXPECT_TRUE(life.overdue(kill - 400ms));
+    EXPECT_FALSE(lifecycle.drain_expired(kill - 500ms));
+    EXPECT_TRUE(lifecycle.drain_expired(kill - 400ms));
   }
 }
 
@@ -148,7 +148,7 @@
   ASSERT_EQ(answers.size(), 1U);
   EXPECT_EQ(answers[0].client, 42U);
   EXPECT_EQ(answers[0].body, "rows");
-  EXPECT_EQ(d.reducer.held(), 0U);
+  EXPECT_EQ(d.reducer.open_requests(), 0U);
 }
 
 // A connection may take longer than the list takes to change: the first byte must not leave then.
@@ -176,10 +176,10 @@
   ASSERT_EQ(d.all<Answer>().size(), 1U);
   EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::timed_out);  // not refused: it may have run
   EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
-  EXPECT_EQ(d.reducer.owed(), 0U);
-  EXPECT_EQ(d.reducer.held(), 1U);  // until the engine has been told
+  EXPECT_EQ(d.reducer.unanswered_requests(), 0U);
+  EXPECT_EQ(d.reducer.open_requests(), 1U);  // until the engine has been told
   d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::cancelled);
-  EXPECT_EQ(d.reducer.held(), 0U);
+  EXPECT_EQ(d.reducer.open_requests(), 0U);
 }
 
 TEST(Reducer, AfterACancelNothingIsOwed) {
@@ -213,7 +213,7 @@
       EXPECT_EQ(d.all<Answer>()[0].kind, may_have_run ? AnswerKind::failed : AnswerKind::rejected);
       EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
       EXPECT_EQ(d.all<Transmit>().size(), out ? 1U : 0U);
-      EXPECT_EQ(d.reducer.held(), 0U);
+      EXPECT_EQ(d.reducer.open_requests(), 0U);
     }
   }
 }
@@ -435,7 +435,7 @@
 TEST(Reducer, WhatComesOnceTheProgramStopsIsRefusedAndNotBegun) {
   Driven d;
   d.at(1ms, ShutdownRequested{});
-  d.at(Lifecycle::kLinger, Tick{true});
+  d.at(Lifecycle::kMinDrain, Tick{true});
   ASSERT_EQ(d.reducer.lifecycle().phase(), Phase::stopping);
   EXPECT_EQ(d.all<CloseClientConnections>().size(), 1U);
   d.ask(1);
@@ -456,13 +456,13 @@
     asked.body = std::string(900, 'x');
     reducer.reduce(1s, RequestReceived{asked}, effects);
   }
-  EXPECT_EQ(reducer.held(), 2U);
+  EXPECT_EQ(reducer.open_requests(), 2U);
   const auto* answer = std::get_if<Answer>(&effects.back());
   ASSERT_NE(answer, nullptr);
   EXPECT_EQ(answer->client, 3U);
   EXPECT_EQ(answer->kind, AnswerKind::rejected);
   reducer.reduce(1s, ClientCancelled{1}, effects);
-  EXPECT_EQ(reducer.held(), 1U);
+  EXPECT_EQ(reducer.open_requests(), 1U);
 }
 
 TEST(Reducer, CallsOfTheModuleLieAStepApart) {
@@ -478,8 +478,8 @@
   }
   // The first goes at once; the others wait for the next call together.
   EXPECT_EQ(d.all<StartAttempt>().size(), 2U);
-  ASSERT_TRUE(d.reducer.next_call().has_value());
-  d.at(*d.reducer.next_call() - d.now, Tick{});
+  ASSERT_TRUE(d.reducer.next_scheduler_call().has_value());
+  d.at(*d.reducer.next_scheduler_call() - d.now, Tick{});
   EXPECT_EQ(d.all<StartAttempt>().size(), 4U);
 }
 
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -140,7 +140,7 @@
   EXPECT_EQ(h.all<Answer>()[0].retry_after, 500ms) << "no longer than the settings allow";
   h.serve(0);
   EXPECT_EQ(h.all<Answer>().size(), 2U);
-  EXPECT_EQ(h.reducer.held(), 0U);
+  EXPECT_EQ(h.reducer.open_requests(), 0U);
   const auto logs = h.all<Log>();
   EXPECT_TRUE(std::ranges::any_of(logs, [](const auto& l) {
     return l.text.find("tagged: tags=tag class=lookup tenant=acme end=served") == 0;
@@ -176,7 +176,7 @@
   h.pass(290ms);
   ASSERT_EQ(h.all<Answer>().size(), 1U);
   EXPECT_EQ(h.all<Answer>()[0].kind, AnswerKind::timed_out);
-  EXPECT_EQ(h.reducer.held(), 0U);
+  EXPECT_EQ(h.reducer.open_requests(), 0U);
   h.end(0);
   EXPECT_EQ(h.all<Answer>().size(), 1U);
   EXPECT_FALSE(h.all<DropHook>().empty());
@@ -186,11 +186,11 @@
 TEST(HookedCore, RequestsInsideAreOwedAndCountAsOpen) {
   Hooked h;
   for (ClientHandle client = 1; client <= 9; ++client) h.ask(client, "hooked");
-  EXPECT_EQ(h.reducer.owed(), 8U);
+  EXPECT_EQ(h.reducer.unanswered_requests(), 8U);
   ASSERT_EQ(h.all<Answer>().size(), 1U) << "the ninth is more than may be open";
   h.at(1ms, ClientCancelled{3});
-  EXPECT_EQ(h.reducer.owed(), 7U);
-  EXPECT_EQ(h.reducer.held(), 7U);
+  EXPECT_EQ(h.reducer.unanswered_requests(), 7U);
+  EXPECT_EQ(h.reducer.open_requests(), 7U);
 }
 
 TEST(HookedCore, AStopWaitsForThoseInsideAndGivesThemUpInTime) {
@@ -204,7 +204,7 @@
   EXPECT_EQ(h.sent().size(), 1U) << "what was taken before is finished";
   h.serve(0);
   // Before the kill, which comes no sooner than the longest deadline and this after the request to stop.
-  h.pass(2s + Lifecycle::kKill - 1s);
+  h.pass(2s + Lifecycle::kKillGrace - 1s);
   ASSERT_EQ(h.all<Answer>().size(), 2U);
   EXPECT_EQ(h.all<Answer>()[1].kind, AnswerKind::rejected);
   EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::exited);
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -489,9 +489,9 @@
   s.at(0ms, ShutdownRequested{});
   s.ask(2, 0, 0, 20s);
   s.pass(780ms);
-  EXPECT_EQ(s.reducer.owed(), 1U);
+  EXPECT_EQ(s.reducer.unanswered_requests(), 1U);
   s.pass(15ms);
-  EXPECT_EQ(s.reducer.owed(), 0U);
+  EXPECT_EQ(s.reducer.unanswered_requests(), 0U);
 }
 
 TEST(Reconfigured, ASenselessOneLeavesEverythingAsItWas) {
@@ -569,7 +569,7 @@
   ASSERT_EQ(r.all<RunHook>().size(), 1U);
   r.at(0ms, EndpointUpdate{false, {test::member(7, policy::EngineState::draining)}, true});
   r.ask(3, 0, 1);
-  EXPECT_EQ(r.reducer.tenants_held(), (std::unordered_set<std::uint32_t>{1}));
+  EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{1}));
   r.with.tenants[1].quota_fraction = r.with.tenants[1].quota_per_s = 0;
   r.offer(1);
   EXPECT_TRUE(r.all<Answer>().empty());
@@ -595,7 +595,7 @@
   }
   EXPECT_EQ(answered.size(), 3U);
   EXPECT_TRUE(r.said("tenant=second")) << "what is said of it names it still";
-  EXPECT_TRUE(r.reducer.tenants_held().empty());
+  EXPECT_TRUE(r.reducer.referenced_tenants().empty());
 }
 
 TEST(Reconfigured, HooksAndTheirCallsHoldTenants) {
@@ -608,19 +608,19 @@
   r.ask(1, 0, 1, 100ms);
   r.pass(200ms);
   ASSERT_EQ(r.all<Answer>().size(), 1U);
-  ASSERT_EQ(r.reducer.held(), 0U);
+  ASSERT_EQ(r.reducer.open_requests(), 0U);
   ASSERT_EQ(r.all<RunHook>().size(), 1U) << "it hears of the end";
-  EXPECT_EQ(r.reducer.tenants_held(), (std::unordered_set<std::uint32_t>{1}));
+  EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{1}));
   spec.id = 2;
   spec.match.tenants = {0};
   r.at(0ms, ConfigurationRead{{}, "127.0.0.1:1", {}, hooks::Set{{}, {spec}}});
-  EXPECT_EQ(r.reducer.tenants_held(), (std::unordered_set<std::uint32_t>{0, 1})) << "the call is out";
+  EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{0, 1})) << "the call is out";
   hooks::Ran ran;
   ran.job = r.all<RunHook>()[0].job;
   ran.hook = 1;
   ran.how = hooks::Ran::How::done;
   r.at(0ms, HookRan{ran});
-  EXPECT_EQ(r.reducer.tenants_held(), (std::unordered_set<std::uint32_t>{0}));
+  EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{0}));
 }
 
 // A program that ends takes versions up as any other; the moment at which it gives up what is left stays.
@@ -633,9 +633,9 @@
     r.offer(1);
     EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
     r.pass(3290ms);
-    EXPECT_EQ(r.reducer.owed(), 1U);
+    EXPECT_EQ(r.reducer.unanswered_requests(), 1U);
     r.pass(15ms);
-    EXPECT_EQ(r.reducer.owed(), 0U) << "the longest deadline, 3 s, and 0.3 s";
+    EXPECT_EQ(r.reducer.unanswered_requests(), 0U) << "the longest deadline, 3 s, and 0.3 s";
     r.effects.clear();
     r.at(0ms, SettingsOffered{3, 2, r.with, {}, {}});  // while it stops
     EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
@@ -652,7 +652,7 @@
     r.at(0ms, ShutdownRequested{});
     r.ask(2, 0, 0, 20s);
     const Time from = r.now;
-    while (r.reducer.owed() > 0) r.pass(5ms);
+    while (r.reducer.unanswered_requests() > 0) r.pass(5ms);
     return r.now - from;
   };
   EXPECT_NEAR(std::chrono::duration<double>(ends_after(200ms, 1s)).count(), 1.3, 0.03);
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -63,7 +63,7 @@
                  "127.0.0.1:1") {}
 
   void run() {
-    reducer_.tell_all(scenario_.hooked);
+    reducer_.enable_tracing(scenario_.hooked);
     feed(ListenersReady{});
     EndpointUpdate known;
     known.full = true;
@@ -86,12 +86,13 @@
       if (step == 9000) offer();
       if (step == 12000) feed(ReloadRequested{});
       if (!stopped && now_ >= stop) feed(ShutdownRequested{(stopped = true) ? now_ - 3ms : now_});
-      if (const auto call = reducer_.next_call(); call && now_ >= *call) feed(Tick{random_.chance(0.3)});
-      if (const auto hooks = reducer_.hooks_due(); hooks && now_ >= *hooks) feed(HooksTurn{});
+      if (const auto call = reducer_.next_scheduler_call(); call && now_ >= *call)
+        feed(Tick{random_.chance(0.3)});
+      if (const auto hooks = reducer_.next_hook_dispatch(); hooks && now_ >= *hooks) feed(HooksTurn{});
       if (step % 5 == 0) feed(Tick{random_.chance(0.3)});
       if (step % 1000 == 0) {
-        digest_.add(static_cast<std::int64_t>(reducer_.owed()));
-        digest_.add(static_cast<std::int64_t>(reducer_.held()));
+        digest_.add(static_cast<std::int64_t>(reducer_.unanswered_requests()));
+        digest_.add(static_cast<std::int64_t>(reducer_.open_requests()));
       }
       ++step;
     }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -127,7 +127,7 @@
   EXPECT_LE(static_cast<double>(second.blocks), 1.02 * static_cast<double>(first.blocks));
   EXPECT_LE(static_cast<double>(second.bytes), 1.02 * static_cast<double>(first.bytes));
   EXPECT_GT(fleet.all().served, 0U);
-  for (const auto& broker : fleet.brokers) EXPECT_LE(broker->reducer().held(), 10U);
+  for (const auto& broker : fleet.brokers) EXPECT_LE(broker->reducer().open_requests(), 10U);
 }
 
 // An event of the change log reaches a broker once, and asks it to tell nobody.
