--- a/src/core/hook_stage.hpp
+++ b/src/core/hook_stage.hpp
@@ -52,7 +52,6 @@
 
   // When dispatch() can do more, in a turn of its own; none: no call waits.
   [[nodiscard]] std::optional<Time> next_dispatch() const { return control_.due(context_.now()); }
-  [[nodiscard]] std::vector<hooks::Status> status() const { return control_.status(); }
   // Positions in the settings of tenants that hooks refer to.
   [[nodiscard]] std::unordered_set<std::uint32_t> referenced_tenants() const { return control_.tenants(); }
 
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -46,7 +46,6 @@
   [[nodiscard]] std::optional<Time> next_scheduler_call() const;
   // When a HooksTurn is needed for hook calls that wait; none: no call waits.
   [[nodiscard]] std::optional<Time> next_hook_dispatch() const { return hook_stage_.next_dispatch(); }
-  [[nodiscard]] std::vector<hooks::Status> hook_status() const { return hook_stage_.status(); }
   // Requests without their final answer.
   [[nodiscard]] std::size_t unanswered_requests() const { return requests_.unanswered(); }
   // The same, and those whose attempts have still to end.
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,4 @@
-// The core with plain values and a clock of the test's own.
+// The state machine, with plain values and a simulated clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,8 +30,8 @@
   return s;
 }
 
-// One of so many gateways that its turns at a cold engine are rare.
-policy::Settings cold_settings() {
+// One of so many brokers that it rarely gets to send to an engine in slow start.
+policy::Settings slow_start_settings() {
   auto s = settings();
   s.brokers = 100'000;
   s.slow_start_overload_factor = 2.5;
@@ -41,9 +41,9 @@
   return s;
 }
 
-class Driven {
+class Harness {
  public:
-  explicit Driven(policy::Settings s = settings()) : with(std::move(s)) {
+  explicit Harness(policy::Settings s = settings()) : with(std::move(s)) {
     at(0ms, ListenersReady{});
     at(0ms, EndpointUpdate{true, {member(7)}, true});
     at(0ms, EndpointListPolled{true});
@@ -57,13 +57,13 @@
   void pass(Time time) {
     for (const Time end = now + time; now < end;) at(std::min<Time>(5ms, end - now), Tick{});
   }
-  void ask(ClientHandle client, ClassIndex cls = 0, Time limit = 2s) {
-    Submission asked;
-    asked.client = client;
-    asked.cls = cls;
-    asked.time_limit = limit;
-    asked.body = "SELECT 1";
-    at(10ms, RequestReceived{asked});
+  void submit(ClientHandle client, ClassIndex cls = 0, Time limit = 2s) {
+    Submission submission;
+    submission.client = client;
+    submission.cls = cls;
+    submission.time_limit = limit;
+    submission.body = "SELECT 1";
+    at(10ms, RequestReceived{submission});
   }
   template <class T>
   std::vector<T> all() const {
@@ -88,15 +88,15 @@
   const auto advance = [&](Time now) { wheel.advance(now, [&](int key) { fired.push_back(key); }); };
   advance(100ms);
   wheel.arm(112ms, 1);
-  wheel.arm(20s, 2);  // several turns of the wheel ahead
-  wheel.arm(1ms, 3);  // past
+  wheel.arm(20s, 2);  // several revolutions of the wheel ahead
+  wheel.arm(1ms, 3);  // in the past
   advance(111ms);
   EXPECT_EQ(fired, std::vector{3});
   advance(115ms);
   EXPECT_EQ(fired, (std::vector{3, 1}));
   advance(19995ms);
   EXPECT_EQ(fired.size(), 2U);
-  advance(60s);  // after a long sleep
+  advance(60s);  // after a long pause
   EXPECT_EQ(fired, (std::vector{3, 1, 2}));
   EXPECT_EQ(wheel.armed(), 0U);
 }
@@ -111,16 +111,16 @@
   EXPECT_TRUE(lifecycle.is_serving());
   lifecycle.request_shutdown(2s);
   EXPECT_FALSE(lifecycle.is_serving());
-  EXPECT_FALSE(lifecycle.advance(2s + Lifecycle::kMinDrain, true, false));  // something is owed
-  EXPECT_FALSE(lifecycle.advance(2s, false, false));                        // clients still come
+  EXPECT_FALSE(lifecycle.advance(2s + Lifecycle::kMinDrain, true, false));  // a request is unanswered
+  EXPECT_FALSE(lifecycle.advance(2s, false, false));                        // clients may still come
   EXPECT_TRUE(lifecycle.advance(2s + Lifecycle::kMinDrain, false, true));
   EXPECT_EQ(lifecycle.phase(), Phase::stopping);
   EXPECT_TRUE(lifecycle.advance(10s, false, true));  // it does not wait for ever
   EXPECT_EQ(lifecycle.phase(), Phase::exited);
 }
 
-// With short deadlines the platform kills sooner than 3.7 s after the request to stop.
-TEST(Lifecycle, WhatIsLeftIsGivenUpBeforeTheKillWhichFollowsTheLongestDeadline) {
+// Guards against answers lost to the kill: with short deadlines it comes sooner than after 3.7 s.
+TEST(Lifecycle, GivesUpRequestsBeforeTheKillThatFollowsTheLongestDeadline) {
   for (const Time deadline : {Time(1s), Time(3s), Time(60s)}) {
     Lifecycle lifecycle(deadline);
     lifecycle.listeners_ready();
@@ -133,9 +133,9 @@
   }
 }
 
-TEST(Reducer, AServedAttemptGivesTheOneFinalAnswer) {
-  Driven d;
-  d.ask(42);
+TEST(Reducer, ServedAttemptGivesTheFinalAnswer) {
+  Harness d;
+  d.submit(42);
   const auto started = d.all<StartAttempt>();
   ASSERT_EQ(started.size(), 1U);
   EXPECT_TRUE(d.all<Transmit>().empty());  // not before there is a connection
@@ -151,10 +151,10 @@
   EXPECT_EQ(d.reducer.open_requests(), 0U);
 }
 
-// A connection may take longer than the list takes to change: the first byte must not leave then.
-TEST(Reducer, NothingLeavesForAnEngineThatHasBegunToDrain) {
-  Driven d;
-  d.ask(1);
+// The endpoint list may change while the attempt's connection is made.
+TEST(Reducer, DoesNotTransmitToADrainingEngine) {
+  Harness d;
+  d.submit(1);
   const auto id = d.all<StartAttempt>().at(0).id;
   d.at(1ms, EndpointUpdate{false, {member(7, EngineState::draining), member(8)}, true});
   d.at(1ms, AttemptConnected{id});
@@ -166,25 +166,25 @@
   EXPECT_EQ(d.all<StartAttempt>()[1].engine, 8U);
 }
 
-TEST(Reducer, ASilentEngineMeansAnAnswerBeforeTheDeadline) {
-  Driven d;
-  d.ask(1, 1, 2s);
+TEST(Reducer, AnswersBeforeTheDeadlineIfTheEngineIsSilent) {
+  Harness d;
+  d.submit(1, 1, 2s);
   d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
   d.pass(1900ms);
   EXPECT_TRUE(d.all<Answer>().empty());
   d.pass(90ms);
   ASSERT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::timed_out);  // not refused: it may have run
+  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::timed_out);  // not rejected: it may have run
   EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
   EXPECT_EQ(d.reducer.unanswered_requests(), 0U);
-  EXPECT_EQ(d.reducer.open_requests(), 1U);  // until the engine has been told
+  EXPECT_EQ(d.reducer.open_requests(), 1U);  // until the engine has confirmed the cancellation
   d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::cancelled);
   EXPECT_EQ(d.reducer.open_requests(), 0U);
 }
 
-TEST(Reducer, AfterACancelNothingIsOwed) {
-  Driven d;
-  d.ask(1);
+TEST(Reducer, CancelledRequestGetsNoAnswer) {
+  Harness d;
+  d.submit(1);
   d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
   d.at(10ms, ClientCancelled{1});
   EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
@@ -193,13 +193,13 @@
   EXPECT_TRUE(d.all<Answer>().empty());
 }
 
-// A half-close can't be told from a close: nothing more may be begun for it.
-TEST(Reducer, AfterAHalfCloseWhatWaitsIsRefusedAtOnceAndWhatRunsIsItsLastAttempt) {
+// A half-close can't be told from a close: no further attempt may start.
+TEST(Reducer, HalfCloseRejectsConnectingRequestsAndFinishesAttemptsInFlight) {
   for (const ClassIndex cls : {ClassIndex{0}, ClassIndex{1}}) {
     for (const bool out : {false, true}) {
-      Driven d;
+      Harness d;
       d.at(0ms, EndpointUpdate{false, {member(8)}, true});
-      d.ask(1, cls, 20s);
+      d.submit(1, cls, 20s);
       const auto id = d.all<StartAttempt>().at(0).id;
       if (out) d.at(1ms, AttemptConnected{id});
       d.at(1ms, ClientHalfClosed{1});
@@ -218,21 +218,21 @@
   }
 }
 
-// The module sends a second copy where the first is far overdue: not for a client that may have gone.
-TEST(Reducer, AHalfClosedRequestGetsNoSecondCopy) {
+// No hedged request for a client that may have gone.
+TEST(Reducer, HalfClosedRequestIsNotHedged) {
   for (const bool half_closed : {false, true}) {
     auto s = settings();
     s.hedging = true;
-    Driven d(s);
+    Harness d(s);
     d.at(0ms, EndpointUpdate{false, {member(8)}, true});
-    for (ClientHandle client = 10; client < 30; ++client) {  // what saves up work for copies
-      d.ask(client);
+    for (ClientHandle client = 10; client < 30; ++client) {  // fills the hedging budget
+      d.submit(client);
       const auto id = d.all<StartAttempt>().back().id;
       d.at(1ms, AttemptConnected{id});
       d.finish(id, AttemptEnd::served);
     }
     d.effects.clear();
-    d.ask(1, 0, 20s);
+    d.submit(1, 0, 20s);
     d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
     if (half_closed) d.at(1ms, ClientHalfClosed{1});
     d.pass(3s);
@@ -240,12 +240,12 @@
   }
 }
 
-// The module decides on a repeat in time; its connection may take until the window is over.
-TEST(Reducer, ARepeatWhoseConnectionComesAfterItsKeysWindowIsNotSent) {
+// The scheduler decides in time, but the connection may take until the window is over.
+TEST(Reducer, RetryIsNotTransmittedAfterTheDeduplicationWindow) {
   for (const auto& [wait, sent] : {std::pair<Time, std::size_t>{100ms, 2}, {1900ms, 1}}) {
-    Driven d;
+    Harness d;
     d.at(0ms, EndpointUpdate{false, {member(8)}, true});
-    d.ask(1, 2, 20s);
+    d.submit(1, 2, 20s);
     const auto first = d.all<StartAttempt>().at(0).id;
     d.at(1ms, AttemptConnected{first});
     d.at(100ms, Tick{});
@@ -258,29 +258,28 @@
   }
 }
 
-// A list told again after a step of the Unix clock made warm engines cold.
-TEST(Reducer, AStartThatIsToldAgainIsTheSameStart) {
+// Guards against a list, received again after a step of the wall clock, that put warm engines in slow start.
+TEST(Reducer, RelistedEngineKeepsItsStartTime) {
   for (const Time off : {Time(0s), Time(-1h), Time(1h)}) {
     auto s = settings();
-    s.brokers = 1000;  // whose turns at a cold engine are rare
+    s.brokers = 1000;  // each of which rarely gets to send to an engine in slow start
     s.slow_start_overload_factor = 2.5;
     s.slow_start_overload_window = 1s;
     s.slow_start_capacity = 0.4;
     s.slow_start_duration = 10s;
-    Driven d(s);
+    Harness d(s);
     auto engine = member(7);
     engine.started_unix = d.now + off;
     d.at(1ms, EndpointUpdate{true, {engine}, true});
     d.pass(11s);
     d.at(1ms, EndpointUpdate{true, {engine}, true});
-    d.ask(1);
+    d.submit(1);
     EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
   }
 }
 
-// How many calls an engine gets in the first five seconds after the news that it began 0.2 s ago, from a
-// broker whose wall clock lay off by `off` when it began, which is the last that the core hears of that
-// clock.
+// Attempts at an engine in the five seconds after a watch event told that it started 0.2 s ago. `off`: the
+// error of the broker's wall clock when the broker started.
 std::size_t calls_at_newcomer(Time off) {
   auto s = settings();
   s.classes.resize(1);
@@ -289,14 +288,14 @@
   s.slow_start_overload_window = 1s;
   s.slow_start_capacity = 0.33;
   s.slow_start_duration = 15s;
-  Driven d(s);
+  Harness d(s);
   d.pass(3s);
   auto newcomer = member(8);
   newcomer.started_unix = d.now - off - 200ms;
   d.at(1ms, EndpointUpdate{false, {newcomer, member(7, EngineState::draining)}, true});
   std::size_t calls = 0, seen = 0;
   for (ClientHandle client = 1; client <= 250; ++client) {
-    d.ask(client);
+    d.submit(client);
     d.pass(10ms);
     const auto attempts = d.all<StartAttempt>();
     for (; seen < attempts.size(); ++seen) {
@@ -308,27 +307,27 @@
   return calls;
 }
 
-// After a step of the wall clock a newcomer had no slow start at all, or got nothing for as long as the step.
-TEST(Reducer, AStepOfTheWallClockChangesNothingAboutAnEnginesSlowStart) {
+// Guards against a new engine without slow start, or without any request, after a step of the wall clock.
+TEST(Reducer, WallClockStepDoesNotChangeSlowStart) {
   const auto usual = calls_at_newcomer(0s);
   ASSERT_GT(usual, 5U);
   ASSERT_LT(usual, 60U);
   for (const Time off : {Time(-1h), Time(-5s), Time(5s), Time(1h)})
-    // A start that tells of a clock that is off counts as new: 0.2 s younger here.
+    // A start that shows that the clock is off counts as just now: 0.2 s later here.
     EXPECT_NEAR(static_cast<double>(calls_at_newcomer(off)), static_cast<double>(usual),
                 0.15 * static_cast<double>(usual))
         << "off by " << off / 1s << " s";
 }
 
-// By the wall clock of the program's start, until a start cannot have been then.
-TEST(StartClock, ReadsStartsAgainstEachOther) {
+// By the wall clock of the broker's start, until a start time is impossible.
+TEST(StartClock, ComparesStartTimesWithEachOther) {
   for (const Time off : {Time(0s), Time(-1h), Time(1h)}) {
     StartClock starts;
     const Time now = 5000s;
     const auto age = [&](Time told_after, Time at, Time absent) {
       return at - starts.start_of_new(at - told_after - off, at, absent);
     };
-    const Time late = off == 0s ? Time(0s) : Time(1s);  // taken to have come without delay
+    const Time late = off == 0s ? Time(0s) : Time(1s);  // counts as told without delay
     EXPECT_EQ(age(1s, now, now - 1s), 1s - late);
     EXPECT_EQ(age(1500ms, now + 10s, now + 9s), 1500ms - late);
     EXPECT_EQ(age(1s, now + 30s, now + 29s), 1s - late);
@@ -340,11 +339,10 @@
   }
 }
 
-// One that was known at the start looked warm, or as if it were to begin in an hour, until the first news
-// tell that the clock was off.
-TEST(Reducer, StartsKnownBeforeAreReadAnewOnceTheWallClockTurnsOutToHaveBeenOff) {
+// Guards against cached engines that counted as warm, or as starting in an hour, for good.
+TEST(Reducer, CorrectsCachedStartTimesOnceTheWallClockIsFoundToBeOff) {
   for (const Time off : {Time(-1h), Time(1h)}) {
-    Driven d(cold_settings());
+    Harness d(slow_start_settings());
     auto known = member(8), newcomer = member(9, EngineState::draining);
     known.started_unix = d.now - off - 1s;
     d.at(0ms, EndpointUpdate{true, {known}, false});
@@ -353,17 +351,17 @@
     d.at(1ms, EndpointUpdate{false, {newcomer}, true});
     d.at(0ms, EndpointListPolled{true});
     d.pass(1s);
-    d.ask(1);
-    EXPECT_TRUE(d.all<StartAttempt>().empty()) << "it is cold";
+    d.submit(1);
+    EXPECT_TRUE(d.all<StartAttempt>().empty()) << "in slow start";
     d.pass(9s);
-    d.ask(2, 0, 20s);
+    d.submit(2, 0, 20s);
     EXPECT_EQ(d.all<StartAttempt>().size(), 1U) << "and warm 10 s after its start";
   }
 }
 
-// What was read after a stall may have come when it began: the client's time runs from there.
-TEST(Reducer, ARequestsTimeRunsFromWhenItMayHaveCome) {
-  Driven d(settings());
+// A request read after a stall may have been received when the stall began.
+TEST(Reducer, TimeLimitCountsFromTheEarliestReceiveTime) {
+  Harness d(settings());
   d.at(0ms, EndpointUpdate{true, {member(8)}, false});
   d.at(0ms, EndpointListPolled{true});
   d.at(0ms, ProcessStalled{d.now - 700ms, 700ms});
@@ -385,12 +383,12 @@
   EXPECT_EQ(d.reducer.counters().total_violations(), 0U);
 }
 
-// Whose time ran out in a stall is answered late through no fault of the program's; later on it is one.
-TEST(Reducer, AnAnswerThatFellDueInAStallIsNoViolation) {
+// Without a stall the same late answer is a violation.
+TEST(Reducer, AnswerThatFellDueInAStallIsNoViolation) {
   for (const bool stalled : {true, false}) {
-    Driven d(settings());
+    Harness d(settings());
     d.at(0ms, EndpointListPolled{true});
-    d.ask(1, 0, 500ms);
+    d.submit(1, 0, 500ms);
     d.now += 2s;
     if (stalled) d.at(0ms, ProcessStalled{d.now - 2s, 2s});
     d.at(0ms, Tick{});
@@ -399,62 +397,61 @@
   }
 }
 
-// The process stops again before it has come to what fell due in its first stop.
-TEST(Reducer, StallsThatFollowEachOtherCountAsOneForWhatFellDue) {
-  Driven d(settings());
+// The process stalls again before it has handled what fell due in the first stall.
+TEST(Reducer, ConsecutiveStallsCountAsOne) {
+  Harness d(settings());
   d.at(0ms, EndpointListPolled{true});
-  d.ask(1, 0, 500ms);
+  d.submit(1, 0, 500ms);
   const Time before = d.now;
   d.at(2s, ProcessStalled{before, 2s});
   d.at(100ms, ProcessStalled{before + 2s, 100ms});
-  d.at(0ms, ProcessStalled{before + 1s, 500ms});  // told late
+  d.at(0ms, ProcessStalled{before + 1s, 500ms});  // reported late
   d.at(0ms, Tick{});
   EXPECT_EQ(d.all<Answer>().size(), 1U);
   EXPECT_EQ(d.reducer.counters().total_violations(), 0U);
 }
 
-// A wall clock that had stepped before the program's start made each engine known by then look warm, or as if
-// it were to begin in an hour. What does not need it: none is younger than a newer one.
-TEST(Reducer, AStartKnownBeforeIsTakenForRecentWhateverTheWallClockSays) {
+// Guards against a wall clock that stepped before the broker's start. Only the order of starts is certain.
+TEST(Reducer, CachedStartTimeCountsAsRecentWhateverTheWallClockSays) {
   for (const Time off : {Time(-1h), Time(-5s), Time(0s), Time(5s), Time(1h)}) {
     for (const bool older : {false, true}) {
-      Driven d(cold_settings());
+      Harness d(slow_start_settings());
       auto newest = member(8, older ? EngineState::draining : EngineState::ready), other = member(9);
       newest.started_unix = d.now - off - 200ms;
       other.started_unix = newest.started_unix - 11s;
       d.at(0ms, EndpointUpdate{true, older ? std::vector{newest, other} : std::vector{newest}, false});
       d.at(0ms, EndpointListPolled{true});
       d.pass(1s);
-      d.ask(1);
+      d.submit(1);
       EXPECT_EQ(d.all<StartAttempt>().size(), older ? 1U : 0U) << "off by " << off / 1s << " s";
     }
   }
 }
 
-// What is read while the program writes its last answers could not be finished: it was sent on, and lost.
-TEST(Reducer, WhatComesOnceTheProgramStopsIsRefusedAndNotBegun) {
-  Driven d;
+// Guards against requests that were forwarded while stopping, and lost.
+TEST(Reducer, RejectsRequestsWhileStopping) {
+  Harness d;
   d.at(1ms, ShutdownRequested{});
   d.at(Lifecycle::kMinDrain, Tick{true});
   ASSERT_EQ(d.reducer.lifecycle().phase(), Phase::stopping);
   EXPECT_EQ(d.all<CloseClientConnections>().size(), 1U);
-  d.ask(1);
+  d.submit(1);
   d.pass(1s);
   ASSERT_EQ(d.all<Answer>().size(), 1U);
   EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::rejected);
   EXPECT_TRUE(d.all<StartAttempt>().empty());
 }
 
-// To be killed for memory would lose all that is held.
-TEST(Reducer, WhatMemoryCannotHoldIsRefused) {
+// An OOM kill would lose all requests.
+TEST(Reducer, RejectsRequestsBeyondTheMemoryLimit) {
   Effects effects;
   Reducer reducer(settings(), 1, 4000);
   for (ClientHandle client = 1; client <= 3; ++client) {
-    Submission asked;
-    asked.client = client;
-    asked.time_limit = 2s;
-    asked.body = std::string(900, 'x');
-    reducer.reduce(1s, RequestReceived{asked}, effects);
+    Submission submission;
+    submission.client = client;
+    submission.time_limit = 2s;
+    submission.body = std::string(900, 'x');
+    reducer.reduce(1s, RequestReceived{submission}, effects);
   }
   EXPECT_EQ(reducer.open_requests(), 2U);
   const auto* answer = std::get_if<Answer>(&effects.back());
@@ -465,29 +462,29 @@
   EXPECT_EQ(reducer.open_requests(), 1U);
 }
 
-TEST(Reducer, CallsOfTheModuleLieAStepApart) {
-  Driven d;
-  d.ask(1);
+TEST(Reducer, SchedulerCallsAreAtLeastTheMinimumIntervalApart) {
+  Harness d;
+  d.submit(1);
   EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
   d.at(7ms, Tick{});
-  Submission asked;
-  asked.time_limit = 2s;
+  Submission submission;
+  submission.time_limit = 2s;
   for (ClientHandle client = 2; client < 5; ++client) {
-    asked.client = client;
-    d.at(1ms, RequestReceived{asked});
+    submission.client = client;
+    d.at(1ms, RequestReceived{submission});
   }
-  // The first goes at once; the others wait for the next call together.
+  // The first causes a call at once; the others wait for the next call together.
   EXPECT_EQ(d.all<StartAttempt>().size(), 2U);
   ASSERT_TRUE(d.reducer.next_scheduler_call().has_value());
   d.at(*d.reducer.next_scheduler_call() - d.now, Tick{});
   EXPECT_EQ(d.all<StartAttempt>().size(), 4U);
 }
 
-TEST(Reducer, ARequestTakenWhileItDrainsIsStillAnswered) {
-  Driven d;
-  d.ask(1);
+TEST(Reducer, AnswersRequestsReceivedWhileDraining) {
+  Harness d;
+  d.submit(1);
   d.at(1ms, ShutdownRequested{});
-  d.ask(2);
+  d.submit(2);
   d.pass(1s);
   EXPECT_EQ(d.reducer.lifecycle().phase(), Phase::draining);
   for (const auto& started : d.all<StartAttempt>()) {
@@ -499,11 +496,11 @@
   EXPECT_EQ(d.all<Exit>().size(), 1U);
 }
 
-// The platform kills a stopping program after 3.7 s: what it still holds then would get no answer at all.
-TEST(Reducer, WhatCannotEndBeforeTheProgramDoesIsGivenUpInTime) {
-  Driven d;
-  d.ask(42, 0, 20s);
-  d.ask(43, 1, 20s);  // may not be repeated
+// The platform kills the program 3.7 s after its request: open requests would get no answer.
+TEST(Reducer, GivesUpOpenRequestsBeforeTheKill) {
+  Harness d;
+  d.submit(42, 0, 20s);
+  d.submit(43, 1, 20s);  // may not be repeated
   for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptConnected{start.id});
   ASSERT_EQ(d.all<Transmit>().size(), 2U);
   d.at(0ms, ShutdownRequested{});
@@ -519,12 +516,11 @@
   EXPECT_EQ(d.all<Exit>().size(), 1U);
 }
 
-// An engine that says every 250 ms that a query goes on was rested as silent for up to 8 s, a fifth of the
-// fleet.
-TEST(Reducer, AnEngineThatSaysItGoesOnIsNotTakenForSilent) {
+// Guards against ejecting engines as silent though they report progress every 250 ms.
+TEST(Reducer, EngineThatReportsProgressIsNotSilent) {
   for (const bool heard : {true, false}) {
-    Driven d;
-    for (ClientHandle client = 1; client <= 4; ++client) d.ask(client, 0, 60s);
+    Harness d;
+    for (ClientHandle client = 1; client <= 4; ++client) d.submit(client, 0, 60s);
     for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptConnected{start.id});
     for (int i = 0; i < 12; ++i) {
       d.pass(250ms);
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard: what may be taken, sent, sent again, refused and closed, by the state of the moment.
+// The guard's rules on admission, attempts, rejections and closing.
 #include "core/guard.hpp"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   Guard::AttemptStart start;
 };
 
-TEST_F(GuardTest, AFirstAttemptMayGoToAnEngineThatIsReady) {
+TEST_F(GuardTest, FirstAttemptMayGoToAReadyEngine) {
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::allowed);
   for (const auto state : {EngineState::draining, EngineState::gone}) {
     engine.state = state;
@@ -47,7 +47,7 @@
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::engine_not_ready);
 }
 
-TEST_F(GuardTest, NothingIsSentForWhomNobodyWaits) {
+TEST_F(GuardTest, NoAttemptIfNobodyWaits) {
   EXPECT_EQ(guard.may_start_attempt(start, 100s), GuardDecision::attempt_expired);
   start.client_disconnected = true;
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::client_disconnected);
@@ -55,7 +55,7 @@
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::already_answered);
 }
 
-TEST_F(GuardTest, RepeatsGoByTheClass) {
+TEST_F(GuardTest, RetriesGoByTheClass) {
   auto& cls = settings.classes[0];
   EXPECT_EQ(after_one(), GuardDecision::allowed) << "safe";
   cls.idempotency = policy::Idempotency::not_idempotent;
@@ -75,14 +75,14 @@
   EXPECT_EQ(after_one(), GuardDecision::retry_forbidden);
 }
 
-TEST_F(GuardTest, WithoutSecondCopiesNothingStandsBesideWhatMayRun) {
+TEST_F(GuardTest, WithoutHedgingOneAttemptRunsAtATime) {
   EXPECT_EQ(after_one(true), GuardDecision::allowed);
   settings.hedging = false;
   EXPECT_EQ(after_one(true), GuardDecision::hedging_forbidden);
   EXPECT_EQ(after_one(false), GuardDecision::allowed);
 }
 
-TEST_F(GuardTest, RequestsOfOneKeyRunOneAtATime) {
+TEST_F(GuardTest, RequestsOfAnOrderingKeyRunOneAtATime) {
   settings.classes[0].ordered_by_key = true;
   start.ordering_key = 42;
   guard.attempt_started(42, 7);
@@ -102,7 +102,7 @@
   EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::allowed) << "another key";
 }
 
-TEST_F(GuardTest, WhatIsTakenIsBounded) {
+TEST_F(GuardTest, AdmissionIsBounded) {
   settings.max_open_requests = 3;
   EXPECT_EQ(guard.may_admit({Phase::draining, 2, true, false}), GuardDecision::allowed);
   EXPECT_EQ(guard.may_admit({Phase::serving, 3, true, false}), GuardDecision::too_many_requests);
@@ -111,7 +111,7 @@
   EXPECT_EQ(guard.may_admit({Phase::stopping, 0, true, false}), GuardDecision::shutting_down);
 }
 
-TEST_F(GuardTest, ARefusalIsTrue) {
+TEST_F(GuardTest, RejectsOnlyWhereARetryIsHarmless) {
   auto& cls = settings.classes[0];
   EXPECT_TRUE(guard.may_reject(0, false));
   cls.idempotency = policy::Idempotency::not_idempotent;
@@ -123,7 +123,7 @@
   EXPECT_FALSE(guard.may_reject(0, false));
 }
 
-TEST_F(GuardTest, AConnectionIsClosedOnlyWithNothingOwedOnIt) {
+TEST_F(GuardTest, ClosesAConnectionOnlyWithoutUnansweredRequests) {
   EXPECT_TRUE(Guard::may_close(0, false));
   EXPECT_FALSE(Guard::may_close(1, false));
   EXPECT_FALSE(Guard::may_close(0, true)) << "a request may have come";
@@ -143,18 +143,18 @@
             "attempt.withdrawn=1 withheld.key_in_use=1");
 }
 
-// An answer that comes after the loop stood still is still given, and counted as a fault.
-TEST(Counters, AnAnswerAfterItsDeadlineIsCountedAsAViolation) {
+// A late answer is still given, and counted.
+TEST(Counters, AnswerAfterItsDeadlineIsCountedAsAViolation) {
   Reducer reducer(test::small_settings(), 1);
   Effects effects;
   const Time start = 1'700'000'000s;
   reducer.reduce(start, ListenersReady{}, effects);
   reducer.reduce(start, EndpointUpdate{true, {test::member(7)}, true}, effects);
   reducer.reduce(start, Tick{}, effects);
-  Submission asked;
-  asked.client = 1;
-  asked.time_limit = 1s;
-  reducer.reduce(start + 10ms, RequestReceived{asked}, effects);
+  Submission submission;
+  submission.client = 1;
+  submission.time_limit = 1s;
+  reducer.reduce(start + 10ms, RequestReceived{submission}, effects);
   reducer.reduce(start + 3s, Tick{}, effects);
   EXPECT_EQ(test::all_of<Answer>(effects).size(), 1U);
   EXPECT_EQ(reducer.counters().total_violations(), 1U);
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -1,4 +1,4 @@
-// Requests inside their hooks, as the core sees them: taken, owed their one final answer, and in their place.
+// The state machine with requests in hooks: their final answers, deadlines and order.
 #include <gtest/gtest.h>
 
 #include "small_core.hpp"
@@ -35,9 +35,10 @@
   return {{}, {spec}};
 }
 
-class Hooked {
+class HookHarness {
  public:
-  explicit Hooked(hooks::Set set = hooked()) : reducer(settings(), 1, std::size_t{64} << 20, std::move(set)) {
+  explicit HookHarness(hooks::Set set = hooked())
+      : reducer(settings(), 1, std::size_t{64} << 20, std::move(set)) {
     at(0ms, ListenersReady{});
     at(0ms, EndpointUpdate{true, {test::member(7)}, true});
     at(0ms, Tick{});
@@ -45,7 +46,7 @@
   void at(Time after, Event event) {
     now += after;
     feed(std::move(event));
-    // The machine yields for as long as the test has not said how a call ends.
+    // A call yields until the test has set how it ends.
     for (int slices = 0; slices < 3 && slice; ++slices) {
       const auto run = *std::exchange(slice, std::nullopt);
       hooks::Ran ran;
@@ -77,16 +78,16 @@
       at(std::min<Time>(5ms, end - now), Tick{});
     }
   }
-  void ask(ClientHandle client, const std::string& statement, ClassIndex cls = 0, std::uint64_t key = 0,
-           Time limit = 2s) {
-    Submission asked;
-    asked.client = client;
-    asked.cls = cls;
-    asked.time_limit = limit;
-    asked.ordering_key = key;
-    asked.body = statement;
-    if (cls == 1) asked.idempotency_key = "n" + std::to_string(client);
-    at(1ms, RequestReceived{asked});
+  void submit(ClientHandle client, const std::string& statement, ClassIndex cls = 0, std::uint64_t key = 0,
+              Time limit = 2s) {
+    Submission submission;
+    submission.client = client;
+    submission.cls = cls;
+    submission.time_limit = limit;
+    submission.ordering_key = key;
+    submission.body = statement;
+    if (cls == 1) submission.idempotency_key = "n" + std::to_string(client);
+    at(1ms, RequestReceived{submission});
   }
   void end(std::size_t call, hooks::Verdict verdict = {}) {
     ends[calls.at(call).job] = std::move(verdict);
@@ -96,7 +97,7 @@
   std::vector<T> all() const {
     return test::all_of<T>(effects);
   }
-  // Statements in the order in which they left.
+  // Statements in the order in which they were transmitted.
   std::vector<std::string> sent() {
     for (bool more = true; more;) {
       more = false;
@@ -121,16 +122,16 @@
   Time now = 1'700'000'000s;
   Reducer reducer;
   Effects effects;
-  std::optional<RunHook> slice;  // the slice that was asked for and has not run
+  std::optional<RunHook> slice;  // requested, and not run yet
   std::vector<RunHook> calls;
   std::map<hooks::JobId, hooks::Verdict> ends;
   std::size_t begun = 0;
 };
 
-TEST(HookedCore, LabelsReachTheModuleAndARefusalIsTheFinalAnswer) {
-  Hooked h;
-  h.ask(1, "hooked 1");
-  h.ask(2, "hooked 2");
+TEST(HookedCore, LabelsReachTheSchedulerAndARejectionIsTheFinalAnswer) {
+  HookHarness h;
+  h.submit(1, "hooked 1");
+  h.submit(2, "hooked 2");
   EXPECT_TRUE(h.sent().empty());
   h.end(0, {50ms, 64.0, {}, {}, {"tag"}});
   h.end(1, {{}, {}, {}, 5s, {}});
@@ -147,13 +148,13 @@
   }));
 }
 
-TEST(HookedCore, OrderByKeyIsKeptWhileTheFirstIsInside) {
-  // The first ends well, is refused, or its client leaves: the one behind it goes on then, and not before.
+TEST(HookedCore, KeepsTheOrderOfAKeyWhileTheFirstIsInHooks) {
+  // The first is served, rejected, or cancelled by its client: only then the next one of its key goes on.
   for (const int how : {0, 1, 2}) {
-    Hooked h;
-    h.ask(1, "hooked first", 1, 42);
-    h.ask(2, "second", 1, 42);
-    h.ask(3, "other key", 1, 43);
+    HookHarness h;
+    h.submit(1, "hooked first", 1, 42);
+    h.submit(2, "second", 1, 42);
+    h.submit(3, "other key", 1, 43);
     h.pass(50ms);
     EXPECT_EQ(h.sent(), std::vector<std::string>{"other key"}) << how;
     if (how == 0) h.end(0);
@@ -170,9 +171,9 @@
   }
 }
 
-TEST(HookedCore, TheDeadlineComesWhileARequestIsInside) {
-  Hooked h;
-  h.ask(1, "hooked", 0, 0, 300ms);
+TEST(HookedCore, RequestInHooksTimesOutAtItsDeadline) {
+  HookHarness h;
+  h.submit(1, "hooked", 0, 0, 300ms);
   h.pass(290ms);
   ASSERT_EQ(h.all<Answer>().size(), 1U);
   EXPECT_EQ(h.all<Answer>()[0].kind, AnswerKind::timed_out);
@@ -183,9 +184,9 @@
   EXPECT_TRUE(h.sent().empty());
 }
 
-TEST(HookedCore, RequestsInsideAreOwedAndCountAsOpen) {
-  Hooked h;
-  for (ClientHandle client = 1; client <= 9; ++client) h.ask(client, "hooked");
+TEST(HookedCore, RequestsInHooksAreUnansweredAndCountAsOpen) {
+  HookHarness h;
+  for (ClientHandle client = 1; client <= 9; ++client) h.submit(client, "hooked");
   EXPECT_EQ(h.reducer.unanswered_requests(), 8U);
   ASSERT_EQ(h.all<Answer>().size(), 1U) << "the ninth is more than may be open";
   h.at(1ms, ClientCancelled{3});
@@ -193,30 +194,30 @@
   EXPECT_EQ(h.reducer.open_requests(), 7U);
 }
 
-TEST(HookedCore, AStopWaitsForThoseInsideAndGivesThemUpInTime) {
-  Hooked h;
-  h.ask(1, "hooked", 0, 0, 20s);
-  h.ask(2, "hooked", 0, 0, 20s);
+TEST(HookedCore, ShutdownWaitsForRequestsInHooksAndGivesThemUpBeforeTheKill) {
+  HookHarness h;
+  h.submit(1, "hooked", 0, 0, 20s);
+  h.submit(2, "hooked", 0, 0, 20s);
   h.at(1ms, ShutdownRequested{});
   h.pass(1s);
   EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::draining);
   h.end(0);
-  EXPECT_EQ(h.sent().size(), 1U) << "what was taken before is finished";
+  EXPECT_EQ(h.sent().size(), 1U) << "what was received before is finished";
   h.serve(0);
-  // Before the kill, which comes no sooner than the longest deadline and this after the request to stop.
+  // Before the kill, which comes no sooner than the longest deadline and this grace after the request.
   h.pass(2s + Lifecycle::kKillGrace - 1s);
   ASSERT_EQ(h.all<Answer>().size(), 2U);
   EXPECT_EQ(h.all<Answer>()[1].kind, AnswerKind::rejected);
   EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::exited);
 }
 
-TEST(HookedCore, AReloadLeavesThoseInsideToTheOldHooks) {
-  Hooked h;
-  h.ask(1, "hooked");
+TEST(HookedCore, ReloadLeavesRequestsInHooksToTheOldHooks) {
+  HookHarness h;
+  h.submit(1, "hooked");
   ConfigurationRead read;
   read.hooks = hooks::Set{};
   h.at(1ms, read);
-  h.ask(2, "hooked too");
+  h.submit(2, "hooked too");
   h.pass(10ms);
   EXPECT_EQ(h.sent(), std::vector<std::string>{"hooked too"});
   h.end(0, {{}, {}, {}, 100ms, {}});
@@ -225,9 +226,9 @@
   EXPECT_EQ(h.all<RetireHook>().size(), 1U);
 }
 
-TEST(HookedCore, TheEndOfARequestIsToldToHooksOfPhaseAnswer) {
-  Hooked h(hooked(true));
-  h.ask(1, "hooked");
+TEST(HookedCore, CallsHooksOfPhaseAnswer) {
+  HookHarness h(hooked(true));
+  h.submit(1, "hooked");
   h.end(0, {{}, {}, {}, {}, {"t"}});
   h.sent();
   h.serve(0);
--- /dev/null
+++ b/tests/stall_tracker_test.cpp
@@ -0,0 +1,31 @@
+// Which answers a stall of the process excuses.
+#include "core/stall_tracker.hpp"
+
+#include <gtest/gtest.h>
+
+namespace bellstair::core {
+namespace {
+using namespace std::chrono_literals;
+
+TEST(StallTracker, ExcusesWhatFellDueInAStallUntilTheProcessHasCaughtUp) {
+  StallTracker stalls;
+  EXPECT_FALSE(stalls.excuses(1s, 2s)) << "there was none";
+  stalls.record({10s, 2s});
+  EXPECT_FALSE(stalls.excuses(9s, 12s)) << "it was due before";
+  EXPECT_TRUE(stalls.excuses(10s, 12s));
+  EXPECT_TRUE(stalls.excuses(11s, 12s + StallTracker::kCatchUp));
+  EXPECT_FALSE(stalls.excuses(11s, 12s + StallTracker::kCatchUp + 1ms));
+}
+
+TEST(StallTracker, ConsecutiveStallsCountAsOneAndALaterOneReplacesThem) {
+  StallTracker stalls;
+  stalls.record({10s, 2s});
+  stalls.record({12s + StallTracker::kCatchUp, 3s});
+  EXPECT_TRUE(stalls.excuses(10s, 15s));
+  stalls.record({20s, 1s});
+  EXPECT_FALSE(stalls.excuses(10s, 21s));
+  EXPECT_TRUE(stalls.excuses(20s, 21s));
+}
+
+}  // namespace
+}  // namespace bellstair::core
