--- a/src/app/control_node.cpp
+++ b/src/app/control_node.cpp
@@ -172,18 +172,18 @@
 // The first few of each second: whoever connects could cause a line each time.
 void ControlNode::log_channel_error(const std::string& address, const link::ChannelError& error) {
   if (error.code() == link::ChannelFault::closed_by_peer) return;
-  if (++channel_errors_ <= kMaxLoggedErrors) log("cut off: " + address + ": " + error.what());
+  if (++channel_errors_ <= kMaxLoggedErrors) log("connection error: " + address + ": " + error.what());
 }
 
 void ControlNode::log_connection_counts(core::Time now) {
   if (now < next_counts_) return;
   next_counts_ = now + kCountsInterval;
   if (std::exchange(channel_errors_, 0) > kMaxLoggedErrors)
-    log("cut off: more than " + std::to_string(kMaxLoggedErrors) + " in a second");
+    log("connection errors: more than " + std::to_string(kMaxLoggedErrors) + " in a second");
   const auto rejected = channels_.rejected_count() - logged_rejected_count_;
   if (rejected == 0) return;
   log("full with " + std::to_string(channels_.accepted_count()) +
-      " connections: " + std::to_string(rejected) + " turned away");
+      " connections: " + std::to_string(rejected) + " rejected");
   logged_rejected_count_ = channels_.rejected_count();
 }
 
--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -14,23 +14,25 @@
 namespace {
 using hcl::Reader;
 
-// They stand in log lines, tables and messages.
-std::string fault_of(const std::string& name) {
+// What keeps it from standing in log lines, tables and messages; none: it can.
+std::optional<std::string> name_error(const std::string& name) {
   if (name.empty()) return "is empty";
   if (name.size() > control::kMaxNameBytes)
     return "is longer than " + std::to_string(control::kMaxNameBytes) + " bytes";
-  const auto plain = [](unsigned char c) { return c > 0x20 && c != 0x7F; };
-  return std::ranges::all_of(name, plain) ? "" : "holds a space or a control character";
+  const auto is_printable = [](unsigned char c) { return c > 0x20 && c != 0x7F; };
+  if (!std::ranges::all_of(name, is_printable)) return "holds a space or a control character";
+  return std::nullopt;
 }
 
-std::string name_at(Reader& in, const char* field, std::optional<std::string> otherwise = std::nullopt) {
+std::string read_name(Reader& in, const char* field, std::optional<std::string> fallback = std::nullopt) {
   const bool given = in.has(field);
-  auto out = in.text(field, std::move(otherwise));
-  if (const auto fault = fault_of(out); given && !fault.empty()) in.wrong(field, fault);
+  auto out = in.text(field, std::move(fallback));
+  if (const auto error = name_error(out); given && error) in.wrong(field, *error);
   return out;
 }
 
-std::string path_at(Reader& in, const char* field, const std::string& file) {
+// Relative paths are relative to the directory of `file`.
+std::string read_path(Reader& in, const char* field, const std::string& file) {
   const bool given = in.has(field);
   const auto out = in.text(field, "");
   if (given && (out.empty() || out.ends_with('/') || out.find('\0') != std::string::npos))
@@ -38,65 +40,86 @@
   return out.empty() ? out : (std::filesystem::path(file).parent_path() / out).string();
 }
 
-ControlNode parse_node(Reader& in, const std::string& name, const std::string& file) {
+ControlNode read_node(Reader& in, const std::string& name, const std::string& file) {
   ControlNode out;
   out.name = name;
-  if (const auto fault = fault_of(name); !fault.empty()) in.wrong("", "its name " + fault);
+  if (const auto error = name_error(name)) in.wrong("", "its name " + *error);
   out.address = in.text("address");
-  const auto at = net::parse_address(out.address);
-  if (!out.address.empty() && (!at || at->sin_port == 0))
+  const auto parsed = net::parse_address(out.address);
+  if (!out.address.empty() && (!parsed || parsed->sin_port == 0))
     in.wrong("address", "is not an address with a port");
-  out.region = name_at(in, "region", "");
-  out.store = path_at(in, "store", file);
+  out.region = read_name(in, "region", "");
+  out.store = read_path(in, "store", file);
   in.finish();
   return out;
 }
 
-// The names that stand, and the one that was most likely meant.
-std::string no_node(const std::string& name, const std::vector<ControlNode>& nodes) {
-  std::set<std::string> known;
-  for (const auto& node : nodes) known.insert(node.name);
+std::uint64_t read_epoch(Reader& in) {
+  const bool given = in.has("epoch");
+  const auto out = in.whole("epoch", 1, {1, std::numeric_limits<std::int64_t>::max()});
+  if (!given) in.wrong("epoch", "is missing");
+  return static_cast<std::uint64_t>(out);
+}
+
+std::vector<std::string> read_classes(Reader& in) {
+  auto out = in.texts("classes");
+  std::set<std::string> seen;
+  for (const auto& name : out) {
+    if (const auto error = name_error(name)) in.wrong("classes", "'" + name + "' " + *error);
+    if (!seen.insert(name).second) in.wrong("classes", "'" + name + "' stands twice");
+  }
+  return out;
+}
+
+// `reader`: the control node that reads the file, which needs its store.
+std::vector<ControlNode> read_nodes(Reader& in, const std::string& file,
+                                    const std::optional<std::string>& reader) {
+  std::vector<ControlNode> out;
+  std::set<std::string> names;
+  std::map<std::string, std::string> names_by_address;
+  for (auto& block : in.blocks("node", 1)) {
+    auto node = read_node(block.reader, block.labels[0], file);
+    if (!names.insert(node.name).second) block.reader.wrong("", "stands a second time");
+    const auto [other, is_new] = names_by_address.try_emplace(node.address, node.name);
+    if (!is_new && !node.address.empty())
+      block.reader.wrong("address", node.address + " is that of node \"" + other->second + "\" too");
+    if (reader == node.name && node.store.empty() && !block.reader.has("store"))
+      block.reader.wrong("store", "is missing: a node keeps its versions there");
+    out.push_back(std::move(node));
+  }
+  return out;
+}
+
+// With the name that was most likely meant.
+std::string unknown_node(const std::string& name, const std::set<std::string>& known) {
   const auto meant = hcl::nearest(name, known);
   return "no node '" + name + "' stands here" + (meant ? ": did you mean '" + *meant + "'?" : "");
 }
 
+void check_nodes(Reader& in, const Control& control, const std::optional<std::string>& reader) {
+  std::set<std::string> names;
+  for (const auto& node : control.nodes) names.insert(node.name);
+  if (control.nodes.empty()) in.wrong("", "names no node");
+  if (control.nodes.size() > kMaxControlNodes)
+    in.wrong("node", "there are more than " + std::to_string(kMaxControlNodes));
+  if (!control.writer.empty() && !control.nodes.empty() && !names.contains(control.writer))
+    in.wrong("writer", unknown_node(control.writer, names));
+  if (reader && !names.contains(*reader)) in.wrong("", unknown_node(*reader, names));
+}
+
 }  // namespace
 
 Control parse_control(Reader& in, const std::string& file, const std::optional<std::string>& node) {
   Control out;
-  out.fleet = name_at(in, "fleet");
-  const bool epoch = in.has("epoch");
-  out.epoch = static_cast<std::uint64_t>(in.whole("epoch", 1, {1, std::numeric_limits<std::int64_t>::max()}));
-  if (!epoch) in.wrong("epoch", "is missing");
-  out.writer = name_at(in, "writer");
-  out.region = name_at(in, "region", "");
-  out.last = path_at(in, "last", file);
-  out.classes = in.texts("classes");
-  std::set<std::string> classes;
-  for (const auto& name : out.classes) {
-    if (const auto fault = fault_of(name); !fault.empty()) in.wrong("classes", "'" + name + "' " + fault);
-    if (!classes.insert(name).second) in.wrong("classes", "'" + name + "' stands twice");
-  }
-  std::set<std::string> names;
-  std::map<std::string, std::string> addresses;
-  for (auto& section : in.blocks("node", 1)) {
-    auto& reader = section.reader;
-    auto next = parse_node(reader, section.labels[0], file);
-    if (!names.insert(next.name).second) reader.wrong("", "stands a second time");
-    const auto [other, fresh] = addresses.try_emplace(next.address, next.name);
-    if (!fresh && !next.address.empty())
-      reader.wrong("address", next.address + " is that of node \"" + other->second + "\" too");
-    if (node == next.name && next.store.empty() && !reader.has("store"))
-      reader.wrong("store", "is missing: a node keeps its versions there");
-    out.nodes.push_back(std::move(next));
-  }
-  if (out.nodes.empty()) in.wrong("", "names no node");
-  if (out.nodes.size() > kMaxControlNodes)
-    in.wrong("node", "there are more than " + std::to_string(kMaxControlNodes));
-  if (!out.writer.empty() && !out.nodes.empty() && !names.contains(out.writer))
-    in.wrong("writer", no_node(out.writer, out.nodes));
-  if (node && !names.contains(*node)) in.wrong("", no_node(*node, out.nodes));
-  // Without them a document would be refused for each class that it names, or taken with none.
+  out.fleet = read_name(in, "fleet");
+  out.epoch = read_epoch(in);
+  out.writer = read_name(in, "writer");
+  out.region = read_name(in, "region", "");
+  out.last = read_path(in, "last", file);
+  out.classes = read_classes(in);
+  out.nodes = read_nodes(in, file, node);
+  check_nodes(in, out, node);
+  // Without classes, a node would reject every document that names one.
   if (node && out.classes.empty())
     in.wrong("classes", "names none: a node checks by them what documents may name");
   in.finish();
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -1,13 +1,13 @@
-// The operator's `control` block in HCL: which control nodes there are, and who writes.
+// The operator's `control` block in HCL: which control nodes there are, and which is the leader.
 //
 //     control {
 //       fleet   = "tunis"
-//       epoch   = 3                     # raised by the operator whenever another node is named as writer
-//       writer  = "c1"
-//       classes = ["lookup", "report", "load"]   # that a document may name; needed by nodes
-//       region  = "north"               # of the broker that reads this file; "" if absent
-//       last    = "/var/lib/bellstair/last-version"   # where a broker keeps the version in force; none if
-//       absent node "c1" {
+//       epoch   = 3     # raised by the operator whenever another node is named as writer
+//       writer  = "c1"  # the leader of this epoch
+//       classes = ["lookup", "report", "load"]  # that documents may name; needed by nodes
+//       region  = "north"                       # of the broker that reads this file
+//       last    = "/var/lib/bellstair/last-version"  # where a broker persists its active version
+//       node "c1" {
 //         address = "10.0.0.1:7101"
 //         region  = "north"
 //         store   = "/var/lib/bellstair/control.db"
@@ -25,11 +25,16 @@
 namespace bellstair::config {
 
 struct ControlNode {
-  std::string name, address, region, store;
+  std::string name, address, region;
+  std::string store;  // path; empty: not given
   bool operator==(const ControlNode&) const = default;
 };
+
 struct Control {
-  std::string fleet, writer, region, last;
+  std::string fleet;
+  std::string writer;  // the leader's name
+  std::string region;  // of the broker that reads the file
+  std::string last;    // path of the broker's last version; empty: it is not persisted
   std::uint64_t epoch = 0;
   std::vector<std::string> classes;
   std::vector<ControlNode> nodes;
@@ -38,12 +43,11 @@
 
 inline constexpr std::size_t kMaxControlNodes = 64;
 
-// The block as a part of the operator's file (parse_fronts). Paths that are not whole ones are beside `file`.
-// `node`: the control node that reads it, which needs its store and the classes.
+// The block as a part of the operator's file (parse_fronts). Relative paths are relative to the directory of
+// `file`. `node`: the control node that reads it, which needs its store and the classes. Mistakes go to `in`.
 [[nodiscard]] Control parse_control(hcl::Reader& in, const std::string& file,
                                     const std::optional<std::string>& node = std::nullopt);
-// And alone: the rest of the file is then passed over. Throws hcl::Invalid, also where there is no such
-// block.
+// The block alone; the rest of the file is ignored. Throws hcl::Invalid, also where there is no such block.
 [[nodiscard]] Control read_control(std::string_view text, const std::string& file,
                                    const std::optional<std::string>& node = std::nullopt);
 
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -23,7 +23,7 @@
     if (term.leader == observed_.leader) return TermCheck::accepted;
     log_line(out, node_,
              "epoch " + std::to_string(term.epoch) + " has " + observed_.leader + " as its writer; " +
-                 source + " names " + term.leader + ", which is refused: raise the epoch");
+                 source + " names " + term.leader + ", which is rejected: raise the epoch");
     return TermCheck::conflict;
   }
   observed_ = term;
@@ -45,7 +45,7 @@
   if (check == TermCheck::stale)
     log_line(out, node_,
              std::string(kOperatorsFile) + " names " + describe(term) +
-                 ", which is refused: " + describe(observed_) + " is known");
+                 ", which is rejected: " + describe(observed_) + " is known");
   if (check == TermCheck::accepted) configured_ = term;
 }
 
@@ -68,7 +68,7 @@
   if (!persisting_ || *persisting_ != term) return false;
   persisting_.reset();
   if (error) {
-    log_line(out, node_, describe(term) + " could not be kept: " + error->what());
+    log_line(out, node_, describe(term) + " could not be persisted: " + error->what());
     retry_at_ = now + kPersistRetryInterval;
     return true;
   }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -175,13 +175,13 @@
 }
 
 void Node::reject(PeerId id, const std::string& peer, const std::string& reason, NodeEffects& out) {
-  log(out, peer + " is refused: " + reason);
+  log(out, peer + " is rejected: " + reason);
   go_away(id, reason, out);
   forget(id);
 }
 
 void Node::leave_leader(PeerId id, const std::string& leader, const std::string& reason, NodeEffects& out) {
-  log(out, "leaves " + leader + ": " + reason);
+  log(out, "disconnects from " + leader + ": " + reason);
   go_away(id, reason, out);
   forget(id);
 }
--- a/src/control/node_messages.cpp
+++ b/src/control/node_messages.cpp
@@ -136,7 +136,8 @@
 
 bool Node::handle(Time, Session& session, GoAway& message, NodeEffects& out) {
   if (session.outbound)
-    log(out, "is refused by " + (session.name.empty() ? "the writer" : session.name) + ": " + message.reason);
+    log(out,
+        "is rejected by " + (session.name.empty() ? "the writer" : session.name) + ": " + message.reason);
   const auto id = session.id;
   forget(id);
   out.emplace_back(Close{id});
--- a/src/control/subscriber.cpp
+++ b/src/control/subscriber.cpp
@@ -9,11 +9,12 @@
 namespace bellstair::control {
 namespace {
 
+constexpr std::uint64_t kFnvOffset = 14695981039346656037U, kFnvPrime = 1099511628211U;
+constexpr std::uint64_t kEndOfName = 0xFFU;  // no byte of UTF-8
+
 // Rendezvous hashing (highest random weight): FNV-1a over both names, then the finalizer of splitmix64. A
 // node that is added or removed moves only its own brokers.
 std::uint64_t rendezvous_weight(const std::string& node, const std::string& broker) {
-  constexpr std::uint64_t kFnvOffset = 14695981039346656037U, kFnvPrime = 1099511628211U;
-  constexpr std::uint64_t kEndOfName = 0xFFU;  // no byte of UTF-8
   std::uint64_t hash = kFnvOffset;
   const auto mix = [&hash](const std::string& text) {
     for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
@@ -109,7 +110,7 @@
 }
 
 void Subscriber::reject_node(Time now, const std::string& reason, SubscriberEffects& out) {
-  disconnect(now, "control: " + current().name + " is refused: " + reason, out);
+  disconnect(now, "control: " + current().name + " is rejected: " + reason, out);
 }
 
 void Subscriber::on_connected(Time now, SubscriberEffects& out) {
@@ -179,10 +180,11 @@
   auto& logged = logged_refusals_[current_index()];
   const bool repeated = logged == message.reason;
   logged = std::move(message.reason);
-  disconnect(
-      now,
-      repeated ? "" : "control: " + current().name + " refuses: " + sanitize_utf8(logged, kMaxReasonBytes),
-      out);
+  disconnect(now,
+             repeated ? ""
+                      : "control: " + current().name +
+                            " rejects this broker: " + sanitize_utf8(logged, kMaxReasonBytes),
+             out);
 }
 
 std::optional<std::string> Subscriber::check_welcome(const Welcome& welcome) const {
@@ -249,7 +251,7 @@
   if (!applying_ || applying_->id != version.id) return;
   rejected_version_ = applying_->id;
   rejection_reason_ = sanitize_utf8(reason, kMaxReasonBytes);
-  out.emplace_back(LogLine{"control: version " + to_text(rejected_version_) + " refused: " + reason});
+  out.emplace_back(LogLine{"control: version " + to_text(rejected_version_) + " rejected: " + reason});
   on_apply_finished(out);
 }
 
--- a/src/control/version.cpp
+++ b/src/control/version.cpp
@@ -11,16 +11,17 @@
 namespace bellstair::control {
 namespace {
 
+constexpr std::string_view kHexDigits = "0123456789abcdef";
+
 void append_big_endian(std::string& out, std::uint64_t value) {
   for (int shift = 56; shift >= 0; shift -= 8) out += static_cast<char>((value >> shift) & 0xFFU);
 }
 
 std::string to_hex(std::span<const unsigned char> bytes) {
-  constexpr std::string_view kDigits = "0123456789abcdef";
   std::string out;
   for (const auto byte : bytes) {
-    out += kDigits[byte >> 4U];
-    out += kDigits[byte & 0xFU];
+    out += kHexDigits[byte >> 4U];
+    out += kHexDigits[byte & 0xFU];
   }
   return out;
 }
--- a/src/link/channel_manager.cpp
+++ b/src/link/channel_manager.cpp
@@ -75,11 +75,7 @@
   if (found == entries_.end() || found->second->pending_error) return;
   auto& entry = *found->second;
   entry.pending_error = entry.channel.send(body);
-  if (entry.pending_error) {
-    due_.push_back(id);
-  } else if (!std::exchange(entry.drained_due, true)) {
-    due_.push_back(id);
-  }
+  if (entry.pending_error || !std::exchange(entry.drained_due, true)) due_.push_back(id);
 }
 
 std::unique_ptr<ChannelManager::Entry> ChannelManager::remove(Entries::iterator found) {
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -399,7 +399,7 @@
   EXPECT_EQ(b.node->committed()->leader, "c2");
 }
 
-TEST(ControlNode, SendsOneOfferAtATimeAndThenTheNewest) {
+TEST(ControlNode, SendsOneUpdateAtATimeAndThenTheNewest) {
   NodeBench b;
   b.greet(kTool, b.hello(Role::tool, "tool"));
   b.greet(kBroker, b.hello(Role::broker, "b1"));
@@ -414,7 +414,7 @@
   EXPECT_TRUE(b.out.empty());
 }
 
-TEST(ControlNode, AFollowerKeepsWhatItsWriterOffersBeforeItServesIt) {
+TEST(ControlNode, AFollowerPersistsWhatItsLeaderSendsBeforeItServesIt) {
   NodeBench b("c2", {3, "c1"});
   EXPECT_TRUE(logs(b.out, "control node c2: follows c1, epoch 3"));
   EXPECT_EQ(b.node->upstream(), "c1");
@@ -443,7 +443,7 @@
   EXPECT_TRUE(b.say(kUpstream, VersionUpdate{version(2, 99, "c9")}).empty());
 }
 
-TEST(ControlNode, AFollowerRefusesDamagedVersionsAndSecondWriters) {
+TEST(ControlNode, AFollowerRefusesDamagedVersionsAndSecondLeaders) {
   const auto offer = [](Version bad, const std::string& reason) {
     NodeBench b("c2", {3, "c1"}, {{3, "c1"}, version(3, 4)});
     b.dial(kUpstream, "c1", {3, "c1"});
@@ -458,7 +458,7 @@
   offer(version(4, 5, "c9"), "newer epoch");
 }
 
-TEST(ControlNode, TakesVersionsFromItsWriterAlone) {
+TEST(ControlNode, TakesVersionsFromItsLeaderAlone) {
   NodeBench b("c2", {3, "c1"});
   b.greet(kOther, b.hello(Role::node, "c1"));
   EXPECT_TRUE(refused(b.say(kOther, VersionUpdate{version(3, 5)}), kOther, "may not send"));
@@ -470,7 +470,7 @@
       refused(b.say(kUpstream + 10, VersionUpdate{version(3, 5)}), kUpstream + 10, "before its first"));
 }
 
-TEST(ControlNode, ANewerReignStopsAWriterAtOnceAndIsToldOnceOnDisk) {
+TEST(ControlNode, ANewerTermStopsALeaderAtOnceAndIsToldOnceOnDisk) {
   NodeBench b;
   b.greet(kTool, b.hello(Role::tool, "tool"));
   b.greet(kBroker, b.hello(Role::broker, "b1"));
@@ -494,7 +494,7 @@
   EXPECT_EQ(sent<Pong>(b.say(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{4, "c2"}));
 }
 
-TEST(ControlNode, ARestartedWriterOfAnOlderEpochDoesNotWrite) {
+TEST(ControlNode, ARestartedLeaderOfAnOlderEpochDoesNotWrite) {
   NodeBench b("c1", {3, "c1"}, {{4, "c2"}, version(3, 9)});
   EXPECT_FALSE(b.node->is_leader());
   EXPECT_EQ(b.node->upstream(), "c2");
@@ -513,7 +513,7 @@
   EXPECT_TRUE(b.node->is_leader());
 }
 
-TEST(ControlNode, ASecondWriterOfOneEpochIsRefusedAndLogged) {
+TEST(ControlNode, ASecondLeaderOfOneEpochIsRefusedAndLogged) {
   NodeBench b;
   b.greet(kOther, b.hello(Role::node, "c2", {3, "c2"}));
   EXPECT_TRUE(refused(b.out, kOther, "epoch 3 has two writers: c1 here, c2 there"));
@@ -535,7 +535,7 @@
   EXPECT_EQ(follower.node->upstream(), "c1");
 }
 
-TEST(ControlNode, AFollowerLeavesAWriterOfAnOlderEpoch) {
+TEST(ControlNode, AFollowerLeavesALeaderOfAnOlderEpoch) {
   NodeBench b("c3", {4, "c1"});
   b.dial(kUpstream, "c1", {3, "c1"});
   EXPECT_TRUE(refused(b.out, kUpstream, "epoch 3 only"));
@@ -544,14 +544,14 @@
   EXPECT_TRUE(refused(b.say(kUpstream + 10, Pong{{3, "c1"}}), kUpstream + 10, "epoch 3 only"));
 }
 
-TEST(ControlNode, TheOperatorsFileNamesAnotherWriter) {
+TEST(ControlNode, TheOperatorsFileNamesAnotherLeader) {
   NodeBench b("c2", {3, "c1"}, {{3, "c1"}, version(3, 9)});
   b.dial(kUpstream, "c1", {3, "c1"});
   auto options = b.options;
   options.term = {2, "c2"};
   b.out.clear();
   b.node->reconfigure(b.now, options, b.out);
-  EXPECT_TRUE(logs(b.out, "names epoch 2 of c2, which is refused"));
+  EXPECT_TRUE(logs(b.out, "names epoch 2 of c2, which is rejected"));
   EXPECT_EQ(b.node->upstream(), "c1");
   options.term = {4, "c2"};
   b.out.clear();
@@ -563,7 +563,7 @@
   EXPECT_TRUE(logs(b.out, "control node c2: writes, epoch 4"));
 }
 
-TEST(ControlNode, AWriterWithoutItsDiskDoesNotWriteOverItsOwnEpoch) {
+TEST(ControlNode, ALeaderWithoutItsDiskDoesNotWriteOverItsOwnEpoch) {
   NodeBench b;
   b.greet(kTool, b.hello(Role::tool, "tool"));
   b.greet(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 17}, version(3, 17).digest));
@@ -754,7 +754,7 @@
   EXPECT_NEAR(moved, 233, 60);
 }
 
-TEST(ControlSubscriber, OffersItsLastVersionWithoutAnyNode) {
+TEST(ControlSubscriber, AppliesItsLastVersionWithoutAnyNode) {
   SubscriberBench b(version(3, 17));
   ASSERT_EQ(all_of<ApplyVersion>(b.out).size(), 1U);
   const auto dial = b.out;
@@ -774,7 +774,7 @@
   EXPECT_FALSE(damaged.dialled().empty());
 }
 
-TEST(ControlSubscriber, OffersVersionsInRisingOrderAndReportsThem) {
+TEST(ControlSubscriber, AppliesVersionsInRisingOrderAndReportsThem) {
   SubscriberBench b;
   EXPECT_TRUE(says(b.connect(), "control: connected to c"));
   EXPECT_EQ(all_of<ApplyVersion>(b.say(VersionUpdate{version(3, 5)})).size(), 1U);
@@ -792,7 +792,7 @@
   EXPECT_EQ(all_of<ApplyVersion>(b.out).at(0).version.id, (VersionId{3, 8}));
 }
 
-TEST(ControlSubscriber, RefusesDamagedVersionsOldEpochsAndSecondWriters) {
+TEST(ControlSubscriber, RefusesDamagedVersionsOldEpochsAndSecondLeaders) {
   const auto offer = [](Version bad, const std::string& reason) {
     SubscriberBench b(version(3, 4));
     const auto dial = b.out;
@@ -824,7 +824,7 @@
   b.connect();
   b.say(VersionUpdate{version(3, 5)});
   b.applied(version(3, 5), "doc:3:4: no such class");
-  EXPECT_TRUE(says(b.out, "control: version 3.5 refused: doc:3:4: no such class"));
+  EXPECT_TRUE(says(b.out, "control: version 3.5 rejected: doc:3:4: no such class"));
   EXPECT_EQ(sent<BrokerReport>(b.out).at(0).rejected_version, (VersionId{3, 5}));
   b.now += 10s;
   b.out.clear();
@@ -877,7 +877,7 @@
   EXPECT_NE(b.dialled(), b.options.nodes[*on].name);
 }
 
-TEST(ControlSubscriber, TellsAFarewellOnce) {
+TEST(ControlSubscriber, LogsAGoAwayOnce) {
   SubscriberBench b;
   int told = 0;
   for (int i = 0; i < 40; ++i) {
@@ -885,7 +885,7 @@
       b.out.clear();
       b.it->on_connected(b.now, b.out);
       b.say(GoAway{"fleet tunis, this one is sfax"});
-      told += says(b.out, "refuses: fleet tunis") ? 1 : 0;
+      told += says(b.out, "rejects this broker: fleet tunis") ? 1 : 0;
     }
     if (b.dialled().empty()) b.tick(4s);
   }
--- a/tests/control_tool_test.cpp
+++ b/tests/control_tool_test.cpp
@@ -96,7 +96,7 @@
   EXPECT_EQ(tool("config status --file " + operators).first, 4);
 }
 
-TEST_F(ControlToolTest, ADeposedWriterIsNotPublishedTo) {
+TEST_F(ControlToolTest, ADeposedLeaderIsNotPublishedTo) {
   const auto old = file("old.hcl", 1, "c1"), now = file("now.hcl", 2, "c2");
   const auto other = node(now, "c2"), deposed = node(old, "c1");
   other->said("control node c2: writes, epoch 2");
--- a/tests/faults/last_version_test.cpp
+++ b/tests/faults/last_version_test.cpp
@@ -59,7 +59,7 @@
     const auto before = content(fleet);
     faults.fail(call, 1, {error});
     EXPECT_EQ(fleet.publish(tenant("gamma")).code, 0);
-    fleet.broker(0).said("is not kept for a restart");
+    fleet.broker(0).said("is not persisted for a restart");
     EXPECT_EQ(content(fleet), before);
     EXPECT_EQ(fleet.ask(0, "gamma"), "") << "it is in force all the same";
     faults.stop(call);
--- a/tests/faults/store_test.cpp
+++ b/tests/faults/store_test.cpp
@@ -11,7 +11,7 @@
 
 // A commit may fail after its point of no return, as when the folder cannot be synced: the version is there,
 // and its number is taken.
-TEST(StoreFaults, AWriterWhoseDiskFailsForAWhileKeepsItsWordAndGoesOn) {
+TEST(StoreFaults, ALeaderWhoseDiskFailsForAWhileKeepsItsWordAndGoesOn) {
   Faults faults(3);
   FleetOptions options;
   options.nodes = {{"c1", "north"}};
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -28,7 +28,7 @@
 // machine that is busy.
 constexpr auto kMovesOn = control::Subscriber::kNodeTimeout + 4 * control::Subscriber::kConnectTimeout + 4s;
 
-TEST(Faults, AWriterKilledBeforeItHasKeptADocumentLosesNothingElse) {
+TEST(Faults, ALeaderKilledBeforeItHasKeptADocumentLosesNothingElse) {
   Fleet fleet;
   fleet.all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
@@ -51,7 +51,7 @@
   for (std::size_t i = 0; i < fleet.brokers(); ++i) EXPECT_EQ(fleet.ask(i, "three"), "");
 }
 
-TEST(Faults, WhatAWriterHadKeptWhenItWasKilledIsInForceEverywhereOnceItReturns) {
+TEST(Faults, WhatALeaderHadKeptWhenItWasKilledIsInForceEverywhereOnceItReturns) {
   Fleet fleet;
   fleet.all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
@@ -77,7 +77,7 @@
 
 // Whenever it dies, a version is in force nowhere or everywhere in the end, and is never lost once it was
 // told.
-TEST(Faults, AWriterKilledAtAnyMomentOfAPublishLosesNoVersionThatWasTold) {
+TEST(Faults, ALeaderKilledAtAnyMomentOfAPublishLosesNoVersionThatWasTold) {
   FleetOptions options;
   options.last = true;
   Fleet fleet(options);
@@ -125,7 +125,7 @@
 }
 
 // The connections stand, and nothing comes: only silence shows it.
-TEST(Faults, BrokersOfAWriterThatStandsStillMoveOnWithinTheStatedSilence) {
+TEST(Faults, BrokersOfALeaderThatStandsStillMoveOnWithinTheStatedSilence) {
   FleetOptions options;
   options.nodes = {{"c1", "north"}, {"c2", "south"}};
   Fleet fleet(options);
@@ -200,7 +200,7 @@
 }
 
 // The follower hears nothing of the writer, though the writer hears it.
-TEST(Faults, AFollowerCutOneWayFromItsWriterCatchesUpOnceHealed) {
+TEST(Faults, AFollowerCutOneWayFromItsLeaderCatchesUpOnceHealed) {
   Fleet fleet;
   fleet.all_connected();
   fleet.move(0, "c1");
@@ -257,7 +257,7 @@
 }
 
 // No file of it may grow any more, as on a disk that is full.
-TEST(Faults, AWriterWhoseDiskIsFullRefusesWhatItCannotKeepAndGoesOnOnceThereIsRoom) {
+TEST(Faults, ALeaderWhoseDiskIsFullRefusesWhatItCannotKeepAndGoesOnOnceThereIsRoom) {
   Fleet fleet;
   fleet.all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
@@ -280,7 +280,7 @@
 
 // The writer is cut off from all; the operator names another. The old one knows of nothing, and still takes
 // what it is given: nobody ever has it in force.
-TEST(Faults, AnOldWriterThatReturnsIsRefusedByAll) {
+TEST(Faults, AnOldLeaderThatReturnsIsRefusedByAll) {
   Fleet fleet;
   fleet.all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
@@ -320,7 +320,7 @@
 }
 
 // A node without its disk, and with a file that names itself as the writer of an epoch that has one.
-TEST(Faults, ASecondWriterOfOneEpochIsRefusedByAll) {
+TEST(Faults, ASecondLeaderOfOneEpochIsRefusedByAll) {
   Fleet fleet;
   fleet.all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
@@ -387,7 +387,7 @@
 }
 
 // In a node's place there is one that lies. Of all that it offers, the first alone is good.
-TEST(Strangers, ABrokerTakesNoVersionThatIsDamagedOlderOrAnotherWriters) {
+TEST(Strangers, ABrokerTakesNoVersionThatIsDamagedOlderOrAnotherLeaders) {
   FleetOptions options;
   options.brokers = 1;
   Fleet fleet(options);
@@ -439,7 +439,7 @@
 }
 
 // The same in the writer's place, before a follower.
-TEST(Strangers, AFollowerTakesNoVersionThatIsDamagedAndFollowsNoOlderOrSecondWriter) {
+TEST(Strangers, AFollowerTakesNoVersionThatIsDamagedAndFollowsNoOlderOrSecondLeader) {
   FleetOptions options;
   options.nodes = {{"c1", "north"}, {"c2", "south"}};
   options.brokers = 0;
@@ -474,11 +474,11 @@
   fleet.network.place("c1", liar.address());
   fleet.node("c2").said("version 1.5 kept");
   fleet.node("c2").said("version 1.6 is damaged");
-  fleet.node("c2").said("leaves c1: epoch 1 has two writers");
+  fleet.node("c2").said("disconnects from c1: epoch 1 has two writers");
   next = true;
   fleet.write_files({2, "c1"}, {"c2"});
   fleet.node("c2").signal(SIGHUP);
-  fleet.node("c2").said("leaves c1: it knows of epoch 1 only");
+  fleet.node("c2").said("disconnects from c1: it knows of epoch 1 only");
   Operator tool(fleet, "c2");
   tool.send(control::StatusRequest{});
   EXPECT_EQ(tool.expect<control::NodeStatus>().committed, (VersionId{1, 5}));
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -170,7 +170,7 @@
     EXPECT_EQ(broker["refused"], "1.2");
   }
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
-    fleet.broker(i).said("control: version 1.2 refused: ");
+    fleet.broker(i).said("control: version 1.2 rejected: ");
     EXPECT_EQ(fleet.ask(i, "new"), "");
     EXPECT_NE(fleet.ask(i, "newer"), "");
   }
