--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -28,8 +28,8 @@
   Request* request = requests_.find(progress.request);
   if (engine == nullptr || request == nullptr || progress.attempt >= request->attempts.size()) return;
   auto& attempt = request->attempts[progress.attempt];
-  engine->last_heard_at = context_.now;
-  attempt.last_heard_at = context_.now;
+  engine->last_seen_at = context_.now;
+  attempt.last_seen_at = context_.now;
   engine->record_alive(context_.now, attempt.sent_at);
   const bool blocked = progress.kind == ProgressKind::waiting && progress.amount > kWaitsForDataGroup;
   if (blocked || is_too_slow(*request, progress)) dispatcher_.withdraw(progress.request, progress.attempt);
@@ -51,7 +51,7 @@
 }
 
 void AttemptMonitor::check_engine(Engine& engine) {
-  const Time silence = context_.now - engine.last_heard_at;
+  const Time silence = context_.now - engine.last_seen_at;
   const Time progress_interval = context_.settings.progress_interval;
   const Time max_progress_gap = kMaxMissedIntervals * progress_interval;
   double overdue_answers = 0;
@@ -64,7 +64,7 @@
       overdue_answers += overdue(request, attempt, silence);
       continue;
     }
-    if (context_.now - attempt.last_heard_at <= max_progress_gap || !attempt.awaited()) continue;
+    if (context_.now - attempt.last_seen_at <= max_progress_gap || !attempt.awaited()) continue;
     if (silence > max_progress_gap) {
       outliers_.eject(engine, EjectionReason::no_response);
     } else {
@@ -81,12 +81,12 @@
   return std::min(to_seconds(age) / latency, kMaxOverduePerAttempt);
 }
 
-void AttemptMonitor::discount_pause() {
+void AttemptMonitor::discount_stall() {
   for (const auto id : fleet_.busy()) {
     auto& engine = fleet_.at(id);
-    engine.last_heard_at += context_.pause;
+    engine.last_seen_at += context_.stall;
     for (const auto& [request, attempt] : engine.in_flight)
-      requests_.at(request).attempts[attempt].last_heard_at += context_.pause;
+      requests_.at(request).attempts[attempt].last_seen_at += context_.stall;
   }
 }
 
--- a/src/policy/attempt_monitor.hpp
+++ b/src/policy/attempt_monitor.hpp
@@ -30,7 +30,7 @@
   void check();
 
   /// Counts the broker's own stall as no silence of its engines: all waits begin that much later.
-  void discount_pause();
+  void discount_stall();
 
  private:
   void check_engine(Engine& engine);
--- a/src/policy/context.hpp
+++ b/src/policy/context.hpp
@@ -18,7 +18,7 @@
   const Settings& settings;
   std::mt19937_64 random;
   Time now{};                              // of this call
-  Time pause{};                            // without a call, before this one; 0 unless the broker was stalled
+  Time stall{};                            // without a call, before this one; 0 unless the broker was stalled
   std::vector<Action>* actions = nullptr;  // of this call
 
   void emit(Action action) const { actions->push_back(std::move(action)); }
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -53,8 +53,9 @@
 void Dispatcher::block_ordering_key(const Request& request, const AttemptOutcome& outcome) {
   const bool may_run = may_still_run(outcome.result);
   if (!may_run && outcome.may_run_for <= Time::zero()) return;
-  const Time hold = may_run ? context_.settings.ordering_key_hold : Time::zero();
-  in_.ordering_keys.block(request.arrival.ordering_key, context_.now + std::max(hold, outcome.may_run_for));
+  const Time minimum = may_run ? context_.settings.ordering_key_hold : Time::zero();
+  in_.ordering_keys.block(request.arrival.ordering_key,
+                          context_.now + std::max(minimum, outcome.may_run_for));
 }
 
 void Dispatcher::withdraw(RequestId id, std::size_t attempt) {
--- a/src/policy/endpoint_scorer.cpp
+++ b/src/policy/endpoint_scorer.cpp
@@ -48,7 +48,7 @@
 }
 
 bool EndpointScorer::has_capacity(const Engine& engine, ClassIndex cls) const {
-  if (slow_start_.is_warming_up(engine)) return true;  // slow start's turns are the tighter limit
+  if (slow_start_.is_warming_up(engine)) return true;  // slow start's permits are the tighter limit
   const double added = kHalfQuery * context_.settings.classes[cls].threads;
   const double factor = limit_factor(cls);
   const double cores = cores_of(context_.settings, engine);
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -2,15 +2,14 @@
 
 #include <algorithm>
 #include <chrono>
-#include <ranges>
 
 namespace bellstair::policy {
 namespace {
 constexpr std::size_t kMaxComparedFleet = kMaxRecentReports;  // engines; larger fleets are sampled
 constexpr std::size_t kRandomCandidates = 2;
 constexpr Time kHealthCheckWait = std::chrono::milliseconds(40);
-constexpr int kHealthChecksForHeavyRequest = 4;  // others leave so many to the next heavy one
-constexpr double kHeavyFraction = 0.5;           // of the heaviest class's work, above which one is heavy
+constexpr std::size_t kHealthChecksForHeavyRequest = 4;  // others leave so many to the next heavy one
+constexpr double kHeavyFraction = 0.5;  // of the heaviest class's work, above which one is heavy
 // Scores differ at random by up to this many threads a core, so that brokers don't choose alike.
 constexpr double kMinScoreNoise = 0.01;
 constexpr double kMaxScoreNoise = 4.0;  // added where reports are not believed at all
@@ -37,7 +36,7 @@
   if (ready.size() <= kMaxComparedFleet) return ready;
   candidates_.clear();
   ++comparison_;
-  for (auto* engine : in_.slow_start.engines_in_turn()) add_candidate(engine);
+  for (auto* engine : in_.slow_start.engines_with_permit()) add_candidate(engine);
   for (std::size_t i = 0; i < kRandomCandidates; ++i) add_candidate(ready[context_.random() % ready.size()]);
   if (!in_.scorer.ignores_affinity()) {
     const auto& preferred = in_.affinity.preferred_engines(request.arrival.data_group);
@@ -62,10 +61,11 @@
   awaited_until = context_.now;
   const double work = in_.classes[request.arrival.cls].estimates.mean_work();
   const bool heavy = work > kHeavyFraction * in_.classes.heaviest_work();
-  const int checks = heavy ? kHealthChecksForHeavyRequest : 1;
-  const double reserve = heavy ? 0 : kHealthChecksForHeavyRequest - 1;
-  for (auto* engine : engines | std::views::take(checks)) {
-    if (in_.health_checker.check_if_stale(*engine, reserve)) awaited_until = context_.now + kHealthCheckWait;
+  const std::size_t checks = std::min(engines.size(), heavy ? kHealthChecksForHeavyRequest : 1);
+  const double reserve = heavy ? 0 : static_cast<double>(kHealthChecksForHeavyRequest - 1);
+  for (std::size_t i = 0; i < checks; ++i) {
+    if (in_.health_checker.check_if_stale(*engines[i], reserve))
+      awaited_until = context_.now + kHealthCheckWait;
   }
   return awaited_until > context_.now;
 }
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -56,7 +56,7 @@
 }
 
 void Fleet::begin_attempt(Engine& engine, AttemptKey attempt, unsigned threads) {
-  if (engine.in_flight.empty()) engine.last_heard_at = context_.now;
+  if (engine.in_flight.empty()) engine.last_seen_at = context_.now;
   engine.in_flight.insert(attempt);
   engine.threads += threads;
   ++engine.queries;
--- a/src/policy/gossip_codec.hpp
+++ b/src/policy/gossip_codec.hpp
@@ -1,8 +1,7 @@
-// The bytes of the messages between brokers.
-//
-// Numbers have their low byte first. 'o', then for each engine its id (4 bytes) and the sender's threads
-// there (1). Or 'r', the sender's mean threads (2) and 16 over the seconds that the message stands for (2),
-// then for each report the engine (4), its load in 32nds (1) and the report's age in ticks (1).
+// The bytes of the messages between brokers; numbers have their low byte first. 'o', then for each engine its
+// id (4 bytes) and the sender's threads there (1). Or 'r', the sender's mean threads (2) and 16 over the
+// seconds that the message stands for (2), then for each report the engine (4), its load in 32nds (1) and its
+// age in ticks (1).
 #pragma once
 
 #include <optional>
--- a/src/policy/health_checker.cpp
+++ b/src/policy/health_checker.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 HealthChecker::HealthChecker(const Context& context)
-    : context_(context), reports_tell_load_(reports_tell_load(context.settings)) {}
+    : context_(context), reports_have_load_(reports_have_load(context.settings)) {}
 
 void HealthChecker::record_request() { tokens_ = std::min(tokens_ + kChecksPerRequest, kMaxSavedChecks); }
 
@@ -26,9 +26,9 @@
 }
 
 bool HealthChecker::check_if_stale(Engine& engine, double reserve) {
-  const Time last_word = std::max(engine.reported_at, engine.health_checked_at);
-  if (context_.now < last_word + kStaleReportAge) return false;
-  return reports_tell_load_ && tokens_ >= 1 + reserve && check(engine);
+  const Time last_contact = std::max(engine.reported_at, engine.health_checked_at);
+  if (context_.now < last_contact + kStaleReportAge) return false;
+  return reports_have_load_ && tokens_ >= 1 + reserve && check(engine);
 }
 
 }  // namespace bellstair::policy
--- a/src/policy/health_checker.hpp
+++ b/src/policy/health_checker.hpp
@@ -21,7 +21,7 @@
 
  private:
   const Context& context_;
-  const bool reports_tell_load_;
+  const bool reports_have_load_;
   double tokens_ = 0;  // checks
 };
 
--- a/src/policy/hedging_policy.cpp
+++ b/src/policy/hedging_policy.cpp
@@ -25,7 +25,7 @@
   const auto& sent = request.attempts[attempt];
   const double age = to_seconds(context_.now - sent.sent_at) / classes_.expected_latency(request);
   if (age < kHedgeAfter) return;
-  const bool unheard = sent.last_heard_at == sent.sent_at;
+  const bool unheard = sent.last_seen_at == sent.sent_at;
   if (unheard && age > kWithdrawUnheardAfter) return dispatcher_.withdraw(id, attempt);
   if (!may_hedge(request, attempt)) return;
   for (std::size_t earlier = 0; earlier < attempt; ++earlier) requests_.cancel(request, earlier);
--- a/src/policy/latency_monitor.cpp
+++ b/src/policy/latency_monitor.cpp
@@ -31,7 +31,7 @@
 
 void LatencyMonitor::recover_unheard(const std::vector<Engine*>& engines) const {
   for (auto* engine : engines) {
-    if (context_.now <= engine->last_heard_at + kUnheardTimeout) continue;
+    if (context_.now <= engine->last_seen_at + kUnheardTimeout) continue;
     engine->latency_ratio = std::min(engine->latency_ratio, kMinSlowness * std::max(1.0, fleet_ratio_));
   }
 }
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -15,7 +15,7 @@
 constexpr double kPeerDecaySeconds = 1.5;         // time constant of a message's weight
 constexpr double kOwnThreadsDecaySeconds = 5.0;   // time constant of the slow average
 constexpr unsigned kMinPeerMessages = 10;         // before they tell the fleet's level
-constexpr double kWarmingUpLevelFraction = 0.5;   // of the fleet's level, that turns fill an engine to
+constexpr double kWarmingUpLevelFraction = 0.5;   // of the fleet's level, that slow start fills an engine to
 constexpr double kThreadsPerCoreAtFullUse = 1.6;  // threads a core where a report gives utilisation 1
 constexpr double kFullUtilisation = 0.95;         // above it, utilisation tells only "full"
 constexpr double kMinReportConfidence = 0.25;     // slow engines must still be told apart
@@ -24,7 +24,7 @@
 constexpr double kScatterStep = 0.05;  // weight of one report
 }  // namespace
 
-bool reports_tell_load(const Settings& settings) {
+bool reports_have_load(const Settings& settings) {
   return std::ranges::any_of(settings.load_report_fields, [](LoadReportField field) {
     return field == LoadReportField::inflight || field == LoadReportField::util;
   });
@@ -36,7 +36,7 @@
       fleet_(fleet),
       slow_start_(slow_start),
       classes_(classes),
-      uses_reports_(reports_tell_load(context.settings)) {
+      uses_reports_(reports_have_load(context.settings)) {
   const auto& settings = context.settings.classes;
   for (const auto& cls : settings) threads_per_query_ += cls.threads / static_cast<double>(settings.size());
 }
@@ -58,7 +58,7 @@
   // Queries that wait for memory are in flight, but on no core: while some are idle, cores tell better.
   if (utilisation >= 0 && utilisation < kFullUtilisation) threads = std::min(threads, by_cores);
   if (threads < 0) return;
-  record_engine_threads(engine, threads, std::max(engine.reported_at, context_.now - context_.pause));
+  record_engine_threads(engine, threads, std::max(engine.reported_at, context_.now - context_.stall));
 }
 
 void LoadEstimator::record_engine_threads(Engine& engine, double threads, Time at) {
@@ -94,9 +94,9 @@
 
 void LoadEstimator::record_peer_mean(double threads, double interval_seconds) {
   const double elapsed = to_seconds(context_.now - std::exchange(peer_message_at_, context_.now));
-  const double kept = std::exp(-elapsed / kPeerDecaySeconds);
-  peer_interval_sum_ = kept * peer_interval_sum_ + interval_seconds;
-  peer_threads_sum_ = kept * peer_threads_sum_ + interval_seconds * threads;
+  const double decay = std::exp(-elapsed / kPeerDecaySeconds);
+  peer_interval_sum_ = decay * peer_interval_sum_ + interval_seconds;
+  peer_threads_sum_ = decay * peer_threads_sum_ + interval_seconds * threads;
   own_threads_at_peer_ = own_threads_fast_;
   if (++peer_messages_ < kMinPeerMessages) return;
   peer_level_ =
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -21,7 +21,7 @@
 inline constexpr std::size_t kMaxRecentReports = 12;
 
 /// Whether reports have a field that tells the threads running at an engine.
-bool reports_tell_load(const Settings& settings);
+bool reports_have_load(const Settings& settings);
 
 /// Estimates threads at engines, and the fleet's load level in threads a core.
 class LoadEstimator {
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -45,8 +45,8 @@
 // answered within its objective any more is rejected at once, so that no burst of such work follows.
 bool LoadShedder::is_overdue(const RequestArrival& arrival) {
   auto& longest = longest_time_left_[arrival.cls];
-  if (context_.pause == Time::zero()) longest = std::max(longest, arrival.time_left);
-  const double waited = to_seconds(std::clamp(longest - arrival.time_left, Time::zero(), context_.pause));
+  if (context_.stall == Time::zero()) longest = std::max(longest, arrival.time_left);
+  const double waited = to_seconds(std::clamp(longest - arrival.time_left, Time::zero(), context_.stall));
   const double latency = classes_[arrival.cls].estimates.mean_latency();
   return waited > 0 && waited + latency > full_objective(arrival.cls);
 }
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -29,7 +29,7 @@
 }
 
 void OutcomeRecorder::record_served(Engine& engine, const Request& request, const AttemptOutcome& outcome) {
-  engine.last_heard_at = context_.now;
+  engine.last_seen_at = context_.now;
   engine.record_alive(context_.now, request.attempts[outcome.attempt].sent_at);
   outliers_.record_success(engine);
   blame_engines_with_errors(request, engine);
@@ -51,7 +51,7 @@
 
 void OutcomeRecorder::record_rejected(Engine& engine) {
   if (load_.level() < 0) return outliers_.eject(engine, EjectionReason::at_capacity);
-  engine.last_heard_at = context_.now;
+  engine.last_seen_at = context_.now;
   const double threads = kThreadsPerCoreAtCapacity * cores_of(context_.settings, engine);
   load_.record_engine_threads_only(engine, threads, context_.now);
 }
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -18,7 +18,7 @@
   std::uint16_t zone = 0;  // of the engine, which may be forgotten by now
   std::uint16_t cell = 0;
   Time sent_at{};
-  Time last_heard_at{};  // when it was sent, or its last progress event came
+  Time last_seen_at{};  // when it was sent, or its last progress event came
   bool in_flight = true;
   bool cancelled = false;  // a cancellation was sent
   AttemptResult result = AttemptResult::not_started;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -16,7 +16,7 @@
 bool RetryPolicy::may_retry(const Request& request) const {
   const auto& settings = context_.settings;
   const bool has_engine = std::ranges::any_of(fleet_.ready(), [&](const Engine* engine) {
-    return rules_.may_be_placed(request, *engine) && rules_.may_repeat(request, *engine);
+    return rules_.may_be_placed(request, *engine) && rules_.allows_attempt_at(request, *engine);
   });
   if (!has_engine) return false;
   // Without hedging a retry waits until the last attempt is surely over.
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -80,11 +80,11 @@
  private:
   void begin_call(Time now, std::vector<Action>& out) {
     const Time previous = started_ ? context_.now : now;
-    context_.pause = now > previous + kStallThreshold ? now - previous : Time::zero();
+    context_.stall = now > previous + kStallThreshold ? now - previous : Time::zero();
     context_.now = now;
     context_.actions = &out;
     if (!started_) start();
-    monitor_.discount_pause();
+    monitor_.discount_stall();
   }
 
   void start() {
@@ -159,7 +159,7 @@
     shed_overdue();
     monitor_.check();
     check_engine_health();
-    draw_slow_start_turns(elapsed_seconds);
+    draw_slow_start_permits(elapsed_seconds);
     gossip_.send();
     if (context_.now >= sampled_at_ + kControlPeriod) sample();
     retry_budget_.forget_expired();
@@ -177,8 +177,8 @@
   }
 
   void shed_overdue() {
-    for (ClassIndex cls = 0; cls < classes_.size(); ++cls) {
-      const auto queue = classes_[cls].queue;
+    for (std::size_t c = 0; c < classes_.size(); ++c) {
+      const auto queue = classes_[static_cast<ClassIndex>(c)].queue;  // a copy: finish() changes it
       for (const auto id : queue) {
         auto& request = requests_.at(id);
         if (context_.now - request.queued_at > shedder_.max_queue_time(request))
@@ -193,9 +193,9 @@
     for (auto* engine : fleet_.ready()) health_checker_.check_if_stale(*engine, 0);
   }
 
-  void draw_slow_start_turns(double elapsed_seconds) {
+  void draw_slow_start_permits(double elapsed_seconds) {
     fleet_.update_warm_cores();
-    slow_start_.draw_turns(
+    slow_start_.draw_permits(
         elapsed_seconds, fleet_.ready(),
         {classes_.lightest_work(), classes_.heaviest_work(), classes_.mean_arriving_work()});
   }
@@ -218,11 +218,11 @@
     });
   }
 
-  // Requests that wait for their key's turn, or for the end of an attempt, are passed over.
+  // Requests that wait for an earlier one of their key, or for the end of an attempt, are passed over.
   bool release_first(ClassState& cls) {
     for (auto it = cls.queue.begin(); it != cls.queue.end(); ++it) {
       auto& request = requests_.at(*it);
-      if (!rules_.is_in_turn(request) || !rules_.may_add_attempt(request)) continue;
+      if (!rules_.is_next_for_key(request) || !rules_.may_add_attempt(request)) continue;
       Engine* engine = selector_.select(request);
       if (engine == nullptr && class_settings(settings_, request).locks_data_group) continue;
       if (engine == nullptr || !dispatcher_.send(request, *engine)) return false;
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -27,7 +27,8 @@
 bool SendRules::may_send(const Request& request, Engine& engine) const {
   if (!engine.ready || !request.open || context_.now >= request.answer_by) return false;
   if (request.attempts.size() >= context_.settings.max_attempts || !may_add_attempt(request)) return false;
-  if (!may_be_placed(request, engine) || !may_repeat(request, engine) || !is_in_turn(request)) return false;
+  if (!may_be_placed(request, engine) || !allows_attempt_at(request, engine) || !is_next_for_key(request))
+    return false;
   const bool is_retry = !request.attempts.empty();
   if (is_retry && !retry_budget_.allows_retry()) return false;
   return slow_start_.allows(engine, slow_start_work(request));
@@ -43,7 +44,7 @@
   return allows(cls.zones, engine.endpoint.zone) && allows(cls.kinds, engine.endpoint.kind);
 }
 
-bool SendRules::may_repeat(const Request& request, const Engine& engine) const {
+bool SendRules::allows_attempt_at(const Request& request, const Engine& engine) const {
   const auto& cls = class_settings(context_.settings, request);
   return std::ranges::all_of(request.attempts, [&](const Attempt& attempt) {
     const EarlierAttempt earlier{attempt.sent_at, attempt.zone, attempt.cell, attempt.proven_not_run()};
@@ -51,7 +52,7 @@
   });
 }
 
-bool SendRules::is_in_turn(const Request& request) const {
+bool SendRules::is_next_for_key(const Request& request) const {
   if (!is_ordered(context_.settings, request)) return true;
   const auto key = request.arrival.ordering_key;
   if (!ordering_keys_.is_first(key, request.arrival.request)) return false;
--- a/src/policy/send_rules.hpp
+++ b/src/policy/send_rules.hpp
@@ -31,9 +31,9 @@
   /// Whether its class may run in the engine's zone and on its kind of machine.
   [[nodiscard]] bool may_be_placed(const Request& request, const Engine& engine) const;
   /// Whether its earlier attempts allow one at this engine.
-  [[nodiscard]] bool may_repeat(const Request& request, const Engine& engine) const;
+  [[nodiscard]] bool allows_attempt_at(const Request& request, const Engine& engine) const;
   /// Whether its ordering key allows it to go.
-  [[nodiscard]] bool is_in_turn(const Request& request) const;
+  [[nodiscard]] bool is_next_for_key(const Request& request) const;
 
   /// Core-seconds that slow start counts: a small query is charged as its class's usual one.
   [[nodiscard]] double slow_start_work(const Request& request) const;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -50,29 +50,29 @@
   engine.slow_start_budget.charge(context_.now, work, capacity(engine).even_share());
 }
 
-void SlowStart::draw_turns(double elapsed_seconds, const std::vector<Engine*>& engines,
-                           const slow_start::Demand& demand) {
+void SlowStart::draw_permits(double elapsed_seconds, const std::vector<Engine*>& engines,
+                             const slow_start::Demand& demand) {
   const Time window = context_.settings.slow_start_overload_window;
   for (auto* engine : engines) {
     if (!is_limited(*engine)) continue;
-    const auto rate = slow_start::turn_rate(capacity(*engine), demand);
+    const auto rate = slow_start::permit_rate(capacity(*engine), demand);
     const double seconds = std::min(elapsed_seconds, slow_start::kMaxElapsedSeconds);
-    const bool drawn = context_.uniform() < seconds * rate.work_per_second / rate.work_per_turn;
+    const bool drawn = context_.uniform() < seconds * rate.work_per_second / rate.work_per_permit;
     if (!drawn || in_first_window()) continue;
-    if (!engine->slow_start_budget.may_begin_turn(context_.now, window)) continue;
-    engine->slow_start_budget.begin_turn(context_.now, rate.work_per_turn);
-    engines_in_turn_.push_back(engine);
+    if (!engine->slow_start_budget.may_grant_permit(context_.now, window)) continue;
+    engine->slow_start_budget.grant_permit(context_.now, rate.work_per_permit);
+    engines_with_permit_.push_back(engine);
   }
 }
 
-const std::vector<Engine*>& SlowStart::engines_in_turn() {
-  std::erase_if(engines_in_turn_,
-                [this](const Engine* engine) { return !engine->slow_start_budget.in_turn(context_.now); });
-  return engines_in_turn_;
+const std::vector<Engine*>& SlowStart::engines_with_permit() {
+  std::erase_if(engines_with_permit_,
+                [this](const Engine* engine) { return !engine->slow_start_budget.has_permit(context_.now); });
+  return engines_with_permit_;
 }
 
 void SlowStart::forget_removed() {
-  std::erase_if(engines_in_turn_, [](const Engine* engine) { return is_removable(*engine); });
+  std::erase_if(engines_with_permit_, [](const Engine* engine) { return is_removable(*engine); });
 }
 
 }  // namespace bellstair::policy
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -25,13 +25,13 @@
   [[nodiscard]] bool allows(Engine& engine, double work) const;
   void charge(Engine& engine, double work) const;
 
-  /// Begins turns at random, for `elapsed_seconds` since the last draw. One random draw for each engine that
-  /// is warming up.
-  void draw_turns(double elapsed_seconds, const std::vector<Engine*>& engines,
-                  const slow_start::Demand& demand);
+  /// Grants permits at random, for `elapsed_seconds` since the last draw. One random draw for each engine
+  /// that is warming up.
+  void draw_permits(double elapsed_seconds, const std::vector<Engine*>& engines,
+                    const slow_start::Demand& demand);
 
-  /// Engines at which this broker has a turn now.
-  [[nodiscard]] const std::vector<Engine*>& engines_in_turn();
+  /// Engines at which this broker has a permit now.
+  [[nodiscard]] const std::vector<Engine*>& engines_with_permit();
 
   /// Forgets engines that are about to be removed.
   void forget_removed();
@@ -42,7 +42,7 @@
   [[nodiscard]] bool is_limited(const Engine& engine) const;
 
   Context& context_;
-  std::vector<Engine*> engines_in_turn_;
+  std::vector<Engine*> engines_with_permit_;
   Time began_at_{};
 };
 
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -47,7 +47,7 @@
   }
 }
 
-// A flood must not raise the quota it is measured against: the rate grows slowly, and not under overload.
+// A burst of one tenant must not raise its own quota: the rate grows slowly, and not under overload.
 void TenantQuotas::measure_arrival_rate(double elapsed_seconds) {
   const double rate = arrivals_ / elapsed_seconds;
   measured_seconds_ = std::min(measured_seconds_ + elapsed_seconds, kRateWindowSeconds);
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -27,7 +27,7 @@
   return 0;
 }
 
-TEST(Copies, AnAttemptFarOverdueGetsOneElsewhereOnlyWhereAllowed) {
+TEST(Hedging, AnAttemptFarOverdueGetsOneElsewhereOnlyWhereAllowed) {
   for (const bool allowed : {true, false}) {
     Settings s = copying();
     s.hedging = allowed;
@@ -43,7 +43,7 @@
   }
 }
 
-TEST(Copies, TheFirstAnswerClosesAndTheOtherIsCalledOff) {
+TEST(Hedging, TheFirstAnswerClosesAndTheOtherIsCancelled) {
   for (const AttemptIndex first : {AttemptIndex{0}, AttemptIndex{1}}) {
     Drive d(copying());
     d.list({engine(7), engine(8)});
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(Copies, OneThatFailsNeitherEndsNorHoldsTheRequestWhileTheOtherRuns) {
+TEST(Hedging, OneThatFailsNeitherEndsNorHoldsTheRequestWhileTheOtherRuns) {
   for (const auto result :
        {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected, AttemptResult::cancelled}) {
     Settings s = copying();
@@ -81,7 +81,7 @@
   }
 }
 
-TEST(Copies, AttemptsAndTheirBudgetCountBoth) {
+TEST(Hedging, AttemptsAndTheirBudgetCountBoth) {
   Settings s = copying();
   s.max_attempts = 2;
   s.retry_budget = RetryBudget{60s, 1, 0};
@@ -95,7 +95,7 @@
   for (const RequestId id : {50U, 51U}) EXPECT_LE(d.sends_of(id), 2);
 }
 
-TEST(Copies, NoneForUnsafeClassesAndKeyedOnesStayInTheirGroup) {
+TEST(Hedging, NoneForNonIdempotentClassesAndKeyedOnesStayInTheirGroup) {
   Drive d(copying());
   d.list({engine(7, 0), engine(8, 1)});
   warm_up(d, 1);
@@ -110,7 +110,7 @@
   EXPECT_EQ(d.sends_of(51), 1) << "the only engine of its zone has it already";
 }
 
-TEST(Copies, WhatIsLostTwiceIsSentAThirdTime) {
+TEST(Hedging, WhatIsLostTwiceIsSentAThirdTime) {
   Drive d(copying());
   d.list({engine(7), engine(8), engine(9)});
   warm_up(d);
@@ -121,7 +121,7 @@
 }
 
 // Copies for all that is slow would double the load just when the fleet can't bear it.
-TEST(Copies, TheyAreRationedByTheWorkThatWasAskedFor) {
+TEST(Hedging, TheyAreRationedByTheWorkThatWasAskedFor) {
   Drive d(copying());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   for (RequestId id = 1; id <= 8; ++id) d.ask(id, 0);
@@ -141,7 +141,7 @@
 }
 
 // One query of many times the usual work took the place of several, and half of all reports were refused.
-TEST(Sizes, InACrowdTheLargestAreRefusedFirst) {
+TEST(RequestSizes, UnderOverloadTheLargestAreRejectedFirst) {
   Settings s = plain_settings();
   s.classes.resize(1);
   s.load_report_fields = {LoadReportField::inflight};
@@ -172,7 +172,7 @@
   EXPECT_EQ(d.answers(502), 0);
 }
 
-TEST(Sizes, WhatTakesLongerThanItsClientWaitsIsRefusedAtOnce) {
+TEST(RequestSizes, WhatTakesLongerThanItsClientWaitsIsRejectedAtOnce) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
   for (RequestId id = 1; id <= 40; ++id) {
@@ -184,7 +184,7 @@
 }
 
 // What tips a cold engine over is work, and one query may be many times the usual.
-TEST(Sizes, AColdEngineIsChargedAQuerysOwnWork) {
+TEST(RequestSizes, AWarmingUpEngineIsChargedAQuerysOwnWork) {
   for (const Time cost : {100ms, 2000ms}) {
     Settings s = plain_settings();
     s.classes.resize(1);
@@ -211,7 +211,7 @@
 
 // Small queries were charged less than the rule counts, and the class's work was learned from what was served
 // while large ones were refused: a cold engine was sent 4.5 times what it could do.
-TEST(Sizes, SmallQueriesAreChargedTheirClasssUsualWorkOnColdEngines) {
+TEST(RequestSizes, SmallQueriesAreChargedTheirClasssUsualWorkOnWarmingUpEngines) {
   Settings s = plain_settings();
   s.classes.resize(1);
   s.brokers = 20;
@@ -240,7 +240,7 @@
   EXPECT_GT(d.sends_to(8), 0);
 }
 
-TEST(Sizes, AHeldQueryIsGivenUpWhenItsAnswerWouldComeTooLate) {
+TEST(RequestSizes, AQueuedQueryIsShedWhenItsAnswerWouldComeTooLate) {
   for (const Time cost : {100ms, 30ms}) {  // of the usual size; small, with more time left to wait
     Settings s = plain_settings();
     s.classes.resize(1);
@@ -258,7 +258,7 @@
 }
 
 // Where engines report nothing and messages are not allowed, a crowd was never seen.
-TEST(Blind, SlowAnswersTellACrowdAndAFloodPastItsShareIsRefused) {
+TEST(WithoutLoadReports, SlowAnswersTellAnOverloadAndAFloodPastItsQuotaIsRejected) {
   for (const bool slow : {false, true}) {
     Settings s = plain_settings();
     s.classes.resize(1);
@@ -284,7 +284,7 @@
   }
 }
 
-TEST(Blind, AFullEngineRestsAndItsQueriesAreTakenBackWhereNothingTellsItsLoad) {
+TEST(WithoutLoadReports, AFullEngineRestsAndItsQueriesAreWithdrawnWhereNothingTellsItsLoad) {
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, 0);
@@ -297,7 +297,7 @@
 
 // Lost answers passed for running queries until their deadlines; the level that all gateways go by rose, and
 // copies stopped just when they were needed.
-TEST(Copies, InACrowdAnOverdueAttemptIsMovedThoughNoCopyIsSent) {
+TEST(Hedging, UnderOverloadAnOverdueAttemptIsMovedThoughNoHedgeIsSent) {
   for (const bool noted : {false, true}) {  // an attempt that gave notes runs
     Settings s = copying();
     s.progress_interval = 10s;
@@ -330,7 +330,7 @@
   }
 }
 
-TEST(Sizes, OfLaterClassesSmallerQueriesGetPriority) {
+TEST(RequestSizes, OfLaterClassesSmallerQueriesGetPriority) {
   Settings s = plain_settings();
   s.priorities = true;
   s.classes[1].idempotency = Idempotency::idempotent;
@@ -352,7 +352,7 @@
   EXPECT_EQ(priorities, (std::vector<int>{2, 1, 0}));
 }
 
-TEST(Grants, EstimatesAreSetRightByWhatAnswersTell) {
+TEST(MemoryGrants, EstimatesAreSetRightByWhatAnswersTell) {
   Settings s = plain_settings();
   s.memory_grants = true;
   s.memory_shortage = MemoryShortage::overcommit;
@@ -378,7 +378,7 @@
 }
 
 // The need of queries without an estimate was set against an estimate of nothing: a grant without end.
-TEST(Grants, AnEstimateAfterAnswersToQueriesWithoutOneIsTakenAsItIs) {
+TEST(MemoryGrants, AnEstimateAfterAnswersToQueriesWithoutOneIsTakenAsItIs) {
   Settings s = plain_settings();
   s.memory_grants = true;
   s.memory_shortage = MemoryShortage::overcommit;
@@ -400,7 +400,7 @@
 }
 
 // Queries that stood in an engine's line gave notes all the time, and the engine was rested as silent.
-TEST(Notes, WhoGivesThemIsNotSilentAndAnAttemptWithoutThemIsLost) {
+TEST(ProgressEvents, WhoGivesThemIsNotSilentAndAnAttemptWithoutThemIsLost) {
   Settings s = plain_settings();
   s.progress_interval = 1s;
   s.classes[0].client_timeout = 30s;
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -12,7 +12,7 @@
 namespace bellstair::policy::test {
 namespace {
 
-TEST(FastErrors, AnEngineThatFailsAtOnceIsRestedThoughItLooksRoomy) {
+TEST(FastErrors, AnEngineThatFailsAtOnceIsEjectedThoughItLooksIdle) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9)});
   int to_bad = 0;
@@ -33,7 +33,7 @@
 
 // Clients sent what no engine takes, and it went from engine to engine: all were rested for it, 159 times in
 // 20 s.
-TEST(FastErrors, WhatTwoEnginesCannotUseIsGivenUpAndNoEngineIsRested) {
+TEST(FastErrors, WhatTwoEnginesCannotUseIsShedAndNoEngineIsEjected) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9)});
   for (RequestId id = 1; id <= 20; ++id) {
@@ -71,7 +71,7 @@
   EXPECT_GT(d.sends_to(8) - before, 20);
 }
 
-TEST(Silence, QueriesOnASilentEngineAreTakenBackAndItGetsNoMore) {
+TEST(Silence, QueriesOnASilentEngineAreWithdrawnAndItGetsNoMore) {
   Settings s = plain_settings();
   s.progress_interval = 500ms;
   Drive d(s);
@@ -85,7 +85,7 @@
   EXPECT_NE(d.sends.back().engine, 7U);
 }
 
-TEST(Silence, WithoutCallOffTheEngineIsStillLeftAlone) {
+TEST(Silence, WithoutCancelTheEngineIsStillLeftAlone) {
   Settings s = plain_settings();
   s.may_cancel = false;
   Drive d(s);
@@ -128,7 +128,7 @@
   return d.sends_of(2);
 }
 
-TEST(Crowd, AnEngineReportedFullGetsNothing) {
+TEST(Overload, AnEngineReportedFullGetsNothing) {
   EXPECT_EQ(sends_after_report({LoadReportField::inflight}, {60}), 0);
 }
 
@@ -146,7 +146,7 @@
 }
 
 // Reports are late and the same for all: by them alone every gateway ran to one engine at once.
-TEST(Crowd, AnEngineReportedEmptyDoesNotGetEverything) {
+TEST(Overload, AnEngineReportedEmptyDoesNotGetEverything) {
   Settings s = plain_settings();
   s.brokers = 4;
   s.load_report_fields = {LoadReportField::inflight};
@@ -165,7 +165,7 @@
 }
 
 // Spread evenly, a group's data was warm nowhere; and two engines of equal load drew all gateways alike.
-TEST(Warmth, QueriesOfAGroupPreferTheSameTwoEnginesWhileTheyAreAsEmpty) {
+TEST(DataGroupAffinity, QueriesOfAGroupPreferTheSameTwoEnginesWhileTheyAreAsEmpty) {
   Settings s = plain_settings();
   s.kinds = {{"one", 32, 0}};
   std::map<EngineId, int> used;
@@ -180,7 +180,7 @@
 
 // With the engines' own choice of grants, heavy-tailed queries spilled to disk and took several times their
 // work.
-TEST(Grants, FollowTheNeedsThatAnswersTell) {
+TEST(MemoryGrants, FollowTheNeedsThatAnswersTell) {
   Settings s = plain_settings();
   s.memory_grants = true;
   Drive d(s);
@@ -206,7 +206,7 @@
 
 // Where engines keep what is granted, used or not, a grant far over the estimate leaves others in line for
 // memory; where they count what is in use, it costs nobody anything.
-TEST(Grants, AreSmallerWhereEnginesKeepThem) {
+TEST(MemoryGrants, AreSmallerWhereEnginesKeepThem) {
   for (const auto shortage : {MemoryShortage::overcommit, MemoryShortage::wait, MemoryShortage::shrink}) {
     Settings s = plain_settings();
     s.memory_grants = true;
@@ -225,14 +225,14 @@
 }
 
 // What waits in an engine's own line for memory holds no core: it counted as running, and engines as crowded.
-TEST(Crowd, QueriesInAnEnginesLineForMemoryAreNotTakenToRun) {
+TEST(Overload, QueriesInAnEnginesLineForMemoryAreNotTakenToRun) {
   for (const double waiting : {0.0, 55.0})
     EXPECT_EQ(sends_after_report({LoadReportField::queue, LoadReportField::inflight}, {waiting, 60}),
               waiting > 0 ? 1 : 0);
 }
 
 // Every engine was probed three times a second for reports that its answers bring anyway.
-TEST(Probes, AreNotSentForReportsThatComeWithAnswers) {
+TEST(HealthChecks, AreNotSentForReportsThatComeWithAnswers) {
   for (const bool in_answers : {false, true}) {
     Settings s = plain_settings();
     s.may_health_check = true;
@@ -252,7 +252,7 @@
 }
 
 // Where answers do not tell their work, a long query's engine passed for slow, and a short one's for swift.
-TEST(Pace, AQuerysEstimateIsTakenOutOfItWhereAnswersTellNoWork) {
+TEST(LatencyRatio, AQuerysEstimateIsTakenOutOfItWhereAnswersTellNoWork) {
   Settings s = plain_settings();
   s.brokers = 20;
   s.may_gossip = true;
@@ -283,7 +283,7 @@
 }
 
 // Long classes were refused though their aim, which grows with their work, had room.
-TEST(Hold, AClassWhoseAimGrowsWithItsWorkIsHeldLonger) {
+TEST(QueueTime, AClassWhoseObjectiveGrowsWithItsWorkIsQueuedLonger) {
   Settings s = plain_settings();
   s.classes[2].idempotency = Idempotency::idempotent;
   s.classes[2].latency_objective = s.classes[0].latency_objective;
@@ -301,7 +301,7 @@
 
 // Loads were sent where others of their group were out, and stood behind them for longer than they ran, as
 // threads that crowd the fleet: Lakeshore's churn refused a tenth of its loads.
-TEST(Loads, WaitForAnEngineWhereNoneOfTheirGroupIsOutAndHoldUpNoOtherGroup) {
+TEST(DataGroupLocks, WaitForAnEngineWhereNoneOfTheirGroupIsOutAndHoldUpNoOtherGroup) {
   Settings s = plain_settings();
   s.classes[1].locks_data_group = true;
   s.classes[0].waits_for_data_group = true;
@@ -324,7 +324,7 @@
 }
 
 // Hot groups were held on nearly every engine, and most short queries stood still behind loads.
-TEST(Loads, ReadersKeepOffEnginesWhereOneHoldsTheirGroup) {
+TEST(DataGroupLocks, ReadersKeepOffEnginesWhereOneHoldsTheirGroup) {
   Settings s = plain_settings();
   s.classes[1].locks_data_group = true;
   s.classes[0].waits_for_data_group = true;
@@ -426,7 +426,7 @@
   EXPECT_EQ(d.called_off.size(), 1U) << "the second time it is the query that is long";
 }
 
-TEST(BadPlan, AnUnsafeAttemptIsLeftAlone) {
+TEST(BadPlan, ANonIdempotentAttemptIsLeftAlone) {
   Settings s = plain_settings();
   s.progress_interval = 500ms;
   Drive d(s);
@@ -562,7 +562,7 @@
   EXPECT_EQ(start.started_at(), Time(50s) + 83s) << "the oldest stand for good once there are too many";
 }
 
-TEST(Unreachable, AnEngineThatBreaksConnectionsIsTakenForColdByAllGateways) {
+TEST(Unreachable, AnEngineThatBreaksConnectionsIsTakenForWarmingUpByAllBrokers) {
   for (const auto result : {AttemptResult::connect_failed, AttemptResult::reset}) {
     int tried = 0, early = 0;
     for (unsigned i = 0; i < 40; ++i) {
@@ -610,7 +610,7 @@
   EXPECT_EQ(d.sends.back().engine, 5U);
 }
 
-TEST(ManyEngines, AQueryCostsNoMoreProbesOrBytesInALargerFleet) {
+TEST(ManyEngines, AQueryCostsNoMoreHealthChecksOrBytesInALargerFleet) {
   for (const unsigned size : {20U, 200U}) {
     Settings s = plain_settings();
     s.brokers = 4 * size;
@@ -645,7 +645,7 @@
   }
 }
 
-TEST(PeerMessages, OneThatIsMalformedIsIgnoredWhole) {
+TEST(Gossip, OneThatIsMalformedIsIgnoredWhole) {
   Settings s = plain_settings();
   s.brokers = 3;
   s.may_gossip = true;
@@ -705,7 +705,7 @@
   EXPECT_LT(full, 50);
 }
 
-TEST(OldReports, AGatewaysOwnThreadsShowThatAllOvershoot) {
+TEST(OldReports, ABrokersOwnThreadsShowThatAllOvershoot) {
   for (const bool apart : {false, true}) {
     Drive d = told_by_reports(apart, 28, 10);
     const auto before = d.sends.size();
@@ -715,7 +715,7 @@
 }
 
 // A quarter of the fleet restarted: what ran there was gone, yet the level stayed high and all was refused.
-TEST(ManyGateways, TheLevelByMessagesFollowsWithinSeconds) {
+TEST(ManyBrokers, TheLevelByMessagesFollowsWithinSeconds) {
   Settings s = plain_settings();
   s.brokers = 40;
   s.may_gossip = true;
@@ -754,7 +754,7 @@
   EXPECT_GT(d.sends.size(), 0U);
 }
 
-TEST(ManyGateways, LaterRanksStopEarlierSoThatTheFirstClassFindsRoom) {
+TEST(ManyBrokers, LaterRanksStopEarlierSoThatTheFirstClassFindsCapacity) {
   // Traffic has turned to a heavy class for good: the fleet stands between both limits.
   Settings s = plain_settings();
   s.brokers = 100;
@@ -775,7 +775,7 @@
   EXPECT_EQ(d.sends_of(2), 1);
 }
 
-TEST(LostAnswers, AnEngineThatAnswersOthersIsNotRestedAndTheLostAreSettledInTime) {
+TEST(LostAnswers, AnEngineThatAnswersOthersIsNotEjectedAndTheLostAreSettledInTime) {
   Settings s = plain_settings();
   s.max_attempts = 1;
   Drive d(s);
@@ -792,7 +792,7 @@
   for (RequestId id = 10; id <= 40; id += 10) EXPECT_EQ(d.answers(id), 1);
 }
 
-TEST(Absence, AGatewayThatHadNoTurnBlamesNoEngineAndSettlesWhatIsOverdue) {
+TEST(Stalls, ABrokerThatHadNoTurnBlamesNoEngineAndSettlesWhatIsOverdue) {
   Settings s = plain_settings();
   s.progress_interval = 500ms;
   Drive d(s);
@@ -811,7 +811,7 @@
   EXPECT_EQ(d.called_off.size(), 2U) << "silence that it did see is still told";
 }
 
-TEST(Absence, WhatWaitedMeanwhileIsSettledAtOnceIfItCantBeInTime) {
+TEST(Stalls, WhatWaitedMeanwhileIsSettledAtOnceIfItCantBeInTime) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
   d.ask(1, 0);  // comes with 5 s left, as all do
@@ -831,7 +831,7 @@
   EXPECT_EQ(d.sends_of(4), 1);
 }
 
-TEST(Tenants, AFloodDoesNotRaiseTheShareThatItIsMeasuredAgainst) {
+TEST(TenantQuota, AFloodDoesNotRaiseTheQuotaThatItIsMeasuredAgainst) {
   Settings s = plain_settings();
   s.over_quota_weight = 0.05;
   s.may_health_check = true;
@@ -870,7 +870,7 @@
   EXPECT_GE(other, 45);
 }
 
-TEST(List, AnEngineLongGoneIsForgottenAndOneThatReturnsIsNew) {
+TEST(EndpointLists, AnEngineLongGoneIsForgottenAndOneThatReturnsIsNew) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
   for (int n = 0; n < 2; ++n) {
@@ -887,7 +887,7 @@
 }
 
 // Hundreds asked and withdrawn at once used up the share of the tenant's usual clients.
-TEST(Tenants, WhatIsWithdrawnBeforeItWasSentUsesNothingOfTheShare) {
+TEST(TenantQuota, WhatIsWithdrawnBeforeItWasSentUsesNothingOfTheQuota) {
   Settings s = plain_settings();
   s.over_quota_weight = 0.1;
   s.tenants = {{"a", 0.5, 10}, {"b", 0.5, 10}};
@@ -911,7 +911,7 @@
   EXPECT_EQ(d.answers(5000), 0);
 }
 
-TEST(Tenants, AFloodIsRefusedOnceQueriesWaitAndOthersAreNot) {
+TEST(TenantQuota, AFloodIsRejectedOnceQueriesWaitAndOthersAreNot) {
   Settings s = plain_settings();
   s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -67,7 +67,7 @@
 
 // On Laval's calm day three in ten queries waited for memory in their engines. They counted for running ones:
 // the fleet seemed crowded, and 13% of all requests were refused as too big while cores stood idle.
-TEST(Fleet, WhatWaitsForMemoryAtAnEngineDoesNotCrowdItsCores) {
+TEST(Fleet, WhatWaitsForMemoryAtAnEngineDoesNotOverloadItsCores) {
   for (const double util : {0.5, 1.0}) {
     Settings s = plain_settings();
     s.load_report_fields = {LoadReportField::inflight, LoadReportField::util};
@@ -84,7 +84,7 @@
 
 // Every broker asked engines for reports that tell of memory and disks alone, which nothing reads, and held
 // its queries until they came: the probes were priced, and lookups lost a quarter of their aim.
-TEST(Fleet, NobodyProbesOrWaitsForReportsThatHoldNothingOfUse) {
+TEST(Fleet, NobodyChecksHealthOrWaitsForReportsThatHoldNothingOfUse) {
   Settings s = fleet_settings();
   s.load_report_fields = {LoadReportField::queue, LoadReportField::disk_share, LoadReportField::memory_share};
   Fleet fleet(s);
@@ -161,7 +161,7 @@
 
 // Messages that held five bytes went out by the thirty a query, at 165 a second from each broker and to each,
 // and the level that ten of them told lay anywhere from a sixth to three times the true one.
-TEST(Fleet, DatagramsStayFewAndTellTheLevelThatTheGatewaysTogetherBring) {
+TEST(Fleet, DatagramsStayFewAndTellTheLevelThatTheBrokersTogetherBring) {
   Settings s = fleet_settings();
   Fleet fleet(s);
   Load load(fleet);
@@ -187,7 +187,7 @@
 
 // Cut off from each other, three hundred brokers believed for 5 s in the level of before, while their engines
 // filled up to ten threads a core and came to a stand for the next ten seconds; then in none at all.
-TEST(Fleet, GatewaysThatDoNotHearEachOtherSeeTheFleetFillByTheirOwnThreads) {
+TEST(Fleet, BrokersThatDoNotHearEachOtherSeeTheFleetFillByTheirOwnThreads) {
   Settings s = fleet_settings();
   Fleet fleet(s);
   Load load(fleet);
@@ -238,7 +238,7 @@
 
 // A gateway of a large fleet sees a few queries a second, in clumps: a share of that, refilled as fast as it
 // is used, ran out again and again, and half of all refusals fell on tenants inside their share.
-TEST(Fleet, TenantsInsideTheirShareAreNotRefusedForClumps) {
+TEST(Fleet, TenantsInsideTheirQuotaAreNotRejectedForClumps) {
   Settings s = fleet_settings();
   s.tenants = {{"a", 0.59, 300}, {"b", 0.41, 210}};
   s.over_quota_weight = 0.1;
@@ -256,7 +256,7 @@
 // Six in ten engines began anew within seconds. All gateways' sends together stay under what tips an engine
 // over, in a rush too, and cold engines get something to do. Half as many turns again served more on quiet
 // days (join+vast 0.55 to 0.72), and put 3.2 times its capacity on an engine here.
-TEST(Fleet, ColdEnginesAreUsedAndNotPushedOver) {
+TEST(Fleet, WarmingUpEnginesAreUsedAndNotPushedOver) {
   Settings s = fleet_settings();
   s.hedging = false;
   s.slow_start_capacity = 0.33;
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -105,7 +105,7 @@
   EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
 }
 
-TEST(Release, TheShorterAimGoesFirstAndThenTheWorth) {
+TEST(Release, TheShorterObjectiveGoesFirstAndThenTheWeight) {
   Settings s = plain_settings();
   s.kinds = {{"one", 0.5, 0}};  // one thread
   s.classes.resize(3);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,7 +11,7 @@
 
 // ---- one final answer, before the deadline --------------------------------------------------------------
 
-TEST(FinalAnswer, AHeldRequestIsGivenUpAtOnceWhenItsAimIsLost) {
+TEST(FinalAnswer, AQueuedRequestIsShedAtOnceWhenItsObjectiveIsLost) {
   Drive d(plain_settings());
   d.list({});
   d.ask(1, kQuick);
@@ -29,7 +29,7 @@
   EXPECT_EQ(d.refused[1], 1) << "nothing ran, so an unsafe request may be refused";
 }
 
-TEST(FinalAnswer, WithAnUnsafeAttemptOutItFailsBeforeTheDeadline) {
+TEST(FinalAnswer, WithANonIdempotentAttemptOutItFailsBeforeTheDeadline) {
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, kOnce, 1s);
@@ -58,7 +58,7 @@
   EXPECT_EQ(d.sends_of(1), 1);
 }
 
-TEST(FinalAnswer, AClassThatIsNotInTheSettingsIsRefused) {
+TEST(FinalAnswer, AClassThatIsNotInTheSettingsIsRejected) {
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, 99);
@@ -69,7 +69,7 @@
 
 class AfterOutcome : public ::testing::TestWithParam<std::pair<AttemptResult, bool>> {};
 
-TEST_P(AfterOutcome, AnUnsafeRequestIsSentAgainOnlyIfItNeverRan) {
+TEST_P(AfterOutcome, ANonIdempotentRequestIsSentAgainOnlyIfItNeverRan) {
   const auto [result, again] = GetParam();
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
@@ -91,7 +91,7 @@
                                            std::pair{AttemptResult::reset, false},
                                            std::pair{AttemptResult::cancelled, false}));
 
-TEST(Effects, AKeyedRequestThatMayHaveRunStaysInItsZone) {
+TEST(Repeats, AKeyedRequestThatMayHaveRunStaysInItsZone) {
   Drive d(plain_settings());
   d.list({engine(7, 0)});
   d.ask(1, kKeyed);
@@ -102,7 +102,7 @@
   EXPECT_EQ(d.sends.back().engine, 7U);
 }
 
-TEST(Effects, AKeyedRequestIsNotSentAgainAfterItsWindow) {
+TEST(Repeats, AKeyedRequestIsNotSentAgainAfterItsWindow) {
   for (const bool late : {false, true}) {
     Drive d(plain_settings());
     d.list({engine(7, 0)});
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(Effects, NeverTwoAttemptsOut) {
+TEST(Repeats, NeverTwoAttemptsOut) {
   Settings s = plain_settings();
   s.progress_interval = 500ms;
   Drive d(s);
@@ -128,7 +128,7 @@
   EXPECT_EQ(d.sends_of(1), 2);
 }
 
-TEST(Effects, NoMoreAttemptsThanAllowed) {
+TEST(Repeats, NoMoreAttemptsThanAllowed) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   d.ask(1, kQuick);
@@ -142,7 +142,7 @@
 
 // ---- drains ---------------------------------------------------------------------------------------------
 
-TEST(Drains, NothingGoesToAnEngineToldDrainingGoneOrLeftOutOfAFullList) {
+TEST(Draining, NothingGoesToAnEngineToldDrainingGoneOrLeftOutOfAFullList) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   d.list({with_state(engine(7), EngineState::draining), with_state(engine(8), EngineState::gone)},
@@ -156,7 +156,7 @@
   EXPECT_EQ(d.sends_to(9), 5);
 }
 
-TEST(Drains, AnEngineThatIsListedAgainGetsWork) {
+TEST(Draining, AnEngineThatIsListedAgainGetsWork) {
   Drive d(plain_settings());
   d.list({engine(7)}, EndpointListKind::cached);
   d.list({with_state(engine(7), EngineState::gone)}, EndpointListKind::delta);
@@ -169,7 +169,7 @@
 // ---- cold engines ---------------------------------------------------------------------------------------
 
 // Many gateways with different seeds, busy and quiet ones mixed, and one engine that has just started.
-struct ColdByMany : ::testing::TestWithParam<unsigned> {
+struct SlowStartByManyBrokers : ::testing::TestWithParam<unsigned> {
   static constexpr double kWork = 0.5;  // core-s of a query, by the module's first estimate: half the aim
   // Core-s sent to it at each moment.
   static std::map<Time, double> play(unsigned count, std::uint64_t seed) {
@@ -212,7 +212,7 @@
   }
 };
 
-TEST_P(ColdByMany, AllTogetherStayUnderTheTippingLoadAndTheEngineGetsWork) {
+TEST_P(SlowStartByManyBrokers, AllTogetherStayUnderTheTippingLoadAndTheEngineGetsWork) {
   const auto work = play(GetParam(), 1000);
   double all = 0;
   for (const auto& [from, w] : work) {
@@ -222,24 +222,25 @@
   EXPECT_GT(all, 2) << "it is not kept idle either";
 }
 
-INSTANTIATE_TEST_SUITE_P(FewAndMany, ColdByMany, ::testing::Values(3U, 60U));
+INSTANTIATE_TEST_SUITE_P(FewAndMany, SlowStartByManyBrokers, ::testing::Values(3U, 60U));
 
 // Beyond a budget of N queries only twice the root of N and two are put down to chance, whatever the number
 // of processes and their seeds.
-TEST(ColdStarts, WhatTwentyOrThirtyGatewaysSendStaysWithinWhatIsPutDownToChance) {
+TEST(SlowStartLimits, WhatTwentyOrThirtyBrokersSendStaysWithinWhatIsPutDownToChance) {
   for (const unsigned count : {20U, 30U}) {
     for (std::uint64_t seed = 1000; seed < 9000; seed += 1000) {
-      const auto work = ColdByMany::play(count, seed);
+      const auto work = SlowStartByManyBrokers::play(count, seed);
       for (const auto& [from, unused] : work) {
-        const double n = ColdByMany::budget(from) / ColdByMany::kWork;
-        EXPECT_LE(ColdByMany::sum(work, from) / ColdByMany::kWork, n + 2 * std::sqrt(n) + 2)
+        const double n = SlowStartByManyBrokers::budget(from) / SlowStartByManyBrokers::kWork;
+        EXPECT_LE(SlowStartByManyBrokers::sum(work, from) / SlowStartByManyBrokers::kWork,
+                  n + 2 * std::sqrt(n) + 2)
             << count << " " << seed;
       }
     }
   }
 }
 
-TEST(ColdStarts, AWarmEngineIsNotHeldBack) {
+TEST(SlowStartLimits, AWarmEngineIsNotHeldBack) {
   Settings s = plain_settings();
   Drive d(s);
   auto warm = engine(7);
@@ -252,7 +253,7 @@
 // ---- order, placement, attempt budget
 // -----------------------------------------------------------------------
 
-TEST(Order, OneAtATimeByKeyAndARestAfterATimeOut) {
+TEST(Order, OneAtATimeByKeyAndABlockAfterATimeOut) {
   Settings s = plain_settings();
   s.classes[kQuick].ordered_by_key = true;
   s.ordering_key_hold = 300ms;
@@ -276,7 +277,7 @@
 }
 
 // What an attempt's driver could not prove to be over rests its key for longer than the settings ask.
-TEST(Order, AKeyRestsWhileAnAttemptMayLingerAtItsEngine) {
+TEST(Order, AKeyIsBlockedWhileAnAttemptMayLingerAtItsEngine) {
   Settings s = plain_settings();
   s.classes[kQuick].ordered_by_key = true;
   s.classes[kQuick].latency_objective = 20s;  // so that it is held for long
@@ -302,7 +303,7 @@
 
 // On Laval's split+mass a statement whose connection was reset went to a second engine while it ran on at the
 // first, for 2.3 s as its driver told: a second copy, which those settings do not allow.
-TEST(Copies, WhatNothingProvesOverHasNoAttemptBesideItWhereCopiesAreNotAllowed) {
+TEST(Hedging, WhatNothingProvesOverHasNoAttemptBesideItWhereHedgesAreNotAllowed) {
   Settings s = plain_settings();
   for (const bool copies : {true, false}) {
     for (const bool patient : {true, false}) {
@@ -362,7 +363,7 @@
   EXPECT_EQ(d.answers(2), 1);
 }
 
-TEST(AttemptBudget, CountsFurtherAttemptsAgainstRequestsTakenInTheWindow) {
+TEST(RetryBudgets, CountsRetriesAgainstRequestsInTheWindow) {
   Settings s = plain_settings();
   s.retry_budget = RetryBudget{10s, 1, 0.2};
   Drive d(s);
@@ -390,7 +391,7 @@
 
 // ---- settings -------------------------------------------------------------------------------------------
 
-TEST(SenselessSettings, AreNamed) {
+TEST(InvalidSettings, AreNamed) {
   Settings s = plain_settings();
   s.brokers = 0;
   try {
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -228,7 +228,7 @@
 }
 
 // A rush of light queries: N lies far above 30, and chance allows little on top.
-TEST(SlowStartInARush, OfLightQueriesStaysWithinItsBudgetToo) {
+TEST(SlowStartInABurst, OfLightQueriesStaysWithinItsBudgetToo) {
   for (const unsigned gateways : {1U, 2U, 3U, 5U, 8U, 20U}) {
     for (const double demand : {2.0, 4.0}) {
       const auto result = play(gateways, kLight, demand);
