--- a/benchmarks/scale/capacity.py
+++ b/benchmarks/scale/capacity.py
@@ -741,24 +741,24 @@
 # A carrier is (file, name): the check looks for both in the sources.
 ROLES = {
     "client": Role("Client side of a broker", [
-        ("src/platform/front.cpp", "Front"), ("src/mysql/front.cpp", "Front"),
+        ("src/platform/jsonrpc_server.cpp", "JsonRpcServer"), ("src/mysql/mysql_server.cpp", "MysqlServer"),
         ("src/net/lingerer.cpp", "Lingerer"),
     ]),
     "data": Role("Data path of a broker", [
         ("src/core/reducer.cpp", "Reducer::consult"), ("src/policy/scheduler.cpp", "Scheduler::handle"),
-        ("src/platform/engines.cpp", "Engines"), ("src/net/pool.cpp", "Pool"),
+        ("src/platform/http_engine_client.cpp", "HttpEngineClient"), ("src/net/connection_pool.cpp", "ConnectionPool"),
     ]),
     "control": Role("Control part of a broker", [
         ("src/core/reducer.cpp", "Reducer::on"), ("src/policy/scheduler.cpp", "tell_peers"),
-        ("src/platform/peers.cpp", "Peers::run"), ("src/platform/changelog.cpp", "ChangeLog"),
+        ("src/platform/gossip_socket.cpp", "GossipSocket::run"), ("src/platform/change_log_client.cpp", "ChangeLogClient"),
     ]),
-    "database": Role("A database as seen by the fleet", [("src/net/pool.cpp", "Pool")],
+    "database": Role("A database as seen by the fleet", [("src/net/connection_pool.cpp", "ConnectionPool")],
                      "a bound over all brokers (subsetting)"),
     "changelog": Role("Change log", [
-        ("src/platform/changelog.cpp", "ChangeLog"), ("src/net/backoff.hpp", "Backoff"),
+        ("src/platform/change_log_client.cpp", "ChangeLogClient"), ("src/net/backoff.hpp", "Backoff"),
     ]),
     "machines": Role("The seven control machines", [], "a control plane, nothing runs on them"),
-    "operator": Role("Operator", [("src/app/broker.cpp", "Broker::on_hangup")],
+    "operator": Role("Operator", [("src/app/broker.cpp", "Broker::on_reload_signal")],
                      "a way of configuration to all brokers, and word of what is in force"),
 }
 # Once the control plane is in the tree, these carry, and lack nothing.
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -1,14 +1,18 @@
-// The program on its loop: events from the fronts, engines, change log and peers go through the reducer, and
-// each effect that it asks for to whom it concerns.
+// The broker on its event loop: events from clients, engines, the change log and other brokers go through the
+// reducer, and each effect that it asks for to whom it concerns.
 #pragma once
 
 #include <ev++.h>
 
 #include <deque>
 #include <memory>
+#include <stdexcept>
+#include <string>
+#include <vector>
 
 #include "app/control_client.hpp"
-#include "app/stall_watch.hpp"
+#include "app/loop_statistics.hpp"
+#include "app/stall_detector.hpp"
 #include "config/config.hpp"
 #include "config/document.hpp"
 #include "config/fronts.hpp"
@@ -16,16 +20,19 @@
 #include "core/reducer.hpp"
 #include "directory/ldap.hpp"
 #include "hooks/runner.hpp"
-#include "mysql/front.hpp"
-#include "net/driver.hpp"
-#include "platform/changelog.hpp"
-#include "platform/front.hpp"
-#include "platform/peers.hpp"
+#include "net/client_server.hpp"
+#include "net/engine_driver.hpp"
+#include "net/event_sink.hpp"
+#include "platform/change_log_client.hpp"
+#include "platform/gossip_socket.hpp"
 
 namespace bellstair::app {
 
-struct CannotStart : std::runtime_error {
-  using std::runtime_error::runtime_error;
+// A setting on which the broker can't start; what() is "SETTING: REASON".
+class StartError : public std::runtime_error {
+ public:
+  StartError(const std::string& setting, const std::string& reason)
+      : std::runtime_error(setting + ": " + reason) {}
 };
 
 // Names for hooks, by their positions in the settings.
@@ -34,33 +41,49 @@
 
 class Broker {
  public:
-  // The files are read again on SIGHUP; `fronts_file` may be empty. `loaded`: the hooks of `fronts`.
+  // The files are read again on SIGHUP; `fronts_file` may be empty. `loaded`: the hooks of `fronts`. Throws
+  // StartError.
   Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, hooks::Loaded loaded,
          std::string file, std::string fronts_file);
-  void run();  // until it has stopped
+  // Returns once the broker has stopped, after SIGTERM or SIGINT.
+  void run();
 
  private:
-  void post(core::Event event);
+  // Parts that depend on the configuration.
+  [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engine_driver();
+  [[nodiscard]] std::unique_ptr<net::ClientServer> make_jsonrpc_server(std::size_t max_connections);
+  [[nodiscard]] std::unique_ptr<net::ClientServer> make_mysql_server(std::size_t max_connections);
+  void make_servers(hooks::Loaded& loaded);
+  void set_watchers();
+
+  // Turns of the loop, in the order in which libev calls them.
+  void on_check(ev::check& check, int events);
   void on_tick(ev::timer& timer, int events);
-  void on_call(ev::timer& timer, int events);
+  void on_scheduler_timer(ev::timer& timer, int events);
+  void on_hooks_timer(ev::timer& timer, int events);
+  void on_shutdown_signal(ev::sig& signal, int events);
+  void on_reload_signal(ev::sig& signal, int events);
+  void on_counters_signal(ev::sig& signal, int events);
   void on_prepare(ev::prepare& prepare, int events);
-  void on_signal(ev::sig& signal, int events);
-  void on_hangup(ev::sig& signal, int events);
-  void on_counters_asked(ev::sig& signal, int events);
-  void log_counters();
-  void on_hooks(ev::timer& timer, int events);
-  void on_check(ev::check& check, int events);
-  void pump();
-  [[nodiscard]] bool pump_unless_stalled();
-  void take_event(core::Time now);
-  void tick();
-  void wake();
-  [[nodiscard]] bool look_again(core::Time now);
+
   [[nodiscard]] core::Time now() const;
-  [[nodiscard]] net::Post poster();
-  [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engines();
-  [[nodiscard]] bool unwritten() const;
+  [[nodiscard]] net::EventSink event_sink();
+  void post(core::Event event);
+  void handle_events();
+  // False: the process has stalled, and the rest is to be handled once the sockets have been polled again.
+  [[nodiscard]] bool handle_events_unless_stalled();
+  void handle_next_event(core::Time now);
+  [[nodiscard]] bool must_poll_again(core::Time now);
+  void resume_after_stall();
+  void tick();
+  void start_timers();
+  [[nodiscard]] bool has_unsent_output() const;
+  void log_counters();
+
   void offer(const control::Version& version);
+  [[nodiscard]] core::SettingsOffered parse_version(const control::Version& version) const;
+  void on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
+                             std::uint64_t versions_applied_before);
 
   void run(const core::Answer& effect);
   void run(const core::StartAttempt& effect) { engines_->run(effect); }
@@ -69,10 +92,10 @@
   void run(const core::Reprioritize& effect) { engines_->run(effect); }
   void run(const core::SendHealthCheck& effect) { engines_->run(effect); }
   void run(const core::EndpointChanged& effect) { engines_->run(effect); }
-  void run(const core::SendGossip& effect) { peers_.run(effect); }
+  void run(const core::SendGossip& effect) { gossip_.run(effect); }
   void run(const core::Log& effect);
   void run(const core::ReadConfiguration&);
-  void run(const core::FollowChangeLog& effect) { changelog_.follow(effect.address); }
+  void run(const core::FollowChangeLog& effect) { change_log_.set_address(effect.address); }
   void run(core::SettingsApplied& effect);
   void run(const core::SettingsRejected& effect);
   void run(core::RunHook& effect);
@@ -83,38 +106,41 @@
   void run(const core::Exit&);
 
   ev::loop_ref loop_;
-  std::string file_, fronts_file_;
-  // Its settings, names and change log are those in force: they are replaced in place, between the events of
-  // the fronts, which hold references to them.
+  std::string file_;
+  std::string fronts_file_;
+  // Settings, names and change log are those in force: they are replaced in place, between events, since the
+  // servers hold references to them.
   config::Config config_;
   config::Overlay start_;  // as the platform's own configuration has them
   config::Fronts fronts_;
-  std::uint64_t taken_up_ = 0;  // versions
+  std::uint64_t versions_applied_ = 0;
   core::Time origin_;  // from the steady clock to the core's, which began at the Unix time of the start
-  std::uint64_t handles_ = 0;
+  core::ClientHandle last_client_handle_ = 0;
   std::deque<core::Event> events_;
-  core::Effects effects_;
+  core::Effects effects_;  // of the event that is being handled
   core::Reducer reducer_;
   hooks::Runner runner_;
   std::unique_ptr<net::EngineDriver> engines_;
-  std::unique_ptr<platform::Front> front_;
-  // Off on the platform.
-  std::unique_ptr<directory::Ldap> directory_;
-  std::unique_ptr<mysql::Front> mysql_;
-  std::unique_ptr<ControlClient> control_;
-  const control::Version* offered_ = nullptr;  // while it is being taken up
-  platform::ChangeLog changelog_;
-  platform::Peers peers_;
-  ev::timer tick_, call_, hooks_turn_;
+  std::unique_ptr<directory::Ldap> directory_;  // none without its block in the operator's file
+  std::vector<std::unique_ptr<net::ClientServer>> servers_;
+  std::unique_ptr<ControlClient> control_;              // none without its block in the operator's file
+  const control::Version* version_in_offer_ = nullptr;  // while offer() runs
+  platform::ChangeLogClient change_log_;
+  platform::GossipSocket gossip_;
+  ev::timer tick_timer_;
+  ev::timer scheduler_timer_;
+  ev::timer hooks_timer_;
   ev::prepare prepare_;
-  // How long a turn of the loop was at the most, and hooks' part of it; measured beside hooks only.
   ev::check check_;
-  StallWatch stall_watch_;
+  ev::sig sigterm_;
+  ev::sig sigint_;
+  ev::sig sighup_;
+  ev::sig sigusr1_;
+  StallDetector stall_detector_;
+  LoopStatistics loop_statistics_;  // kept only where there may be hooks
   bool tick_due_ = false;
-  core::Time turn_begun_{}, turn_hooks_{}, longest_turn_{}, longest_hooks_{};
-  ev::sig term_, interrupt_, hangup_, counters_asked_;
-  core::Counters counters_logged_;
-  core::Time next_counters_{};
+  core::Counters logged_counters_;
+  core::Time next_counters_log_{};
 };
 
 }  // namespace bellstair::app
--- /dev/null
+++ b/src/app/broker_configuration.cpp
@@ -0,0 +1,86 @@
+// How the broker takes up versions of its settings from the control nodes, and reads its files again on
+// SIGHUP.
+#include <memory>
+
+#include "app/broker.hpp"
+#include "app/configuration_reload.hpp"
+
+namespace bellstair::app {
+
+// ---- versions from the control nodes
+
+// Events that were posted before refer to tenants of the version before: they are handled first.
+void Broker::offer(const control::Version& version) {
+  handle_events();
+  core::SettingsOffered offered;
+  try {
+    offered = parse_version(version);
+  } catch (const std::exception& error) {
+    return control_->applied(version, error.what());
+  }
+  version_in_offer_ = &version;
+  post(std::move(offered));
+  handle_events();
+  version_in_offer_ = nullptr;
+}
+
+core::SettingsOffered Broker::parse_version(const control::Version& version) const {
+  const auto label = "version " + control::to_text(version.place);
+  auto document = config::parse_document(version.text, label, config_.names.class_names);
+  const auto tenants_in_use = reducer_.tenants_held();
+  const config::Overlay in_force{config_.settings, config_.names, config_.changelog};
+  auto overlay = config::overlay(start_, in_force, document,
+                                 [&](std::uint32_t slot) { return tenants_in_use.contains(slot); });
+  core::SettingsOffered offered;
+  offered.epoch = version.place.epoch;
+  offered.number = version.place.number;
+  offered.settings = std::move(overlay.settings);
+  offered.changelog = std::move(document.changelog).value_or("");
+  offered.names = std::make_shared<const config::Names>(std::move(overlay.names));
+  return offered;
+}
+
+void Broker::run(core::SettingsApplied& effect) {
+  ++versions_applied_;
+  config_.settings = std::move(effect.settings);
+  config_.names = *static_cast<const config::Names*>(effect.names.get());
+  config_.changelog = std::move(effect.changelog);
+  runner_.know(words_of(config_.settings));
+  change_log_.set_address(config_.changelog);
+  control_->applied(*version_in_offer_, {});
+}
+
+void Broker::run(const core::SettingsRejected& effect) {
+  control_->applied(*version_in_offer_, effect.problem);
+}
+
+// ---- the broker's own files
+
+// Scripts are loaded and tried in a thread beside the loop, which sees copies: versions of the settings may
+// come into force meanwhile.
+void Broker::run(const core::ReadConfiguration&) {
+  ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.words()};
+  // The platform's own tenants keep their positions, also while a version leaves them out.
+  source.names.tenants.insert(start_.names.tenants.begin(), start_.names.tenants.end());
+  const net::Worker::Work work = [this, source = std::move(source), applied_before = versions_applied_] {
+    const auto reloaded = std::make_shared<ReloadedConfiguration>(read_again(source));
+    return [this, reloaded, applied_before] {
+      on_configuration_read(std::move(reloaded->read), reloaded->hooks, applied_before);
+    };
+  };
+  if (fronts_file_.empty()) return work()();
+  runner_.later(work);
+}
+
+void Broker::on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
+                                   std::uint64_t versions_applied_before) {
+  // Another tenant may have taken the place of one that a hook names.
+  if (versions_applied_before != versions_applied_) return post(core::ReloadRequested{});
+  if (read.problem.empty()) {
+    start_.changelog = read.changelog;
+    runner_.adopt(loaded);
+  }
+  post(std::move(read));
+}
+
+}  // namespace bellstair::app
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,6 +19,10 @@
 
 constexpr const char* kVersion = BELLSTAIR_VERSION;
 
+constexpr int kExitSuccess = 0;
+constexpr int kExitFailure = 1;
+constexpr int kExitUsage = 2;
+
 constexpr const char* kUsage =
     "usage: bellstair COMMAND [OPTIONS]\n"
     "\n"
@@ -38,13 +42,16 @@
     "  -h, --help          this text\n";
 
 struct Options {
-  std::string command, config, fronts, cases;
+  std::string command;
+  std::string config;
+  std::string fronts;
+  std::string cases;
   bellstair::log::Level log_level = bellstair::log::Level::info;
 };
 
 [[noreturn]] void usage_error(const std::string& what) {
   std::fprintf(stderr, "bellstair: %s; see 'bellstair --help'\n", what.c_str());
-  std::exit(2);
+  std::exit(kExitUsage);
 }
 
 bellstair::log::Level parse_log_level(const std::string& text) {
@@ -56,6 +63,13 @@
   usage_error("--log-level: expected debug, info, warning or error, not '" + text + "'");
 }
 
+// "hook" is followed by what to do, and by a file.
+void take_hook_arguments(Options& out, int argc, char** argv) {
+  if (optind + 3 != argc) usage_error("'hook' takes 'check' or 'run', and a file");
+  out.command += std::string(" ") + argv[optind + 1];
+  out.fronts = argv[optind + 2];
+}
+
 Options parse_options(int argc, char** argv) {
   Options out;
   if (const char* config = std::getenv("BALANCER_CONFIG")) out.config = config;
@@ -70,23 +84,43 @@
     if (c == 'l') out.log_level = parse_log_level(optarg);
     if (c == 'h') {
       std::fputs(kUsage, stdout);
-      std::exit(0);
+      std::exit(kExitSuccess);
     }
-    if (c == '?') std::exit(2);
+    if (c == '?') std::exit(kExitUsage);
   }
   if (optind >= argc) usage_error("no command");
   out.command = argv[optind];
   if (out.command == "hook") {
-    if (optind + 3 != argc) usage_error("'hook' takes 'check' or 'run', and a file");
-    out.command += std::string(" ") + argv[optind + 1];
-    out.fronts = argv[optind + 2];
-    return out;
-  }
-  if (optind + 1 < argc)
+    take_hook_arguments(out, argc, argv);
+  } else if (optind + 1 < argc) {
     usage_error(std::string("one command at a time, not '") + argv[optind + 1] + "' too");
+  }
   return out;
 }
 
+// 'serve' and 'check-config': both load all that a broker needs.
+int run_broker(const Options& options) {
+  using bellstair::config::read_file;
+  auto config = bellstair::config::parse(read_file(options.config, "configuration"));
+  bellstair::config::Fronts fronts;
+  if (!options.fronts.empty())
+    fronts =
+        bellstair::config::parse_fronts(read_file(options.fronts, "fronts"), options.fronts, config.names);
+  auto loaded = bellstair::hooks::load(fronts.hooks, bellstair::app::words_of(config));
+  for (const auto& problem : loaded.problems)
+    bellstair::log::write(bellstair::log::Level::error, "bellstair: " + problem);
+  if (!loaded.problems.empty()) return kExitFailure;
+  if (options.command == "check-config") {
+    std::puts("the configuration is fine");
+    return kExitSuccess;
+  }
+  ev::default_loop loop(0);
+  bellstair::app::Broker broker(loop, std::move(config), std::move(fronts), std::move(loaded), options.config,
+                                options.fronts);
+  broker.run();
+  return kExitSuccess;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -96,7 +130,7 @@
   const auto options = parse_options(argc, argv);
   if (options.command == "version") {
     std::printf("bellstair %s\n", kVersion);
-    return 0;
+    return kExitSuccess;
   }
   if (options.command == "hook check" || options.command == "hook run")
     return bellstair::app::hook_tool(options.command == "hook run", options.fronts, options.config,
@@ -107,31 +141,12 @@
     bellstair::app::hold_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});  // Broker::run() lets them through
     bellstair::log::start(options.log_level);
   }
-  using bellstair::config::read_file;
+  int status = kExitFailure;
   try {
-    auto config = bellstair::config::parse(read_file(options.config, "configuration"));
-    bellstair::config::Fronts fronts;
-    if (!options.fronts.empty())
-      fronts =
-          bellstair::config::parse_fronts(read_file(options.fronts, "fronts"), options.fronts, config.names);
-    auto loaded = bellstair::hooks::load(fronts.hooks, bellstair::app::words_of(config));
-    for (const auto& problem : loaded.problems)
-      bellstair::log::write(bellstair::log::Level::error, "bellstair: " + problem);
-    if (!loaded.problems.empty()) bellstair::log::stop();
-    if (!loaded.problems.empty()) return 1;
-    if (options.command == "check-config") {
-      std::puts("the configuration is fine");
-      return 0;
-    }
-    ev::default_loop loop(0);
-    bellstair::app::Broker(loop, std::move(config), std::move(fronts), std::move(loaded), options.config,
-                           options.fronts)
-        .run();
-    bellstair::log::stop();
-    return 0;
+    status = run_broker(options);
   } catch (const std::exception& error) {
     bellstair::log::write(bellstair::log::Level::error, std::string("bellstair: ") + error.what());
-    bellstair::log::stop();
-    return 1;
   }
+  if (status != kExitSuccess || options.command == "serve") bellstair::log::stop();
+  return status;
 }
--- /dev/null
+++ b/src/mysql/engine_session.cpp
@@ -0,0 +1,83 @@
+#include "mysql/engine_session.hpp"
+
+namespace bellstair::mysql {
+namespace {
+constexpr std::size_t kMaxPrepared = 128;  // on one connection
+constexpr std::size_t kNonceBytes = 20;
+constexpr std::uint32_t kWantedCapabilities = kLongPassword | kProtocol41 | kTransactions |
+                                              kSecureConnection | kPluginAuth | kLenencAuth |
+                                              kQueryAttributes;
+constexpr std::uint8_t kOk = 0x00;
+constexpr std::uint8_t kMoreAuthData = 0x01;
+constexpr std::uint8_t kAuthSwitch = 0xfe;
+constexpr std::uint8_t kFastAuthSucceeded = 3;  // else the engine wants what only TLS may carry
+
+std::string password_answer(const std::string& plugin, const std::string& password,
+                            const std::string& nonce) {
+  return plugin == kCachingSha2 ? sha2_answer(password, nonce) : native_answer(password, nonce);
+}
+
+LoginStep failed() { return {LoginStep::State::failed, {}}; }
+
+LoginStep answer_greeting(EngineSession& session, const config::MysqlEngines& account,
+                          const std::string& payload) {
+  const auto greeting = read_greeting(payload);
+  session.greeted = true;
+  session.connection_id = greeting.connection;
+  session.capabilities = greeting.capabilities & kWantedCapabilities;
+  session.nonce = greeting.nonce;
+  if ((session.capabilities & kProtocol41) == 0) return failed();
+  const auto* plugin = greeting.plugin == kCachingSha2 ? kCachingSha2 : kNativePassword;
+  return {LoginStep::State::in_progress,
+          write_login({session.capabilities | kLenencAuth,
+                       account.user,
+                       password_answer(plugin, account.password, session.nonce),
+                       plugin,
+                       {}})};
+}
+
+LoginStep answer_auth_switch(EngineSession& session, const config::MysqlEngines& account, Cursor& in) {
+  const std::string plugin(in.null_text());
+  if (plugin != kNativePassword && plugin != kCachingSha2) return failed();
+  session.nonce = std::string(in.rest().substr(0, kNonceBytes));
+  return {LoginStep::State::in_progress, password_answer(plugin, account.password, session.nonce)};
+}
+}  // namespace
+
+const Prepared* PreparedStatements::find(const std::string& text) const {
+  const auto found = by_text_.find(text);
+  return found == by_text_.end() ? nullptr : &found->second;
+}
+
+std::optional<Prepared> PreparedStatements::evict() {
+  if (order_.size() < kMaxPrepared) return std::nullopt;
+  const auto oldest = by_text_.find(order_.front());
+  const auto evicted = oldest->second;
+  by_text_.erase(oldest);
+  order_.pop_front();
+  return evicted;
+}
+
+void PreparedStatements::add(const std::string& text, const Prepared& prepared) {
+  by_text_[text] = prepared;
+  order_.push_back(text);
+}
+
+LoginStep continue_login(EngineSession& session, const config::MysqlEngines& account,
+                         const std::string& payload) {
+  if (payload.empty() || is_error(payload)) return failed();
+  if (!session.greeted) return answer_greeting(session, account, payload);
+  Cursor in(payload);
+  switch (in.u8()) {
+    case kOk:
+      return {LoginStep::State::succeeded, {}};
+    case kMoreAuthData:
+      return in.u8() == kFastAuthSucceeded ? LoginStep{} : failed();
+    case kAuthSwitch:
+      return answer_auth_switch(session, account, in);
+    default:
+      return failed();
+  }
+}
+
+}  // namespace bellstair::mysql
--- /dev/null
+++ b/src/mysql/mysql_engine_client.cpp
@@ -0,0 +1,359 @@
+#include "mysql/mysql_engine_client.hpp"
+
+#include <algorithm>
+
+#include "sql/value.hpp"
+
+namespace bellstair::mysql {
+namespace {
+using namespace std::chrono_literals;
+using core::AttemptEnd;
+using core::AttemptId;
+
+constexpr core::Time kCommandTimeout = 500ms;
+// Errors by which an engine takes no work now; before an execute they prove that nothing ran.
+constexpr std::uint16_t kShuttingDown = 1053;
+constexpr std::uint16_t kTooManyConnectionsOfUser = 1203;
+
+// Query attributes, by which an engine learns of the request.
+constexpr const char* kRequestIdAttribute = "ticket";
+constexpr const char* kClassAttribute = "class";
+constexpr const char* kTimeLimitMsAttribute = "limit";
+constexpr const char* kPriorityAttribute = "priority";
+constexpr const char* kIdempotencyKeyAttribute = "unique";
+constexpr const char* kMemoryGrantMbAttribute = "memory";
+
+EngineSession& session_of(const net::ConnectionPool::Connection& connection) {
+  return static_cast<EngineSession&>(*connection.session);
+}
+
+std::string command(std::uint8_t code, std::string_view text) { return Writer().u8(code).text(text).take(); }
+
+// A list of definitions is followed by its end.
+std::size_t packets_of_definitions(std::size_t count) { return count == 0 ? 0 : count + 1; }
+}  // namespace
+
+MysqlEngineClient::MysqlEngineClient(ev::loop_ref loop, net::ConnectionPool::Limits limits,
+                                     config::MysqlEngines account, std::vector<std::string> class_names,
+                                     net::EventSink emit)
+    : pool_(loop, limits,
+            [this](Connection& connection, std::function<void(bool)> done) {
+              log_in(connection, std::move(done));
+            }),
+      account_(std::move(account)),
+      class_names_(std::move(class_names)),
+      emit_(std::move(emit)) {}
+
+void MysqlEngineClient::tick(core::Time now) {
+  now_ = now;
+  pool_.tick(now);
+  command_timeouts_.advance(now, [this](std::uint64_t serial) { abandon_command(serial); });
+}
+
+void MysqlEngineClient::resume(const net::Stall& stall) {
+  now_ = stall.resumed_at;
+  pool_.set_clock(stall.resumed_at);
+}
+
+// ---- the login
+
+void MysqlEngineClient::log_in(Connection& connection, std::function<void(bool)> done) {
+  connection.session = std::make_unique<EngineSession>();
+  connection.on_data = [this, &connection, done = std::move(done)](std::string_view bytes) {
+    const auto on_done = done;  // the handler may be replaced from within
+    auto& reader = session_of(connection).reader;
+    reader.feed(bytes);
+    try {
+      if (const auto packet = reader.next()) on_login_packet(connection, *packet, on_done);
+    } catch (const Malformed&) {
+      on_done(false);
+    }
+  };
+}
+
+void MysqlEngineClient::on_login_packet(Connection& connection, const Packet& packet,
+                                        const std::function<void(bool)>& done) {
+  const auto step = continue_login(session_of(connection), account_, packet.payload);
+  if (step.reply) connection.stream.write(frame(static_cast<std::uint8_t>(packet.sequence + 1), *step.reply));
+  if (step.state != LoginStep::State::in_progress) done(step.state == LoginStep::State::succeeded);
+}
+
+// ---- effects
+
+void MysqlEngineClient::run(const core::EndpointChanged& effect) {
+  if (effect.usable) {
+    pool_.set_endpoint(effect.engine, effect.address);
+  } else {
+    pool_.remove_endpoint(effect.engine);
+  }
+  if (effect.accepting) return;
+  // A statement that is being prepared has not been sent yet, and must not be once the engine drains.
+  std::vector<AttemptId> unsent;
+  for (const auto& [id, attempt] : attempts_) {
+    if (attempt.engine == effect.engine && attempt.stage == Stage::preparing) unsent.push_back(id);
+  }
+  for (const auto id : unsent) run(core::CancelAttempt{id});
+}
+
+void MysqlEngineClient::run(const core::StartAttempt& effect) {
+  const auto id = effect.id;
+  auto& attempt = attempts_[id];
+  attempt.engine = effect.engine;
+  attempt.result.id = id;
+  attempt.checkout_ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
+    if (connection == nullptr) return end(id, AttemptEnd::connect_failed);
+    auto& connected = attempts_.at(id);
+    connected.connection = connection;
+    connected.stage = Stage::connected;
+    connection->on_data = [this, id](std::string_view bytes) { on_data(id, bytes); };
+    connection->on_lost = [this, id](bool) { on_lost(id); };
+    emit_(core::AttemptConnected{id});
+  });
+}
+
+void MysqlEngineClient::run(core::Transmit& effect) {
+  const auto found = attempts_.find(effect.id);
+  if (found == attempts_.end() || found->second.stage != Stage::connected) return;
+  auto& attempt = found->second;
+  attempt.statement = std::move(effect);
+  const auto& statement = attempt.statement;
+  if (statement.parameters.empty()) return execute(statement.id, attempt);
+  if (const auto* known = session_of(*attempt.connection).prepared.find(statement.body)) {
+    attempt.prepared = *known;
+    return execute(statement.id, attempt);
+  }
+  attempt.stage = Stage::preparing;
+  attempt.connection->stream.write(frame(0, command(kPrepare, statement.body)));
+}
+
+std::vector<Attribute> MysqlEngineClient::attributes_of(const Attempt& attempt) const {
+  const auto& statement = attempt.statement;
+  if (!session_of(*attempt.connection).supports_attributes()) return {};
+  std::vector<Attribute> attributes = {
+      {kRequestIdAttribute, statement.ticket},
+      {kClassAttribute, class_names_.at(statement.cls)},
+      {kTimeLimitMsAttribute, static_cast<std::int64_t>(statement.wait / 1ms)},
+      {kPriorityAttribute, static_cast<std::int64_t>(statement.priority)}};
+  if (!statement.nonce.empty()) attributes.push_back({kIdempotencyKeyAttribute, statement.nonce});
+  if (statement.memory_mb >= 1)
+    attributes.push_back({kMemoryGrantMbAttribute, static_cast<std::int64_t>(statement.memory_mb)});
+  return attributes;
+}
+
+// Nothing of the statement has run before this is written; once a byte has left, it may have.
+void MysqlEngineClient::execute(AttemptId id, Attempt& attempt) {
+  const auto& statement = attempt.statement;
+  const bool with_attributes = session_of(*attempt.connection).supports_attributes();
+  auto attributes = attributes_of(attempt);
+  std::string payload;
+  if (statement.parameters.empty()) {
+    payload = write_query({statement.body, std::move(attributes)}, with_attributes);
+  } else {
+    auto values = sql::unpack(statement.parameters);
+    if (!values || values->size() != attempt.prepared.parameters)
+      return end(id, AttemptEnd::error, "the engine counts other parameters");
+    payload = write_execute({attempt.prepared.statement, std::move(*values), std::move(attributes)},
+                            with_attributes);
+  }
+  attempt.stage = Stage::executing;
+  attempt.connection->stream.write(frame(0, payload));
+}
+
+void MysqlEngineClient::run(const core::CancelAttempt& effect) {
+  const auto id = effect.id;
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto& attempt = found->second;
+  switch (attempt.stage) {
+    case Stage::connecting:
+      pool_.cancel_acquire(attempt.engine, attempt.checkout_ticket);
+      return end(id, AttemptEnd::expired);
+    case Stage::connected:
+      return end(id, AttemptEnd::expired);
+    case Stage::preparing:
+      // The answer is still to come, and must not be taken for another's.
+      pool_.discard(*std::exchange(attempt.connection, nullptr));
+      return end(id, AttemptEnd::expired);
+    case Stage::executing: {
+      attempt.stage = Stage::killing;
+      const auto connection_id = session_of(*attempt.connection).connection_id;
+      return run_command(attempt.engine, command(kQuery, "KILL " + std::to_string(connection_id)),
+                         [this, id](CommandOutcome) { end(id, AttemptEnd::cancelled); });
+    }
+    case Stage::killing:
+      return;
+  }
+}
+
+void MysqlEngineClient::run(const core::SendHealthCheck& effect) {
+  const auto engine = effect.engine;
+  run_command(engine, command(kPing, {}), [this, engine](CommandOutcome outcome) {
+    using policy::AttemptResult;
+    auto result = AttemptResult::served;
+    if (outcome == CommandOutcome::not_connected) result = AttemptResult::connect_failed;
+    if (outcome == CommandOutcome::no_answer) result = AttemptResult::timed_out;
+    emit_(core::HealthCheckEnded{engine, result, {}});
+  });
+}
+
+// ---- commands
+
+void MysqlEngineClient::run_command(core::EngineId engine, std::string payload, CommandHandler handler) {
+  auto on_checkout = [this, payload = std::move(payload),
+                      handler = std::move(handler)](Connection* connection) {
+    if (connection == nullptr) return handler(CommandOutcome::not_connected);
+    send_command(*connection, payload, handler);
+  };
+  pool_.acquire(engine, std::move(on_checkout));
+}
+
+void MysqlEngineClient::send_command(Connection& connection, const std::string& payload,
+                                     const CommandHandler& handler) {
+  auto& session = session_of(connection);
+  const bool query_with_attributes =
+      session.supports_attributes() && static_cast<std::uint8_t>(payload[0]) == kQuery;
+  connection.stream.write(
+      frame(0, query_with_attributes ? write_query({payload.substr(1), {}}, true) : payload));
+  const auto serial = ++last_command_;
+  on_command_timeout_[serial] = [this, &connection, handler] {
+    pool_.discard(connection);
+    handler(CommandOutcome::no_answer);
+  };
+  command_timeouts_.arm(now_ + kCommandTimeout, serial);
+  connection.on_data = [this, &connection, serial, &session, handler](std::string_view bytes) {
+    const auto on_answer = handler;  // releasing the connection destroys this closure
+    session.reader.feed(bytes);
+    bool answered = false;
+    try {
+      answered = session.reader.next().has_value();
+    } catch (const Malformed&) {
+      return;  // until the timeout
+    }
+    if (!answered || on_command_timeout_.erase(serial) == 0) return;
+    session.reader.buffered() == 0 ? pool_.release(connection) : pool_.discard(connection);
+    on_answer(CommandOutcome::answered);
+  };
+  connection.on_lost = [this, serial](bool) { abandon_command(serial); };
+}
+
+void MysqlEngineClient::abandon_command(std::uint64_t serial) {
+  const auto found = on_command_timeout_.find(serial);
+  if (found == on_command_timeout_.end()) return;
+  const auto on_timeout = std::move(found->second);
+  on_command_timeout_.erase(found);
+  on_timeout();
+}
+
+// ---- answers
+
+void MysqlEngineClient::on_data(AttemptId id, std::string_view bytes) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto* connection = found->second.connection;
+  auto& reader = session_of(*connection).reader;
+  reader.feed(bytes);
+  try {
+    while (true) {
+      const auto current = attempts_.find(id);
+      if (current == attempts_.end() || current->second.connection != connection) return;
+      const auto packet = reader.next();
+      if (!packet) return;
+      on_packet(id, current->second, *packet);
+    }
+  } catch (const Malformed&) {
+    on_lost(id);
+  }
+}
+
+void MysqlEngineClient::on_packet(AttemptId id, Attempt& attempt, const Packet& packet) {
+  if (packet.payload.empty()) throw Malformed("an empty answer");
+  switch (attempt.stage) {
+    case Stage::preparing:
+      return on_prepared(id, attempt, packet.payload);
+    case Stage::executing:
+    case Stage::killing:
+      return on_result(id, attempt, packet.payload);
+    case Stage::connecting:
+    case Stage::connected:
+      throw Malformed("an answer to nothing");
+  }
+}
+
+void MysqlEngineClient::on_prepared(AttemptId id, Attempt& attempt, const std::string& payload) {
+  if (attempt.definitions_left > 0) {
+    if (--attempt.definitions_left > 0) return;
+  } else {
+    if (is_error(payload)) return on_prepare_error(id, payload);
+    attempt.prepared = read_prepared(payload);
+    attempt.definitions_left = packets_of_definitions(attempt.prepared.parameters) +
+                               packets_of_definitions(attempt.prepared.columns);
+    if (attempt.definitions_left > 0) return;
+  }
+  auto& known = session_of(*attempt.connection).prepared;
+  if (const auto evicted = known.evict()) {
+    const auto close = Writer().u8(kCloseStatement).u32(evicted->statement).take();
+    attempt.connection->stream.write(frame(0, close));
+  }
+  known.add(attempt.statement.body, attempt.prepared);
+  execute(id, attempt);
+}
+
+// The statement was never executed; but one that is wrong is wrong on every engine.
+void MysqlEngineClient::on_prepare_error(AttemptId id, const std::string& payload) {
+  const auto error = read_error(payload);
+  const bool busy = error.code == kTooManyConnections || error.code == kShuttingDown ||
+                    error.code == kTooManyConnectionsOfUser;
+  end(id, busy ? AttemptEnd::rejected : AttemptEnd::error, error.message);
+}
+
+void MysqlEngineClient::on_result(AttemptId id, Attempt& attempt, const std::string& payload) {
+  if (is_error(payload)) {
+    const auto error = read_error(payload);
+    if (attempt.stage == Stage::killing) return;  // the answer to the kill ends the attempt
+    return end(id, AttemptEnd::error, error.message);
+  }
+  const bool binary = !attempt.statement.parameters.empty();
+  if (attempt.reader.read(payload, binary)) end(id, AttemptEnd::served);
+}
+
+// The connection is gone, or nothing on it can be trusted any more.
+void MysqlEngineClient::on_lost(AttemptId id) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto& attempt = found->second;
+  if (attempt.connection != nullptr) pool_.discard(*std::exchange(attempt.connection, nullptr));
+  switch (attempt.stage) {
+    case Stage::connecting:
+    case Stage::connected:
+    case Stage::preparing:
+      return end(id, AttemptEnd::connect_failed);  // it was never executed
+    case Stage::executing:
+      return end(id, AttemptEnd::reset);  // it may have been
+    case Stage::killing:
+      return end(id, AttemptEnd::cancelled);
+  }
+}
+
+void MysqlEngineClient::end(AttemptId id, AttemptEnd how, std::string error) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto attempt = std::move(found->second);
+  attempts_.erase(found);
+  if (attempt.connection != nullptr) {
+    // A connection that was killed is of no more use, nor one with more behind the answer.
+    const bool reusable = how == AttemptEnd::served || how == AttemptEnd::expired ||
+                          how == AttemptEnd::error || how == AttemptEnd::rejected;
+    const bool drained = session_of(*attempt.connection).reader.buffered() == 0;
+    reusable&& drained ? pool_.release(*attempt.connection) : pool_.discard(*attempt.connection);
+  }
+  attempt.result.end = how;
+  if (how == AttemptEnd::served) {
+    attempt.result.body = attempt.reader.take_rows();
+    attempt.result.shape = pack(attempt.reader.shape());
+  } else {
+    attempt.result.body = std::move(error);
+  }
+  emit_(std::move(attempt.result));
+}
+
+}  // namespace bellstair::mysql
--- /dev/null
+++ b/src/mysql/mysql_engine_client.hpp
@@ -0,0 +1,94 @@
+// Engines that speak MySQL. Prepared statements of clients belong to the broker: each is prepared on the
+// connection that an attempt uses, unless that connection knows it already.
+#pragma once
+
+#include <ev++.h>
+
+#include <functional>
+#include <map>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "config/fronts.hpp"
+#include "mysql/engine_session.hpp"
+#include "mysql/packet.hpp"
+#include "mysql/result_reader.hpp"
+#include "net/connection_pool.hpp"
+#include "net/engine_driver.hpp"
+
+namespace bellstair::mysql {
+
+class MysqlEngineClient : public net::EngineDriver {
+ public:
+  // `class_names`: by core::ClassIndex.
+  MysqlEngineClient(ev::loop_ref loop, net::ConnectionPool::Limits limits, config::MysqlEngines account,
+                    std::vector<std::string> class_names, net::EventSink emit);
+
+  void run(const core::StartAttempt& effect) override;
+  void run(core::Transmit& effect) override;
+  void run(const core::CancelAttempt& effect) override;
+  void run(const core::Reprioritize&) override {}  // the protocol has no priorities
+  void run(const core::SendHealthCheck& effect) override;
+  void run(const core::EndpointChanged& effect) override;
+  void settle() override { pool_.settle(); }
+  void tick(core::Time now) override;
+  void resume(const net::Stall& stall) override;
+
+ private:
+  using Connection = net::ConnectionPool::Connection;
+  enum class Stage {
+    connecting,
+    connected,
+    preparing,
+    executing,
+    killing,  // cancelled while executing
+  };
+  enum class CommandOutcome { not_connected, no_answer, answered };
+  // Called exactly once, from the loop.
+  using CommandHandler = std::function<void(CommandOutcome)>;
+
+  struct Attempt {
+    core::EngineId engine = 0;
+    Stage stage = Stage::connecting;
+    std::uint64_t checkout_ticket = 0;
+    Connection* connection = nullptr;
+    core::Transmit statement;
+    Prepared prepared;
+    std::size_t definitions_left = 0;  // of the prepared statement's parameters and columns
+    ResultReader reader;
+    core::AttemptEnded result;
+  };
+
+  void log_in(Connection& connection, std::function<void(bool)> done);
+  void on_login_packet(Connection& connection, const Packet& packet, const std::function<void(bool)>& done);
+
+  void execute(core::AttemptId id, Attempt& attempt);
+  [[nodiscard]] std::vector<Attribute> attributes_of(const Attempt& attempt) const;
+  void on_data(core::AttemptId id, std::string_view bytes);
+  void on_packet(core::AttemptId id, Attempt& attempt, const Packet& packet);
+  void on_prepared(core::AttemptId id, Attempt& attempt, const std::string& payload);
+  void on_prepare_error(core::AttemptId id, const std::string& payload);
+  void on_result(core::AttemptId id, Attempt& attempt, const std::string& payload);
+  void on_lost(core::AttemptId id);
+  // `error`: what the engine said, unless served.
+  void end(core::AttemptId id, core::AttemptEnd how, std::string error = {});
+
+  // A command that one OK packet answers, on any connection to the engine.
+  void run_command(core::EngineId engine, std::string payload, CommandHandler handler);
+  void send_command(Connection& connection, const std::string& payload, const CommandHandler& handler);
+  void abandon_command(std::uint64_t serial);
+
+  net::ConnectionPool pool_;
+  config::MysqlEngines account_;
+  std::vector<std::string> class_names_;
+  net::EventSink emit_;
+  std::map<core::AttemptId, Attempt> attempts_;
+  std::unordered_map<std::uint64_t, std::function<void()>>
+      on_command_timeout_;  // of commands without an answer
+  core::TimerWheel<std::uint64_t> command_timeouts_{std::chrono::milliseconds(5)};
+  std::uint64_t last_command_ = 0;
+  core::Time now_{};
+};
+
+}  // namespace bellstair::mysql
--- /dev/null
+++ b/src/mysql/mysql_server.cpp
@@ -0,0 +1,397 @@
+#include "mysql/mysql_server.hpp"
+
+#include <openssl/rand.h>
+
+#include <algorithm>
+#include <cstdio>
+
+#include "mysql/result_writer.hpp"
+#include "sql/statement.hpp"
+
+namespace bellstair::mysql {
+namespace {
+using namespace std::chrono_literals;
+
+constexpr const char* kServerVersion = "8.0.0-bellstair";
+constexpr std::uint32_t kOfferedCapabilities = kLongPassword | kConnectWithDb | kProtocol41 | kTransactions |
+                                               kSecureConnection | kPluginAuth | kConnectAttributes |
+                                               kLenencAuth | kQueryAttributes;
+constexpr core::Time kLoginTimeout = 10s;
+constexpr std::size_t kMaxBuffered = std::size_t{2} << 20;  // of what a client sends ahead
+constexpr std::size_t kMaxStatements = 1024;                // prepared, on one connection
+constexpr std::size_t kNonceBytes = 20;
+constexpr std::uint8_t kAuthSwitch = 0xfe;
+constexpr std::uint8_t kMoreAuthData = 0x01;
+constexpr std::uint8_t kFastAuthSucceeded = 0x03;
+constexpr std::uint16_t kTooManyStatements = 1461;
+
+// Random bytes without zeros, which end a text in this protocol.
+std::string new_nonce() {
+  std::string out(kNonceBytes, '\0');
+  RAND_bytes(reinterpret_cast<unsigned char*>(out.data()), static_cast<int>(out.size()));
+  for (char& c : out) c = static_cast<char>(1 + static_cast<unsigned char>(c) % 126);
+  return out;
+}
+
+Error access_denied(const std::string& user) {
+  return {kAccessDenied, "28000", "access denied for user '" + user + "'"};
+}
+
+std::string auth_switch(const char* plugin, const std::string& nonce) {
+  return Writer().u8(kAuthSwitch).null_text(plugin).null_text(nonce).take();
+}
+
+}  // namespace
+
+MysqlServer::MysqlServer(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
+                         const config::Names& names, const policy::Settings& settings, Options options,
+                         std::uint64_t& last_handle, std::uint64_t seed, net::EventSink emit)
+    : loop_(loop),
+      config_(config),
+      names_(names),
+      settings_(settings),
+      options_(std::move(options)),
+      last_handle_(last_handle),
+      ticket_generator_(seed),
+      emit_(std::move(emit)),
+      listener_(loop, std::move(listening), [this](net::Fd fd, net::Time) { accept(std::move(fd)); }),
+      lingerer_(loop) {}
+
+// ---- connections
+
+void MysqlServer::accept(net::Fd fd) {
+  if (connections_.size() >= options_.max_connections) {
+    const Error error{kTooManyConnections, "08004", "too many connections"};
+    lingerer_.reject(std::move(fd), frame(0, write_error(error)));
+    return lingerer_.trim_beside(connections_.size(), options_.max_connections);
+  }
+  auto made = std::make_unique<Connection>(loop_, std::move(fd));
+  auto& connection = *made;
+  connection.serial = ++last_serial_;
+  connection.nonce = new_nonce();
+  connections_.emplace(connection.serial, std::move(made));
+  connection.stream.handle(handlers_of(connection));
+  login_timers_.arm(now_ + kLoginTimeout, connection.serial);
+  const Greeting greeting{kServerVersion, connection.nonce, kCachingSha2,
+                          static_cast<std::uint32_t>(connection.serial), kOfferedCapabilities};
+  send(connection, write_greeting(greeting));
+}
+
+net::Stream::Handlers MysqlServer::handlers_of(Connection& connection) {
+  return {
+      .connected = {},
+      .data =
+          [this, &connection](std::string_view bytes) {
+            connection.reader.feed(bytes);
+            if (connection.reader.buffered() > kMaxBuffered) connection.stream.pause(true);
+            read_packets(connection);
+          },
+      .ended =
+          [this, &connection] {
+            // The client may only have closed its side, or have gone: what runs is answered.
+            connection.half_closed = true;
+            if (connection.phase == Phase::running) return emit_(core::ClientHalfClosed{connection.client});
+            if (connection.stream.unwritten() == 0) close(connection);
+          },
+      .closed = [this, &connection] { close(connection); },
+      .drained =
+          [this, &connection] {
+            if (connection.half_closed && connection.phase != Phase::running) close(connection);
+          },
+  };
+}
+
+void MysqlServer::close(Connection& connection) {
+  if (connection.client != 0) {
+    running_.erase(connection.client);
+    emit_(core::ClientCancelled{connection.client});
+  }
+  connection.stream.close();
+  const auto found = connections_.find(connection.serial);
+  if (found == connections_.end()) return;
+  closed_.push_back(std::move(found->second));
+  connections_.erase(found);
+}
+
+void MysqlServer::close_gracefully(Connection& connection) {
+  lingerer_.take(connection.stream);
+  close(connection);
+  lingerer_.trim_beside(connections_.size(), options_.max_connections);
+}
+
+void MysqlServer::close_with_error(Connection& connection, const Error& error) {
+  send_error(connection, error);
+  connection.closing = true;
+  if (connection.phase != Phase::running) close_gracefully(connection);
+}
+
+// After a half-close, a reset is not seen by reading.
+void MysqlServer::close_departed_clients() {
+  std::vector<Connection*> departed;
+  for (const auto& [client, serial] : running_) {
+    auto& connection = *connections_.at(serial);
+    if (connection.half_closed && connection.stream.reset()) departed.push_back(&connection);
+  }
+  for (auto* connection : departed) close(*connection);
+}
+
+void MysqlServer::tick(core::Time now) {
+  now_ = now;
+  lingerer_.tick(now);
+  close_departed_clients();
+  login_timers_.advance(now, [this](std::uint64_t serial) {
+    const auto found = connections_.find(serial);
+    if (found != connections_.end() && found->second->phase < Phase::idle) close_gracefully(*found->second);
+  });
+}
+
+void MysqlServer::resume(const net::Stall& stall) {
+  now_ = stall.resumed_at;
+  lingerer_.set_clock(stall.resumed_at);
+}
+
+void MysqlServer::settle() {
+  closed_.clear();
+  lingerer_.settle();
+}
+
+void MysqlServer::shut_down() {
+  shutting_down_ = true;
+  lingerer_.lift_limit();
+  std::vector<Connection*> unoccupied;
+  for (const auto& [serial, connection] : connections_) {
+    if (connection->phase != Phase::running) unoccupied.push_back(connection.get());
+  }
+  for (auto* connection : unoccupied) close_gracefully(*connection);
+}
+
+bool MysqlServer::has_unsent_output() const {
+  const auto unsent = [](const auto& entry) { return entry.second->stream.unwritten() > 0; };
+  return lingerer_.size() > 0 || std::ranges::any_of(connections_, unsent);
+}
+
+// ---- packets
+
+// One command at a time: what a client sends ahead stays where it is until the answer has gone out.
+void MysqlServer::read_packets(Connection& connection) {
+  if (connection.in_read_packets) return;
+  connection.in_read_packets = true;
+  try {
+    while (connection.stream.open() && !connection.closing && connection.phase != Phase::running &&
+           connection.phase != Phase::directory_lookup) {
+      const auto packet = connection.reader.next();
+      if (!packet) break;
+      on_packet(connection, *packet);
+    }
+  } catch (const Malformed& error) {
+    // Where the next packet begins can't be told any more.
+    connection.sequence = 1;
+    close_with_error(connection, {kMalformedPacket, "HY000", error.what()});
+  }
+  connection.in_read_packets = false;
+  if (connection.stream.open() && connection.reader.buffered() <= kMaxBuffered)
+    connection.stream.pause(false);
+}
+
+void MysqlServer::on_packet(Connection& connection, const Packet& packet) {
+  connection.sequence = static_cast<std::uint8_t>(packet.sequence + 1);
+  switch (connection.phase) {
+    case Phase::login:
+      return on_login(connection, packet.payload);
+    case Phase::auth_switched:
+      return check_password(connection, packet.payload, kNativePassword);
+    case Phase::clear_password: {
+      auto password = packet.payload;
+      if (!password.empty() && password.back() == '\0') password.pop_back();
+      return look_up_user(connection, password);
+    }
+    case Phase::idle:
+      if (packet.sequence != 0) throw Malformed("a command out of sequence");
+      return on_command(connection, packet.payload);
+    case Phase::directory_lookup:
+    case Phase::running:
+      return;
+  }
+}
+
+// ---- the login
+
+void MysqlServer::on_login(Connection& connection, const std::string& payload) {
+  auto login = read_login(payload);
+  connection.capabilities = login.capabilities & kOfferedCapabilities;
+  connection.user = login.user;
+  const bool in_own_settings =
+      std::ranges::any_of(config_.users, [&](const auto& u) { return u.name == login.user; });
+  if (!in_own_settings && options_.lookup) {
+    // A directory takes the password as it is; this front listens on the loopback only.
+    connection.phase = Phase::clear_password;
+    return send(connection, auth_switch(kClearPassword, connection.nonce));
+  }
+  if (login.plugin == kCachingSha2 || login.plugin == kNativePassword)
+    return check_password(connection, login.answer, login.plugin);
+  connection.phase = Phase::auth_switched;
+  send(connection, auth_switch(kNativePassword, connection.nonce));
+}
+
+void MysqlServer::check_password(Connection& connection, const std::string& answer,
+                                 const std::string& plugin) {
+  const auto user = std::ranges::find(config_.users, connection.user, &config::MysqlUser::name);
+  if (user == config_.users.end()) return close_with_error(connection, access_denied(connection.user));
+  const bool sha2 = plugin == kCachingSha2;
+  const auto expected =
+      sha2 ? sha2_answer(user->password, connection.nonce) : native_answer(user->password, connection.nonce);
+  // An empty password goes as no bytes, or as a lone zero.
+  const auto given = answer == std::string(1, '\0') ? std::string() : answer;
+  if (!same_secret(given, expected)) return close_with_error(connection, access_denied(connection.user));
+  if (sha2 && !expected.empty()) send(connection, Writer().u8(kMoreAuthData).u8(kFastAuthSucceeded).take());
+  accept_login(connection, user->tenant);
+}
+
+void MysqlServer::look_up_user(Connection& connection, const std::string& password) {
+  connection.phase = Phase::directory_lookup;
+  options_.lookup(connection.user, password, [this, serial = connection.serial](directory::Verdict verdict) {
+    on_lookup(serial, verdict);
+  });
+}
+
+void MysqlServer::on_lookup(std::uint64_t serial, const directory::Verdict& verdict) {
+  using Kind = directory::Verdict::Kind;
+  const auto found = connections_.find(serial);
+  if (found == connections_.end()) return;
+  auto& connection = *found->second;
+  if (verdict.kind == Kind::denied) return close_with_error(connection, access_denied(connection.user));
+  if (verdict.kind == Kind::unavailable) {
+    return close_with_error(
+        connection, {kDirectoryDown, "HY000", "the directory of users can't be reached; try again later"});
+  }
+  accept_login(connection, verdict.tenant);
+  if (connection.phase == Phase::idle) read_packets(connection);
+}
+
+void MysqlServer::accept_login(Connection& connection, const std::string& tenant) {
+  if (!names_.tenants.contains(tenant)) return close_with_error(connection, access_denied(connection.user));
+  connection.tenant = tenant;
+  connection.phase = Phase::idle;
+  send(connection, write_ok());
+}
+
+// ---- commands
+
+void MysqlServer::on_command(Connection& connection, const std::string& payload) {
+  if (payload.empty()) throw Malformed("an empty command");
+  switch (static_cast<std::uint8_t>(payload[0])) {
+    case kQuit:
+      return close(connection);
+    case kPing:
+      return send(connection, write_ok());
+    case kQuery: {
+      const auto query = read_query(payload, connection.supports_attributes());
+      return submit(connection, query.text, {}, query.attributes, false);
+    }
+    case kPrepare:
+      return prepare(connection, payload.substr(1));
+    case kExecute:
+      return execute(connection, payload);
+    case kResetStatement: {
+      if (!connection.statements.contains(execute_statement(payload)))
+        return send_error(connection, {kUnknownStatement, "HY000", "unknown prepared statement"});
+      return send(connection, write_ok());
+    }
+    case kCloseStatement:
+      connection.statements.erase(execute_statement(payload));
+      return;  // nothing answers it
+    default:
+      return send_error(connection, {kUnknownCommand, "08S01", "unknown command"});
+  }
+}
+
+// Statements belong to the broker: an engine comes to know them when an attempt is sent to it.
+void MysqlServer::prepare(Connection& connection, std::string text) {
+  if (sql::first_word(text).empty())
+    return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
+  if (connection.statements.size() >= kMaxStatements)
+    return send_error(connection,
+                      {kTooManyStatements, "42000", "too many prepared statements on this connection"});
+  const auto id = ++connection.last_statement_id;
+  auto& statement = connection.statements[id];
+  statement.parameters = sql::placeholders(text).size();
+  statement.text = std::move(text);
+  send(connection, write_prepared({id, 0, static_cast<std::uint16_t>(statement.parameters)}));
+  if (statement.parameters == 0) return;
+  for (std::size_t i = 0; i < statement.parameters; ++i) send(connection, write_column("?", kTypeVarString));
+  send(connection, write_eof());
+}
+
+void MysqlServer::execute(Connection& connection, const std::string& payload) {
+  const auto found = connection.statements.find(execute_statement(payload));
+  if (found == connection.statements.end())
+    return send_error(connection, {kUnknownStatement, "HY000", "unknown prepared statement"});
+  auto& statement = found->second;
+  const auto execute =
+      read_execute(payload, statement.parameters, connection.supports_attributes(), statement.types);
+  submit(connection, statement.text, execute.values, execute.attributes, true);
+}
+
+std::string MysqlServer::new_ticket() {
+  char ticket[17];
+  std::snprintf(ticket, sizeof ticket, "%016llx", static_cast<unsigned long long>(ticket_generator_()));
+  return ticket;
+}
+
+void MysqlServer::submit(Connection& connection, std::string_view text, const std::vector<sql::Value>& values,
+                         const std::vector<Attribute>& attributes, bool binary) {
+  const auto word = sql::first_word(text);
+  if (word.empty()) return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
+  // What drivers set when they connect is about a session, and a broker has none.
+  if (word == "set") return send(connection, write_ok());
+  // The settings may have lost it since the login.
+  const auto tenant = names_.tenants.find(connection.tenant);
+  if (tenant == names_.tenants.end()) return send_error(connection, access_denied(connection.user));
+  try {
+    auto submission = map_statement(text, values, attributes, tenant->second, names_, settings_);
+    submission.ticket = new_ticket();
+    submission.front = core::FrontKind::mysql;
+    submission.client = ++last_handle_;
+    connection.phase = Phase::running;
+    connection.client = submission.client;
+    connection.binary_result = binary;
+    connection.returns_rows = word == "select" || word == "with" || word == "show";
+    running_[submission.client] = connection.serial;
+    emit_(core::RequestReceived{std::move(submission)});
+  } catch (const Refusal& refusal) {
+    send_error(connection, refusal.error);
+  }
+}
+
+bool MysqlServer::run(const core::Answer& answer) {
+  const auto found = running_.find(answer.client);
+  if (found == running_.end()) return false;
+  auto& connection = *connections_.at(found->second);
+  running_.erase(found);
+  connection.client = 0;
+  connection.phase = Phase::idle;
+  if (answer.kind == core::AnswerKind::served) {
+    const ResultFormat format{options_.escaped_rows, connection.binary_result, connection.returns_rows};
+    write_result(answer, format, [&](std::string_view payload) { send(connection, payload); });
+  } else {
+    send_error(connection, error_of(answer));
+  }
+  if (connection.half_closed && connection.stream.unwritten() == 0) {
+    close(connection);
+  } else if (!connection.half_closed && (connection.closing || shutting_down_)) {
+    close_gracefully(connection);
+  } else if (!connection.half_closed) {
+    read_packets(connection);
+  }
+  return true;
+}
+
+void MysqlServer::send(Connection& connection, std::string_view payload) {
+  connection.stream.write(frame(connection.sequence++, payload));
+}
+
+void MysqlServer::send_error(Connection& connection, const Error& error) {
+  send(connection, write_error(error));
+}
+
+}  // namespace bellstair::mysql
--- /dev/null
+++ b/src/mysql/mysql_server.hpp
@@ -0,0 +1,133 @@
+// The server for clients that speak MySQL: logins, and one statement at a time on a connection.
+#pragma once
+
+#include <ev++.h>
+
+#include <map>
+#include <memory>
+#include <random>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include "config/config.hpp"
+#include "config/fronts.hpp"
+#include "core/events.hpp"
+#include "core/wheel.hpp"
+#include "directory/verdict.hpp"
+#include "mysql/mapping.hpp"
+#include "mysql/packet.hpp"
+#include "net/client_server.hpp"
+#include "net/event_sink.hpp"
+#include "net/lingerer.hpp"
+#include "net/listener.hpp"
+
+namespace bellstair::mysql {
+
+class MysqlServer : public net::ClientServer {
+ public:
+  struct Options {
+    std::size_t max_connections = 256;
+    bool escaped_rows = false;  // see read_rows()
+    directory::Lookup lookup;   // of users that the server's own settings do not name; empty: no directory
+  };
+  // Client handles are drawn from `last_handle`, which all servers share. The seed is that of the request
+  // ids.
+  MysqlServer(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
+              const config::Names& names, const policy::Settings& settings, Options options,
+              std::uint64_t& last_handle, std::uint64_t seed, net::EventSink emit);
+
+  bool run(const core::Answer& answer) override;
+  void settle() override;
+  void tick(core::Time now) override;
+  void resume(const net::Stall& stall) override;
+  void shut_down() override;
+  [[nodiscard]] bool has_unsent_output() const override;
+
+ private:
+  static constexpr std::size_t kMaxPacket = std::size_t{1} << 20;
+  static constexpr std::size_t kMaxUnwritten = std::size_t{16} << 20;
+
+  enum class Phase {
+    login,
+    auth_switched,   // the client is to answer for another authentication plugin
+    clear_password,  // the client is to send its password as it is
+    directory_lookup,
+    idle,
+    running,
+  };
+  struct Statement {
+    std::string text;
+    std::size_t parameters = 0;
+    ParameterTypes types;
+  };
+  struct Connection {
+    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnwritten) {}
+    [[nodiscard]] bool supports_attributes() const { return (capabilities & kQueryAttributes) != 0; }
+
+    std::uint64_t serial = 0;
+    net::Stream stream;
+    PacketReader reader{kMaxPacket};
+    Phase phase = Phase::login;
+    std::string nonce;
+    std::string user;
+    std::string tenant;  // by name: it may leave the settings and come back
+    std::uint32_t capabilities = 0;
+    std::uint8_t sequence = 0;
+    bool in_read_packets = false;
+    bool closing = false;           // input is dropped; closed once what runs is answered
+    bool half_closed = false;       // the client writes no more: it has closed its side, or all of it
+    core::ClientHandle client = 0;  // while one of its statements runs
+    bool binary_result = false;
+    bool returns_rows = false;  // the running statement, by its first word
+    std::map<std::uint32_t, Statement> statements;
+    std::uint32_t last_statement_id = 0;
+  };
+
+  void accept(net::Fd fd);
+  [[nodiscard]] net::Stream::Handlers handlers_of(Connection& connection);
+  void read_packets(Connection& connection);
+  void on_packet(Connection& connection, const Packet& packet);
+
+  void on_login(Connection& connection, const std::string& payload);
+  void check_password(Connection& connection, const std::string& answer, const std::string& plugin);
+  void look_up_user(Connection& connection, const std::string& password);
+  void on_lookup(std::uint64_t serial, const directory::Verdict& verdict);
+  void accept_login(Connection& connection, const std::string& tenant);
+
+  void on_command(Connection& connection, const std::string& payload);
+  void prepare(Connection& connection, std::string text);
+  void execute(Connection& connection, const std::string& payload);
+  void submit(Connection& connection, std::string_view text, const std::vector<sql::Value>& values,
+              const std::vector<Attribute>& attributes, bool binary);
+  [[nodiscard]] std::string new_ticket();
+
+  void send(Connection& connection, std::string_view payload);
+  void send_error(Connection& connection, const Error& error);
+  void close_departed_clients();
+  // The one end of a connection: what runs for it is cancelled.
+  void close(Connection& connection);
+  void close_gracefully(Connection& connection);
+  void close_with_error(Connection& connection, const Error& error);
+
+  ev::loop_ref loop_;
+  const config::MysqlFront& config_;
+  const config::Names& names_;
+  const policy::Settings& settings_;
+  Options options_;
+  std::uint64_t& last_handle_;
+  std::mt19937_64 ticket_generator_;
+  net::EventSink emit_;
+  net::Listener listener_;
+  std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+  std::unordered_map<core::ClientHandle, std::uint64_t> running_;  // connections
+  std::vector<std::unique_ptr<Connection>> closed_;  // freed once no handler of theirs can be running
+  net::Lingerer lingerer_;
+  bool shutting_down_ = false;
+  core::TimerWheel<std::uint64_t> login_timers_{std::chrono::milliseconds(5)};  // by connection
+  std::uint64_t last_serial_ = 0;
+  core::Time now_{};
+};
+
+}  // namespace bellstair::mysql
--- a/src/net/dial_error.hpp
+++ b/src/net/connect_error.hpp
@@ -1,23 +1,23 @@
-// What a failed connect() tells of the peer it was for (connect(2), "Errors").
+// What a failed connect() says of the peer it was for (connect(2), "Errors").
 #pragma once
 
 #include <cerrno>
 
 namespace bellstair::net {
 
-enum class DialError {
+enum class ConnectError {
   refused,      // the peer's machine answers, and nobody listens there
-  reset,        // it was accepted and broken off, which tells nothing of who listens
-  exhausted,    // this machine has no descriptor, port or memory for it at present
+  reset,        // accepted and reset, which says nothing of who listens
+  exhausted,    // this machine has no descriptor, port or memory for it now
   unreachable,  // the network, here or on the way, did not carry it
 };
 
-[[nodiscard]] inline DialError classify_dial_error(int error) {
+[[nodiscard]] inline ConnectError classify_connect_error(int error) {
   switch (error) {
     case ECONNREFUSED:
-      return DialError::refused;
+      return ConnectError::refused;
     case ECONNRESET:
-      return DialError::reset;
+      return ConnectError::reset;
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
@@ -25,9 +25,9 @@
     case EADDRNOTAVAIL:
     case EADDRINUSE:
     case EAGAIN:
-      return DialError::exhausted;
+      return ConnectError::exhausted;
     default:
-      return DialError::unreachable;
+      return ConnectError::unreachable;
   }
 }
 
--- /dev/null
+++ b/src/net/engine_driver.hpp
@@ -0,0 +1,24 @@
+// The client side of engines, whatever protocol they speak.
+#pragma once
+
+#include "core/events.hpp"
+#include "net/event_sink.hpp"
+#include "net/loop_component.hpp"
+
+namespace bellstair::net {
+
+// Runs the core's effects on engines. Each StartAttempt is answered by exactly one AttemptEnded, each
+// SendHealthCheck by one HealthCheckEnded.
+class EngineDriver : public LoopComponent {
+ public:
+  // Connects for an attempt; AttemptConnected follows, and the driver waits for Transmit.
+  virtual void run(const core::StartAttempt& effect) = 0;
+  // Sends the statement; its body is moved out of the effect.
+  virtual void run(core::Transmit& effect) = 0;
+  virtual void run(const core::CancelAttempt& effect) = 0;
+  virtual void run(const core::Reprioritize& effect) = 0;
+  virtual void run(const core::SendHealthCheck& effect) = 0;
+  virtual void run(const core::EndpointChanged& effect) = 0;
+};
+
+}  // namespace bellstair::net
--- a/src/net/lingerer.cpp
+++ b/src/net/lingerer.cpp
@@ -7,39 +7,51 @@
 void Lingerer::take(Stream& stream) {
   auto rest = stream.release();
   if (!rest.fd) return;
-  leaving_.push_back(std::make_unique<Leaving>(loop_, std::move(rest.fd), now_ + kLinger));
-  const auto place = std::prev(leaving_.end());
-  auto& leaving = **place;
-  leaving.stream.handle({
+  lingering_.push_back(std::make_unique<Lingering>(loop_, std::move(rest.fd), now_ + kLinger));
+  const auto position = std::prev(lingering_.end());
+  auto& lingering = **position;
+  lingering.stream.handle({
       .connected = {},
       .data = [](std::string_view) {},
       .ended =
-          [this, place] {
-            if ((*place)->stream.unwritten() == 0) close(place);
+          [this, position] {
+            if ((*position)->stream.unwritten() == 0) close(position);
           },
-      .closed = [this, place] { close(place); },
+      .closed = [this, position] { close(position); },
       .drained =
-          [this, place] {
-            if ((*place)->stream.ended()) close(place);
+          [this, position] {
+            if ((*position)->stream.ended()) close(position);
           },
   });
-  if (!rest.unwritten.empty()) leaving.stream.write(rest.unwritten);
-  leaving.stream.finish();
+  if (!rest.unwritten.empty()) lingering.stream.write(rest.unwritten);
+  lingering.stream.finish();
 }
 
-void Lingerer::close(Place place) {
-  (*place)->stream.close();
-  gone_.push_back(std::move(*place));
-  leaving_.erase(place);
+void Lingerer::reject(Fd fd, std::string_view message) {
+  Stream stream(loop_, std::move(fd), false, kMaxUnwritten);
+  stream.write(message);
+  take(stream);
+}
+
+void Lingerer::close(Position position) {
+  (*position)->stream.close();
+  closed_.push_back(std::move(*position));
+  lingering_.erase(position);
 }
 
 void Lingerer::trim(std::size_t most) {
-  while (leaving_.size() > most) close(leaving_.begin());
+  while (lingering_.size() > most) close(lingering_.begin());
+}
+
+void Lingerer::trim_beside(std::size_t open, std::size_t capacity) {
+  if (!limited_) return;
+  const auto limit = capacity + kMaxBeyondCapacity;
+  trim(limit > open ? limit - open : 0);
 }
 
 void Lingerer::tick(core::Time now) {
   now_ = now;
-  while (!leaving_.empty() && leaving_.front()->until <= now) close(leaving_.begin());
+  while (!lingering_.empty() && lingering_.front()->deadline <= now) close(lingering_.begin());
 }
 
 }  // namespace bellstair::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,7 +9,7 @@
 
 namespace bellstair::net {
 namespace {
-constexpr int kMaxInATurn = 64;  // connections accepted in one turn of the loop
+constexpr int kMaxAcceptsPerTurn = 64;  // of the loop
 }  // namespace
 
 AcceptError classify_accept_error(int error) {
@@ -22,7 +22,7 @@
     case ECONNABORTED:
     case EPERM:
     case ETIMEDOUT:
-    // Errors of the network that are pending on the new socket, which accept() hands on.
+    // Pending network errors of the new socket, which accept() returns.
     case ENETDOWN:
     case EPROTO:
     case ENOPROTOOPT:
@@ -37,10 +37,10 @@
   }
 }
 
-Listener::Listener(ev::loop_ref loop, Fd fd, Accepted accepted, FreeDescriptor free_descriptor)
+Listener::Listener(ev::loop_ref loop, Fd fd, AcceptHandler on_accept, FreeDescriptor free_descriptor)
     : io_(loop),
       fd_(std::move(fd)),
-      accepted_(std::move(accepted)),
+      on_accept_(std::move(on_accept)),
       free_descriptor_(std::move(free_descriptor)) {
   open_reserve();
   io_.set<Listener, &Listener::on_io>(this);
@@ -53,7 +53,7 @@
 
 void Listener::on_io(int) {
   open_reserve();
-  for (int i = 0; i < kMaxInATurn; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     if (!accept_one()) return;
   }
 }
@@ -63,7 +63,7 @@
   if (fd) {
     const int on = 1;
     ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    accepted_(std::move(fd), failing_since_ ? steady_now() - *failing_since_ : Time::zero());
+    on_accept_(std::move(fd), failing_since_ ? steady_now() - *failing_since_ : Time::zero());
     return true;
   }
   switch (classify_accept_error(errno)) {
@@ -74,7 +74,7 @@
       return true;
     case AcceptError::own_limit:
       if (free_descriptor_ && free_descriptor_()) return true;
-      if (turn_away()) return true;
+      if (close_next()) return true;
       break;
     case AcceptError::system_limit:
       break;
@@ -84,12 +84,12 @@
   return false;
 }
 
-bool Listener::turn_away() {
+bool Listener::close_next() {
   if (!reserve_) return false;
   reserve_.reset();
-  const bool came = static_cast<bool>(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
+  const bool closed = static_cast<bool>(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   open_reserve();
-  return came;
+  return closed;
 }
 
 }  // namespace bellstair::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -11,6 +11,8 @@
 
 namespace bellstair::net {
 namespace {
+constexpr int kListenBacklog = 512;
+
 const sockaddr* any(const sockaddr_in& address) { return reinterpret_cast<const sockaddr*>(&address); }
 
 void set(int fd, int level, int option) {
@@ -36,19 +38,19 @@
 
 // Want of descriptors or memory passes; an address that is in use, or not of this machine, does not.
 namespace {
-constexpr int kMaxTries = 40;
-constexpr std::chrono::milliseconds kBetweenTries{50};
+constexpr int kMaxAttempts = 40;
+constexpr std::chrono::milliseconds kRetryInterval{50};
 
-bool may_pass(int error) {
+bool is_temporary(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM || error == EINTR;
 }
 
 template <class Make>
-Fd make_patiently(Make make) {
-  for (int tries = 1;; ++tries) {
+Fd retry_while_temporary(Make make) {
+  for (int attempt = 1;; ++attempt) {
     auto fd = make();
-    if (fd || !may_pass(errno) || tries == kMaxTries) return fd;
-    std::this_thread::sleep_for(kBetweenTries);
+    if (fd || !is_temporary(errno) || attempt == kMaxAttempts) return fd;
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
@@ -56,13 +58,13 @@
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) return fd;
   set(fd.get(), SOL_SOCKET, SO_REUSEADDR);
-  if (::bind(fd.get(), any(at), sizeof at) != 0 || ::listen(fd.get(), 512) != 0) return {};
+  if (::bind(fd.get(), any(at), sizeof at) != 0 || ::listen(fd.get(), kListenBacklog) != 0) return {};
   return fd;
 }
 }  // namespace
 
 Fd listen_tcp(const sockaddr_in& at) {
-  return make_patiently([&at] { return try_to_listen(at); });
+  return retry_while_temporary([&at] { return try_to_listen(at); });
 }
 
 namespace {
@@ -88,7 +90,7 @@
 }  // namespace
 
 Fd bind_udp(const sockaddr_in& at) {
-  return make_patiently([&at] { return try_to_bind_udp(at); });
+  return retry_while_temporary([&at] { return try_to_bind_udp(at); });
 }
 
 Fd begin_connect(const sockaddr_in& to) {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -7,32 +7,34 @@
 
 namespace bellstair::net {
 namespace {
-constexpr int kReads = 4;  // buffers read from one stream in a turn of the loop
-// Errors of a moment's, after which the connection is as it was.
+constexpr std::size_t kReadBufferBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxIdleBufferBytes = std::size_t{16} * 1024;  // kept once all is written
+constexpr int kMaxReadsPerTurn = 4;                                  // of the loop, a buffer each
+// Temporary errors, which leave the connection as it was.
 bool lacks_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
-bool try_later(int error) { return error == EAGAIN || error == EINTR || lacks_memory(error); }
+bool is_temporary(int error) { return error == EAGAIN || error == EINTR || lacks_memory(error); }
 }  // namespace
 
-Stream::Stream(ev::loop_ref loop, Fd fd, bool dialling, std::size_t most_unwritten)
-    : io_(loop), fd_(std::move(fd)), dialling_(dialling), most_unwritten_(most_unwritten) {
+Stream::Stream(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_unwritten)
+    : io_(loop), fd_(std::move(fd)), connecting_(connecting), max_unwritten_(max_unwritten) {
   io_.set<Stream, &Stream::on_io>(this);
   if (fd_) watch();
 }
 
 void Stream::watch() {
   int events = 0;
-  if (!dialling_ && !paused_ && !ended_ && !failed_) events |= ev::READ;
-  if (dialling_ || unwritten() > 0 || failed_) events |= ev::WRITE;
+  if (!connecting_ && !paused_ && !ended_ && !failed_) events |= ev::READ;
+  if (connecting_ || unwritten() > 0 || failed_) events |= ev::WRITE;
   io_.watch(fd_.get(), events);
 }
 
 bool Stream::write(std::string_view bytes) {
   if (!fd_ || failed_) return false;
-  if (unwritten() == 0 && !dialling_) {
+  if (unwritten() == 0 && !connecting_) {
     const auto sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     const int error = sent < 0 ? errno : 0;
-    if (sent < 0 && !try_later(error)) {
-      failed_ = true;  // told from the loop, since the caller is in the middle of something
+    if (sent < 0 && !is_temporary(error)) {
+      failed_ = true;  // reported from the loop, not from within the caller
       error_ = error;
       watch();
       return false;
@@ -44,7 +46,7 @@
     }
   }
   if (bytes.empty()) return true;
-  if (unwritten() + bytes.size() > most_unwritten_) {
+  if (unwritten() + bytes.size() > max_unwritten_) {
     failed_ = true;
     watch();
     return false;
@@ -90,7 +92,7 @@
   char byte = 0;
   const auto got = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (got > 0) return Unread::bytes;
-  return got < 0 && try_later(errno) ? Unread::nothing : Unread::end;
+  return got < 0 && is_temporary(errno) ? Unread::nothing : Unread::end;
 }
 
 void Stream::fail(int error) {
@@ -105,9 +107,9 @@
 
 void Stream::on_io(int events) {
   if (failed_) return fail(error_);
-  if (dialling_) {
+  if (connecting_) {
     if (const int error = connect_error(fd_.get()); error != 0) return fail(error);
-    dialling_ = false;
+    connecting_ = false;
     const auto alive = alive_;
     watch();
     if (handlers_.connected) handlers_.connected();
@@ -122,11 +124,10 @@
 }
 
 void Stream::read() {
-  static std::array<char, std::size_t{64} * 1024> buffer;  // one loop, one thread
+  static std::array<char, kReadBufferBytes> buffer;  // one loop, one thread
   ssize_t got = 0;
-  // More than one buffer in a turn, so that a flood does not hide its end; not for ever, for the others'
-  // sake.
-  for (int turn = 0; turn < kReads; ++turn) {
+  // Several buffers in a turn, so that a flood does not hide its end; not all, or others would starve.
+  for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
     got = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
     if (got <= 0) break;
     const auto alive = alive_;
@@ -136,7 +137,7 @@
   if (got > 0) return;
   if (got < 0) {
     if (lacks_memory(errno)) return io_.pause();
-    return try_later(errno) ? void() : fail(errno);
+    return is_temporary(errno) ? void() : fail(errno);
   }
   ended_ = true;
   watch();
@@ -148,7 +149,7 @@
     const auto sent = ::send(fd_.get(), out_.data() + out_at_, unwritten(), MSG_NOSIGNAL);
     if (sent < 0) {
       const int error = errno;
-      if (!try_later(error)) return fail(error);
+      if (!is_temporary(error)) return fail(error);
       if (lacks_memory(error)) io_.pause();
       break;
     }
@@ -159,7 +160,7 @@
     if (finishing_) ::shutdown(fd_.get(), SHUT_WR);
     out_.clear();
     out_at_ = 0;
-    if (out_.capacity() > std::size_t{16} * 1024) out_.shrink_to_fit();
+    if (out_.capacity() > kMaxIdleBufferBytes) out_.shrink_to_fit();
   }
   watch();
   if (unwritten() == 0 && handlers_.drained) handlers_.drained();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// One TCP connection on the loop: bounded buffers, no blocking. What the bytes mean is its owner's business.
+// One TCP connection on the loop: bounded buffers, no blocking.
 #pragma once
 
 #include <ev++.h>
@@ -16,15 +16,17 @@
 
 class Stream {
  public:
+  // Called from the loop, never from within a call on the stream; each may be empty. A handler may close or
+  // destroy the stream.
   struct Handlers {
-    std::function<void()> connected;             // for streams that dial
-    std::function<void(std::string_view)> data;  // whatever has come
-    std::function<void()> ended;                 // the peer writes no more; reading is over
-    std::function<void()> closed;                // broken, or never connected
-    std::function<void()> drained;               // all that was written has left; may be empty
+    std::function<void()> connected;             // once, for streams that connect
+    std::function<void(std::string_view)> data;  // for each read; the bytes are valid within the call only
+    std::function<void()> ended;                 // once: the peer writes no more, and reading is over
+    std::function<void()> closed;                // once: broken, or never connected
+    std::function<void()> drained;               // each time that all that was written has left
   };
 
-  Stream(ev::loop_ref loop, Fd fd, bool dialling, std::size_t most_unwritten);
+  Stream(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_unwritten);
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
@@ -37,8 +39,8 @@
   // and the system would go on sending for it.
   void abort();
   void pause(bool on);  // stops or resumes reading
-  // Nothing is written any more; once all has left, the peer is told so. Reading goes on: to close with input
-  // unread would reset the connection, and take from the peer what it has not read yet.
+  // Shuts down writing once all has left. Reading goes on: closing over unread input would reset the
+  // connection, and destroy data that the peer has not read yet.
   void finish();
 
   // What was written and has not left yet, and the descriptor with it: for another owner. No handler of this
@@ -50,8 +52,8 @@
   [[nodiscard]] Rest release();
 
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
-  [[nodiscard]] bool dialling() const { return dialling_; }
-  // errno of what broke it; 0: nothing did, it was closed, or its peer does not read what is written.
+  [[nodiscard]] bool dialling() const { return connecting_; }
+  // errno of what broke it; 0: it is not broken, or its peer does not read what is written.
   [[nodiscard]] int error() const { return error_; }
   [[nodiscard]] std::size_t unwritten() const { return out_.size() - out_at_; }
   [[nodiscard]] std::size_t written() const { return written_; }  // bytes that the system has taken
@@ -59,9 +61,9 @@
   // What lies in the system's buffer, not yet read: the loop may not have come to it.
   enum class Unread { nothing, bytes, end };
   [[nodiscard]] Unread unread() const;
-  // For a stream at rest: true if the peer has closed it, or said something unasked.
+  // For an idle stream: true if the peer has closed it, or sent something unasked.
   [[nodiscard]] bool stale() const { return unread() != Unread::nothing; }
-  // True if it has been reset since its peer's end was read, which no reading would tell.
+  // True if it has been reset since its peer's end was read, which reading can't show.
   [[nodiscard]] bool reset() const { return fd_ && connect_error(fd_.get()) != 0; }
 
  private:
@@ -73,8 +75,8 @@
   IoWatch io_;
   Fd fd_;
   int error_ = 0;
-  bool dialling_, paused_ = false, ended_ = false, failed_ = false, finishing_ = false;
-  std::size_t most_unwritten_;
+  bool connecting_, paused_ = false, ended_ = false, failed_ = false, finishing_ = false;
+  std::size_t max_unwritten_;
   std::string out_;
   std::size_t out_at_ = 0, written_ = 0;
   Handlers handlers_;
--- a/src/net/worker.cpp
+++ b/src/net/worker.cpp
@@ -5,21 +5,23 @@
 
 namespace bellstair::net {
 
-Worker::Worker(ev::loop_ref loop) : done_watch_(loop) { done_watch_.set<Worker, &Worker::on_done>(this); }
+Worker::Worker(ev::loop_ref loop) : finished_watch_(loop) {
+  finished_watch_.set<Worker, &Worker::on_finished>(this);
+}
 
 Worker::~Worker() {
   if (!thread_.joinable()) return;
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
-  more_.notify_one();
+  changed_.notify_one();
   thread_.join();
 }
 
 void Worker::later(Work work) {
   if (!thread_.joinable()) {
-    done_watch_.start();
+    finished_watch_.start();
     // Signals are the loop's.
     sigset_t all, before;
     sigfillset(&all);
@@ -29,9 +31,9 @@
   }
   {
     const std::lock_guard lock(mutex_);
-    asked_.push_back(std::move(work));
+    queued_.push_back(std::move(work));
   }
-  more_.notify_one();
+  changed_.notify_one();
 }
 
 void Worker::run() {
@@ -39,27 +41,27 @@
     Work next;
     {
       std::unique_lock lock(mutex_);
-      more_.wait(lock, [this] { return ending_ || !asked_.empty(); });
-      if (ending_) return;
-      next = std::move(asked_.front());
-      asked_.pop_front();
+      changed_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
+      if (stopping_) return;
+      next = std::move(queued_.front());
+      queued_.pop_front();
     }
     auto then = next();
     {
       const std::lock_guard lock(mutex_);
-      done_.push_back(std::move(then));
+      finished_.push_back(std::move(then));
     }
-    done_watch_.send();
+    finished_watch_.send();
   }
 }
 
-void Worker::on_done(ev::async&, int) {
-  std::deque<std::function<void()>> done;
+void Worker::on_finished(ev::async&, int) {
+  std::deque<std::function<void()>> finished;
   {
     const std::lock_guard lock(mutex_);
-    done.swap(done_);
+    finished.swap(finished_);
   }
-  for (const auto& then : done) then();
+  for (const auto& then : finished) then();
 }
 
 }  // namespace bellstair::net
--- a/src/net/worker.hpp
+++ b/src/net/worker.hpp
@@ -26,14 +26,14 @@
 
  private:
   void run();
-  void on_done(ev::async&, int);
+  void on_finished(ev::async&, int);
 
-  ev::async done_watch_;
+  ev::async finished_watch_;
   std::mutex mutex_;
-  std::condition_variable more_;
-  std::deque<Work> asked_;
-  std::deque<std::function<void()>> done_;
-  bool ending_ = false;
+  std::condition_variable changed_;
+  std::deque<Work> queued_;
+  std::deque<std::function<void()>> finished_;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- /dev/null
+++ b/src/platform/gossip_socket.cpp
@@ -0,0 +1,77 @@
+#include "platform/gossip_socket.hpp"
+
+#include <sys/socket.h>
+
+#include <array>
+#include <cerrno>
+#include <cstring>
+
+#include "log/log.hpp"
+
+namespace bellstair::platform {
+namespace {
+constexpr std::size_t kMaxDatagramBytes = 256;  // by the protocol
+constexpr int kMaxDatagramsPerTurn = 64;        // of the loop
+
+std::uint64_t key_of(const sockaddr_in& address) {
+  return std::uint64_t{address.sin_addr.s_addr} << 16 | address.sin_port;
+}
+}  // namespace
+
+GossipSocket::GossipSocket(ev::loop_ref loop, const config::Config& config, net::EventSink emit)
+    : io_(loop),
+      all_(net::parse_address(config.peers_all)),
+      own_index_(config.settings.broker_index),
+      emit_(std::move(emit)) {
+  for (const auto& peer : config.peers) {
+    const auto address = net::parse_address(peer);
+    if (address && peers_.size() != own_index_)
+      index_by_address_.try_emplace(key_of(*address), static_cast<std::uint32_t>(peers_.size()));
+    peers_.push_back(address.value_or(sockaddr_in{}));
+  }
+  const auto listen_address = net::parse_address(config.peer_listen);
+  if (!listen_address) return;
+  fd_ = net::bind_udp(*listen_address);
+  if (!fd_) {
+    log::write(log::Level::error,
+               "bellstair: peer_listen: " + config.peer_listen + ": " + std::strerror(errno));
+    return;
+  }
+  io_.set<GossipSocket, &GossipSocket::on_readable>(this);
+  io_.watch(fd_.get(), ev::READ);
+}
+
+void GossipSocket::run(const core::SendGossip& effect) {
+  if (!fd_ || effect.bytes.size() > kMaxDatagramBytes) return;
+  if (!effect.to) {
+    if (all_) send(*all_, effect.bytes);
+  } else if (*effect.to < peers_.size() && *effect.to != own_index_) {
+    send(peers_[*effect.to], effect.bytes);
+  }
+}
+
+void GossipSocket::send(const sockaddr_in& to, const std::string& bytes) {
+  ::sendto(fd_.get(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
+           reinterpret_cast<const sockaddr*>(&to), sizeof to);
+}
+
+void GossipSocket::on_readable(int) {
+  std::array<char, kMaxDatagramBytes + 1> buffer{};
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
+    sockaddr_in from{};
+    socklen_t size = sizeof from;
+    const auto received = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), MSG_DONTWAIT,
+                                     reinterpret_cast<sockaddr*>(&from), &size);
+    if (received < 0) {
+      // The loop would report a lasting error in each of its turns.
+      if (errno != EAGAIN && errno != EINTR) io_.pause();
+      return;
+    }
+    if (static_cast<std::size_t>(received) > kMaxDatagramBytes) continue;
+    const auto sender = index_by_address_.find(key_of(from));
+    if (sender == index_by_address_.end()) continue;
+    emit_(core::GossipReceived{sender->second, {buffer.data(), static_cast<std::size_t>(received)}});
+  }
+}
+
+}  // namespace bellstair::platform
--- a/src/platform/http.cpp
+++ b/src/platform/http.cpp
@@ -15,15 +15,15 @@
 }
 }  // namespace
 
-std::string_view HttpAnswer::header(std::string_view name) const {
+std::string_view HttpResponse::header(std::string_view name) const {
   const auto found = headers.find(name);
   return found == headers.end() ? std::string_view() : std::string_view(found->second);
 }
 
-std::optional<double> HttpAnswer::number(std::string_view name) const { return parse_number(header(name)); }
+std::optional<double> HttpResponse::number(std::string_view name) const { return parse_number(header(name)); }
 
-std::string http_call(std::string_view method, std::string_view path, std::string_view host,
-                      const HttpHeaders& headers, std::string_view body) {
+std::string format_request(std::string_view method, std::string_view path, std::string_view host,
+                           const HttpHeaders& headers, std::string_view body) {
   std::string out;
   out.reserve(256 + body.size());
   out.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
@@ -42,32 +42,32 @@
       auto& r = of(p);
       if (r.in_value_) r.keep_header();
       r.field_.append(at, size);
-      return r.count(size) ? 0 : 1;
+      return r.count_header_bytes(size) ? 0 : 1;
     };
     s.on_header_value = [](http_parser* p, const char* at, std::size_t size) {
       auto& r = of(p);
       r.in_value_ = true;
       r.value_.append(at, size);
-      return r.count(size) ? 0 : 1;
+      return r.count_header_bytes(size) ? 0 : 1;
     };
     s.on_headers_complete = [](http_parser* p) {
       auto& r = of(p);
       r.keep_header();
-      r.answer_.status = p->status_code;
-      // What claims to be too long is not read to its end first.
-      const bool told = (p->flags & F_CONTENTLENGTH) != 0;
-      return told && p->content_length > r.most_body_ ? -1 : 0;
+      r.response_.status = p->status_code;
+      // A body announced as too long is not read first.
+      const bool has_length = (p->flags & F_CONTENTLENGTH) != 0;
+      return has_length && p->content_length > r.max_body_ ? -1 : 0;
     };
     s.on_body = [](http_parser* p, const char* at, std::size_t size) {
       auto& r = of(p);
-      if (r.answer_.body.size() + size > r.most_body_) return 1;
-      r.answer_.body.append(at, size);
+      if (r.response_.body.size() + size > r.max_body_) return 1;
+      r.response_.body.append(at, size);
       return 0;
     };
     s.on_message_complete = [](http_parser* p) {
       auto& r = of(p);
       r.complete_ = true;
-      r.answer_.keep_alive = http_should_keep_alive(p) != 0;
+      r.response_.keep_alive = http_should_keep_alive(p) != 0;
       http_parser_pause(p, 1);
       return 0;
     };
@@ -79,7 +79,7 @@
 void HttpReader::expect() {
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
-  answer_ = {};
+  response_ = {};
   field_.clear();
   value_.clear();
   in_value_ = complete_ = begun_ = false;
@@ -91,17 +91,17 @@
   begun_ = begun_ || !bytes.empty();
   parser_.data = this;
   const auto used = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
-  if (complete_ && answer_.status < 200 && answer_.status != 101) {
-    // Interim: the answer itself is still to come. Their heads count together, so that they can't go on for
-    // ever.
-    const auto heads = header_bytes_ + used;
+  if (complete_ && response_.status < 200 && response_.status != 101) {
+    // Interim: the response itself is still to come. The headers of all count together, so that there is an
+    // end to them.
+    const auto header_bytes = header_bytes_ + used;
     expect();
     begun_ = true;
-    header_bytes_ = heads;
-    return heads <= kMaxHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
+    header_bytes_ = header_bytes;
+    return header_bytes <= kMaxHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
   }
   if (complete_) {
-    if (used < bytes.size()) answer_.keep_alive = false;
+    if (used < bytes.size()) response_.keep_alive = false;
     return true;
   }
   return HTTP_PARSER_ERRNO(&parser_) == HPE_OK && used == bytes.size();
@@ -117,15 +117,15 @@
 void HttpReader::keep_header() {
   if (field_.empty()) return;
   std::ranges::transform(field_, field_.begin(), [](unsigned char c) { return std::tolower(c); });
-  answer_.headers[field_] = value_;
+  response_.headers[field_] = value_;
   field_.clear();
   value_.clear();
   in_value_ = false;
 }
 
-bool HttpReader::count(std::size_t bytes) { return (header_bytes_ += bytes) <= kMaxHeaderBytes; }
+bool HttpReader::count_header_bytes(std::size_t bytes) { return (header_bytes_ += bytes) <= kMaxHeaderBytes; }
 
-std::map<std::string, double, std::less<>> parse_meter(std::string_view text) {
+std::map<std::string, double, std::less<>> parse_load_report(std::string_view text) {
   std::map<std::string, double, std::less<>> out;
   while (!text.empty()) {
     const auto end = std::min(text.find(';'), text.size());
--- a/src/platform/http.hpp
+++ b/src/platform/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 as a client speaks it, on http-parser. Pure: bytes in, answers out.
+// HTTP/1.1 of a client, on http-parser. Pure: bytes in, responses out.
 #pragma once
 
 #include <http_parser.h>
@@ -12,7 +12,7 @@
 
 namespace bellstair::platform {
 
-struct HttpAnswer {
+struct HttpResponse {
   unsigned status = 0;
   std::map<std::string, std::string, std::less<>> headers;  // names in lower case
   std::string body;
@@ -24,38 +24,39 @@
 
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
-// Header values must be free of line ends; the callers see to it.
-[[nodiscard]] std::string http_call(std::string_view method, std::string_view path, std::string_view host,
-                                    const HttpHeaders& headers, std::string_view body);
+// Header values must hold no line ends.
+[[nodiscard]] std::string format_request(std::string_view method, std::string_view path,
+                                         std::string_view host, const HttpHeaders& headers,
+                                         std::string_view body);
 
-// Reads the answer to one call at a time.
+// Reads the response to one request at a time.
 class HttpReader {
  public:
   static constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 
-  explicit HttpReader(std::size_t most_body) : most_body_(most_body) { expect(); }
-  void expect();  // a new answer
-  // False: what came is no HTTP, or too large. An answer with more behind it is good, its connection of no
-  // more use.
+  explicit HttpReader(std::size_t max_body) : max_body_(max_body) { expect(); }
+  void expect();  // begins a new response
+  // False: the bytes are no HTTP, or the response is too large. One that is followed by more bytes is
+  // complete, but its connection is not to be kept alive.
   [[nodiscard]] bool feed(std::string_view bytes);
-  // The connection's end; true if that completes the answer.
+  // The connection has ended; true if that completes the response.
   [[nodiscard]] bool finish();
   [[nodiscard]] bool complete() const { return complete_; }
   [[nodiscard]] bool begun() const { return begun_; }
-  [[nodiscard]] HttpAnswer take() { return std::move(answer_); }
+  [[nodiscard]] HttpResponse take() { return std::move(response_); }
 
  private:
   static const http_parser_settings& callbacks();
   http_parser parser_{};
-  HttpAnswer answer_;
+  HttpResponse response_;
   std::string field_, value_;
   bool in_value_ = false, complete_ = false, begun_ = false;
-  std::size_t header_bytes_ = 0, most_body_;
+  std::size_t header_bytes_ = 0, max_body_;
   void keep_header();
-  bool count(std::size_t bytes);
+  bool count_header_bytes(std::size_t bytes);  // false: too many
 };
 
-// "pending:7;x1:0.61" -> values by name; what is malformed is left out.
-[[nodiscard]] std::map<std::string, double, std::less<>> parse_meter(std::string_view text);
+// "pending:7;x1:0.61" -> values by name; malformed entries are left out.
+[[nodiscard]] std::map<std::string, double, std::less<>> parse_load_report(std::string_view text);
 
 }  // namespace bellstair::platform
--- /dev/null
+++ b/src/platform/http_engine_client.cpp
@@ -0,0 +1,399 @@
+#include "platform/http_engine_client.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "net/steady_clock.hpp"
+#include "platform/http_status.hpp"
+#include "platform/load_report.hpp"
+#include "platform/wire_names.hpp"
+#include "sql/value.hpp"
+
+namespace bellstair::platform {
+namespace {
+using namespace std::chrono_literals;
+using core::AttemptEnd;
+using core::AttemptId;
+using net::steady_now;  // the time of ticks may lie a turn of the loop back
+
+// An engine answers a poll within 250 ms, and drops a query that is not polled for 2 s. In between, a call
+// that timed out can be repeated on another connection.
+constexpr core::Time kCallTimeout = 700ms;
+// Of deletes, priorities and health checks.
+constexpr core::Time kSideCallTimeout = 500ms;
+// A second copy of an answer may arrive late and would pass for the answer to the next call on its
+// connection. The protocol's slack for time limits.
+constexpr core::Time kReuseDelay = 50ms;
+constexpr int kMaxReconnects = 2;
+constexpr int kHealthCheckRetries = 1;  // where the connection broke
+// A query that is not polled runs on for 2 s (PROTOCOL) after the last poll, which the engine holds for up to
+// 250 ms; time limits grow by 50 ms.
+constexpr core::Time kUnpolledQueryLifetime = 2000ms + 250ms + 50ms;
+
+net::ConnectionPool::Limits with_reuse_delay(net::ConnectionPool::Limits limits) {
+  limits.reuse_delay = kReuseDelay;
+  return limits;
+}
+
+std::string path_of(const std::string& request_id) {
+  return std::string(wire::kQueriesPath) + "/" + request_id;
+}
+
+policy::AttemptResult health_check_result(HttpClient::Outcome outcome, unsigned status) {
+  using Outcome = HttpClient::Outcome;
+  using policy::AttemptResult;
+  switch (outcome) {
+    case Outcome::answered:
+      return status == http_status::kOk ? AttemptResult::served : AttemptResult::rejected;
+    case Outcome::not_connected:
+      return AttemptResult::connect_failed;
+    case Outcome::unsent:
+    case Outcome::broken:
+      return AttemptResult::reset;
+    case Outcome::timed_out:
+      break;
+  }
+  return AttemptResult::timed_out;
+}
+}  // namespace
+
+HttpEngineClient::HttpEngineClient(ev::loop_ref loop, net::ConnectionPool::Limits limits,
+                                   std::vector<std::string> class_names, std::vector<std::string> load_fields,
+                                   net::EventSink emit)
+    : pool_(loop, with_reuse_delay(limits)),
+      http_(pool_),
+      max_transit_(limits.connect_timeout),
+      class_names_(std::move(class_names)),
+      load_fields_(std::move(load_fields)),
+      emit_(std::move(emit)) {}
+
+void HttpEngineClient::tick(core::Time now) {
+  http_.set_clock(now);  // the pool's timers may begin calls
+  pool_.tick(now);
+  http_.tick(now);
+}
+
+void HttpEngineClient::resume(const net::Stall& stall) {
+  http_.set_clock(stall.resumed_at);
+  pool_.set_clock(stall.resumed_at);
+}
+
+// ---- requests
+
+std::string HttpEngineClient::host(core::EngineId engine) const {
+  const auto found = addresses_.find(engine);
+  return found == addresses_.end() ? std::string() : found->second;
+}
+
+std::string HttpEngineClient::submit_request(const Attempt& attempt, const core::Transmit& effect) const {
+  const auto timeout_ms = std::max<std::int64_t>(1, effect.wait / 1ms);
+  HttpHeaders headers;
+  headers.emplace_back(wire::kRequestIdHeader, effect.ticket);
+  headers.emplace_back(wire::kRequestClassHeader, class_names_.at(effect.cls));
+  headers.emplace_back(wire::kTimeoutMsHeader, std::to_string(timeout_ms));
+  if (!effect.nonce.empty()) headers.emplace_back(wire::kIdempotencyKeyHeader, effect.nonce);
+  if (effect.memory_mb >= 1)
+    headers.emplace_back(wire::kMemoryGrantMbHeader, std::to_string(std::llround(effect.memory_mb)));
+  headers.emplace_back(wire::kPriorityHeader, std::to_string(effect.priority));
+  return format_request("POST", wire::kQueriesPath, host(attempt.engine), headers, effect.body);
+}
+
+std::string HttpEngineClient::delete_request(const Attempt& attempt) const {
+  return format_request("DELETE", attempt.query_path, host(attempt.engine), {}, {});
+}
+
+// ---- connections
+
+// Should the connection break before the next call is on it, the attempt must forget it: the pool frees it.
+void HttpEngineClient::hold(AttemptId id, Connection* connection) {
+  attempts_.at(id).connection = connection;
+  if (connection == nullptr) return;
+  connection->on_lost = [this, id, connection](bool) {
+    attempts_.at(id).connection = nullptr;
+    pool_.discard(*connection);
+  };
+}
+
+void HttpEngineClient::call_on_own(AttemptId id, const std::string& request) {
+  auto& attempt = attempts_.at(id);
+  attempt.call = http_.call(*attempt.connection, request, kCallTimeout,
+                            [this, id](Outcome outcome, HttpResponse& response, Connection* reusable) {
+                              on_response(id, outcome, response, reusable);
+                            });
+}
+
+void HttpEngineClient::poll(AttemptId id) {
+  const auto& attempt = attempts_.at(id);
+  if (attempt.connection == nullptr) return reconnect(id);
+  const auto page = attempt.stage == Stage::fetching_pages ? attempt.pages.next() : 0;
+  const auto path = attempt.query_path + "/" + std::to_string(page);
+  call_on_own(id, format_request("GET", path, host(attempt.engine), {}, {}));
+}
+
+// Polls may be repeated: they have no effect on the query.
+void HttpEngineClient::reconnect(AttemptId id) {
+  auto& attempt = attempts_.at(id);
+  if (++attempt.reconnects > kMaxReconnects) return end_unproven(id, AttemptEnd::reset);
+  pool_.acquire(attempt.engine, [this, id](Connection* connection) {
+    const auto found = attempts_.find(id);
+    const bool wanted = found != attempts_.end() && (found->second.stage == Stage::polling ||
+                                                     found->second.stage == Stage::fetching_pages);
+    if (!wanted) {
+      if (connection != nullptr) pool_.release(*connection);
+      return;
+    }
+    if (connection == nullptr) return end_unproven(id, AttemptEnd::reset);
+    hold(id, connection);
+    poll(id);
+  });
+}
+
+void HttpEngineClient::release_connection(const Attempt& attempt) {
+  auto* connection = attempt.connection;
+  if (connection == nullptr || !connection->stream.open()) return;
+  if (!http_.release_after(attempt.call)) pool_.release(*connection);
+}
+
+// ---- effects
+
+void HttpEngineClient::run(const core::StartAttempt& effect) {
+  const auto id = effect.id;
+  auto& attempt = attempts_[id];
+  attempt.engine = effect.engine;
+  attempt.result.id = id;
+  attempt.checkout_ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
+    if (connection == nullptr) return end(id, AttemptEnd::connect_failed);
+    attempts_.at(id).stage = Stage::connected;
+    hold(id, connection);
+    emit_(core::AttemptConnected{id});
+  });
+}
+
+void HttpEngineClient::run(core::Transmit& effect) {
+  const auto found = attempts_.find(effect.id);
+  if (found == attempts_.end() || found->second.stage != Stage::connected) return;
+  auto& attempt = found->second;
+  if (attempt.connection == nullptr) return end(effect.id, AttemptEnd::expired);
+  if (!effect.parameters.empty()) {
+    // These engines take a statement as text: bound values become literals.
+    const auto values = sql::unpack(effect.parameters);
+    auto text = values ? sql::with_literals(effect.body, *values) : std::nullopt;
+    if (!text) return end(effect.id, AttemptEnd::error);
+    effect.body = std::move(*text);
+  }
+  attempt.stage = Stage::submitted;
+  attempt.query_path = path_of(effect.ticket);
+  call_on_own(effect.id, submit_request(attempt, effect));
+}
+
+void HttpEngineClient::run(const core::CancelAttempt& effect) {
+  const auto found = attempts_.find(effect.id);
+  if (found == attempts_.end()) return;
+  auto& attempt = found->second;
+  switch (attempt.stage) {
+    case Stage::connecting:
+      pool_.cancel_acquire(attempt.engine, attempt.checkout_ticket);
+      return end(effect.id, AttemptEnd::expired);
+    case Stage::connected:
+      if (attempt.connection != nullptr) pool_.release(*attempt.connection);
+      attempt.connection = nullptr;
+      return end(effect.id, AttemptEnd::expired);
+    case Stage::submitted:
+      return cancel_submitted(effect.id, attempt);
+    case Stage::fetching_pages:
+      return end(effect.id, AttemptEnd::cancelled);  // the query has ended
+    case Stage::polling:
+      return delete_elsewhere(effect.id);
+    case Stage::cancel_requested:
+    case Stage::deleting_elsewhere:
+    case Stage::deleting_here:
+      return;
+  }
+}
+
+void HttpEngineClient::run(const core::Reprioritize& effect) {
+  const auto found = attempts_.find(effect.id);
+  if (found == attempts_.end()) return;
+  auto& attempt = found->second;
+  if (attempt.stage == Stage::submitted) attempt.pending_priority = effect.priority;
+  if (attempt.stage != Stage::polling) return;
+  attempt.last_contact_by = std::max(attempt.last_contact_by, steady_now() + kSideCallTimeout);
+  const auto priority = std::to_string(effect.priority);
+  http_.call_engine(attempt.engine,
+                    format_request("PUT", attempt.query_path, host(attempt.engine), {}, priority),
+                    kSideCallTimeout, [](Outcome, HttpResponse&) {});
+}
+
+void HttpEngineClient::run(const core::SendHealthCheck& effect) {
+  check_health(effect.engine, kHealthCheckRetries);
+}
+
+// A health check may be repeated, and one connection that broke is no evidence against its engine.
+void HttpEngineClient::check_health(core::EngineId engine, int retries) {
+  auto on_result = [this, engine, retries](Outcome outcome, HttpResponse& response) {
+    const bool broken = outcome == Outcome::unsent || outcome == Outcome::broken;
+    if (broken && retries > 0) return check_health(engine, retries - 1);
+    core::HealthCheckEnded ended{engine, health_check_result(outcome, response.status), {}};
+    if (auto report = read_load_report(response, load_fields_)) ended.load = std::move(*report);
+    emit_(std::move(ended));
+  };
+  http_.call_engine(engine, format_request("GET", wire::kHealthCheckPath, host(engine), {}, {}),
+                    kSideCallTimeout, std::move(on_result));
+}
+
+void HttpEngineClient::run(const core::EndpointChanged& effect) {
+  if (!effect.usable) {
+    addresses_.erase(effect.engine);
+    return pool_.remove_endpoint(effect.engine);
+  }
+  addresses_[effect.engine] = effect.address;
+  pool_.set_endpoint(effect.engine, effect.address);
+}
+
+// ---- answers to an attempt's calls
+
+void HttpEngineClient::on_response(AttemptId id, Outcome outcome, HttpResponse& response,
+                                   Connection* reusable) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto& attempt = found->second;
+  hold(id, reusable);
+  attempt.last_contact_by = std::max(attempt.last_contact_by, steady_now());
+  if (attempt.stage == Stage::deleting_elsewhere) return;  // the answer to the delete ends it
+  if (attempt.stage == Stage::deleting_here)
+    return on_response_while_deleting(id, attempt, outcome, response.status);
+  if (outcome != Outcome::answered) return on_call_failed(id, attempt, outcome);
+  if (auto report = read_load_report(response, load_fields_)) attempt.result.load_report = std::move(*report);
+  switch (response.status) {
+    case http_status::kAccepted:
+      return on_running(id, attempt);
+    case http_status::kOk:
+      return on_page(id, attempt, response);
+    default:
+      return on_error(id, attempt, response);
+  }
+}
+
+// The delete on another connection has failed while this call was out.
+void HttpEngineClient::on_response_while_deleting(AttemptId id, Attempt& attempt, Outcome outcome,
+                                                  unsigned status) {
+  const bool ended = outcome == Outcome::answered &&
+                     (status == http_status::kOk || status == http_status::kInternalServerError);
+  if (ended) return end(id, AttemptEnd::cancelled);
+  attempt.connection != nullptr ? delete_here(id) : end_unproven(id, AttemptEnd::cancelled);
+}
+
+// Once a byte of a statement has left, it may have run and is never sent again from here. Neither silence nor
+// a broken answer tells whether it runs: the engine is polled.
+void HttpEngineClient::on_call_failed(AttemptId id, Attempt& attempt, Outcome outcome) {
+  const bool submitting = attempt.stage == Stage::submitted || attempt.stage == Stage::cancel_requested;
+  if (submitting && outcome == Outcome::unsent) return end(id, AttemptEnd::expired);
+  attempt.arrival_unproven = attempt.arrival_unproven || submitting;
+  if (attempt.stage == Stage::cancel_requested) return delete_elsewhere(id);
+  if (attempt.stage == Stage::submitted) attempt.stage = Stage::polling;
+  reconnect(id);
+}
+
+void HttpEngineClient::on_running(AttemptId id, Attempt& attempt) {
+  attempt.reconnects = 0;
+  attempt.arrival_unproven = false;
+  if (attempt.stage == Stage::cancel_requested) return delete_elsewhere(id);
+  attempt.stage = Stage::polling;
+  emit_(core::AttemptProgressed{id});
+  if (attempt.pending_priority)
+    run(core::Reprioritize{id, *std::exchange(attempt.pending_priority, std::nullopt)});
+  poll(id);
+}
+
+void HttpEngineClient::on_page(AttemptId id, Attempt& attempt, const HttpResponse& response) {
+  if (!attempt.pages.append(response, attempt.result)) {
+    // Damaged on its way: the engine still has the page. The connection is of no more use.
+    if (attempt.connection != nullptr) pool_.discard(*std::exchange(attempt.connection, nullptr));
+    if (attempt.stage == Stage::cancel_requested) return end_unproven(id, AttemptEnd::cancelled);
+    if (attempt.stage == Stage::submitted) attempt.stage = Stage::polling;
+    return reconnect(id);
+  }
+  attempt.reconnects = 0;
+  if (attempt.pages.complete()) return end(id, AttemptEnd::served);
+  if (attempt.stage == Stage::cancel_requested) return end(id, AttemptEnd::cancelled);
+  attempt.stage = Stage::fetching_pages;
+  poll(id);
+}
+
+void HttpEngineClient::on_error(AttemptId id, Attempt& attempt, const HttpResponse& response) {
+  // An engine that does not know the query may receive it yet: bytes may still be on their way after a reset.
+  if (attempt.arrival_unproven) return end_unproven(id, AttemptEnd::reset);
+  if (response.status == http_status::kInternalServerError) return end(id, AttemptEnd::error);
+  // Without this header, an error proves nothing: it may not even be the engine's.
+  const bool never_ran = response.header(wire::kNeverRanHeader) == "1" && !attempt.pages.begun();
+  if (never_ran && response.status == http_status::kServiceUnavailable) return end(id, AttemptEnd::rejected);
+  if (never_ran && response.status == http_status::kGatewayTimeout) return end(id, AttemptEnd::expired);
+  end_unproven(id, AttemptEnd::error);
+}
+
+// ---- cancelling
+
+// A delete on another connection could overtake the statement, which would then run on: the engine's first
+// answer proves that the statement has arrived.
+void HttpEngineClient::cancel_submitted(AttemptId id, Attempt& attempt) {
+  attempt.stage = Stage::cancel_requested;
+  if (attempt.connection->stream.unwritten() == 0)
+    return http_.shorten_timeout(attempt.call, kSideCallTimeout);
+  pool_.discard(*attempt.connection);  // the engine never receives the statement whole
+  http_.forget(attempt.call);
+  end(id, AttemptEnd::cancelled);
+}
+
+void HttpEngineClient::delete_elsewhere(AttemptId id) {
+  auto& attempt = attempts_.at(id);
+  attempt.stage = Stage::deleting_elsewhere;
+  http_.call_engine(
+      attempt.engine, delete_request(attempt), kSideCallTimeout,
+      [this, id](Outcome outcome, HttpResponse& response) { on_deleted(id, outcome, response.status); });
+}
+
+void HttpEngineClient::delete_here(AttemptId id) {
+  auto& attempt = attempts_.at(id);
+  attempt.call = http_.call(*attempt.connection, delete_request(attempt), kSideCallTimeout,
+                            [this, id](Outcome outcome, HttpResponse& response, Connection* reusable) {
+                              hold(id, reusable);
+                              on_deleted(id, outcome, response.status);
+                            });
+}
+
+// A draining engine takes no new connections, but still answers on those that are open.
+void HttpEngineClient::on_deleted(AttemptId id, Outcome outcome, unsigned status) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto& attempt = found->second;
+  const bool deleted = outcome == Outcome::answered &&
+                       (status == http_status::kNoContent || status == http_status::kInternalServerError);
+  if (deleted && !attempt.arrival_unproven) return end(id, AttemptEnd::cancelled);
+  if (deleted || attempt.connection == nullptr || attempt.stage == Stage::deleting_here)
+    return end_unproven(id, AttemptEnd::cancelled);
+  attempt.stage = Stage::deleting_here;
+  if (!http_.pending(attempt.call)) delete_here(id);
+}
+
+// ---- the end of an attempt
+
+// What was written may have reached the engine until its connection was closed, but not after.
+void HttpEngineClient::end_unproven(AttemptId id, AttemptEnd how) {
+  auto& attempt = attempts_.at(id);
+  const auto ends_by = attempt.last_contact_by + max_transit_ + kUnpolledQueryLifetime;
+  attempt.result.may_run_for = std::max(core::Time::zero(), ends_by - steady_now());
+  end(id, how);
+}
+
+void HttpEngineClient::end(AttemptId id, AttemptEnd how) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  auto attempt = std::move(found->second);
+  attempts_.erase(found);
+  release_connection(attempt);
+  attempt.result.end = how;
+  if (how != AttemptEnd::served) attempt.result.body.clear();
+  emit_(std::move(attempt.result));
+}
+
+}  // namespace bellstair::platform
--- a/src/platform/jsonrpc.cpp
+++ b/src/platform/jsonrpc.cpp
@@ -6,155 +6,207 @@
 #include <nlohmann/json.hpp>
 
 #include "platform/base64.hpp"
+#include "platform/wire_names.hpp"
 #include "sql/statement.hpp"
 
 namespace bellstair::platform {
 namespace {
 using nlohmann::json;
 
-constexpr int kParseError = -32700, kInvalidRequest = -32600, kUnknownMethod = -32601,
-              kInvalidParams = -32602;
-constexpr double kMaxLimitMs = 3'600'000;
-// Estimates beyond these are no estimates, and would mislead the module about all other requests.
-constexpr double kMaxCpuMs = 1e7, kMaxRamMb = 1e7;
+constexpr double kMaxTimeLimitMs = 3'600'000;
+// Estimates beyond these are no estimates, and would mislead the scheduler about all other requests.
+constexpr double kMaxCpuMs = 1e7;
+constexpr double kMaxMemoryMb = 1e7;
+constexpr double kNanosecondsPerMillisecond = 1e6;
 constexpr int kMaxDepth = 8;  // of brackets
-constexpr std::size_t kMaxKey = 128;
+constexpr std::size_t kMaxKeyBytes = 128;
+constexpr std::size_t kRequestIdDigits = 16;
 
-struct Bad {
-  std::string what;
+// A parameter that is missing or can't be used.
+struct InvalidParameter {
+  InvalidParameter(const std::string& name, const char* reason) : message(name + " " + reason) {}
+  std::string message;
 };
 
-std::string text(const json& params, const char* key, bool needed) {
+std::string optional_text(const json& params, const char* key) {
   const auto found = params.find(key);
-  if (found == params.end() || found->is_null()) {
-    if (needed) throw Bad{std::string(key) + " is missing"};
-    return {};
-  }
-  if (!found->is_string()) throw Bad{std::string(key) + " is not a text"};
+  if (found == params.end() || found->is_null()) return {};
+  if (!found->is_string()) throw InvalidParameter(key, "is not a text");
   return found->get<std::string>();
 }
 
-std::optional<double> number(const json& params, const char* key, double most) {
+std::string required_text(const json& params, const char* key) {
+  const auto found = params.find(key);
+  if (found == params.end() || found->is_null()) throw InvalidParameter(key, "is missing");
+  return optional_text(params, key);
+}
+
+std::optional<double> optional_number(const json& params, const char* key, double max) {
   const auto found = params.find(key);
   if (found == params.end() || found->is_null()) return std::nullopt;
-  if (!found->is_number()) throw Bad{std::string(key) + " is not a number"};
+  if (!found->is_number()) throw InvalidParameter(key, "is not a number");
   const double value = found->get<double>();
-  if (!(value >= 0 && value <= most)) throw Bad{std::string(key) + " is out of range"};
+  if (!(value >= 0 && value <= max)) throw InvalidParameter(key, "is out of range");
   return value;
 }
 
-// Passed on in a header: nothing that could end one.
-void printable(const std::string& value, const char* key) {
-  const auto fine = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
-  if (value.size() > kMaxKey || !std::ranges::all_of(value, fine))
-    throw Bad{std::string(key) + " holds what no id may hold"};
+core::Time from_milliseconds(double milliseconds) {
+  return core::Time(static_cast<std::int64_t>(milliseconds * kNanosecondsPerMillisecond));
 }
 
-std::uint64_t hex(const std::string& digits, const char* key) {
+// Sent on in a header: nothing that could end one.
+void check_printable(const std::string& value, const char* key) {
+  const auto printable = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
+  if (value.size() > kMaxKeyBytes || !std::ranges::all_of(value, printable))
+    throw InvalidParameter(key, "holds what no id may hold");
+}
+
+std::uint64_t parse_hex(const std::string& digits, const char* key) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, 16);
   if (error != std::errc() || end != digits.data() + digits.size())
-    throw Bad{std::string(key) + " is not 16 hex digits"};
+    throw InvalidParameter(key, "is not 16 hex digits");
   return value;
 }
 
-core::Submission submission(const json& params, core::ClassIndex cls, const config::Names& names) {
+// It becomes a part of a path too.
+std::string parse_request_id(const json& params) {
+  auto id = required_text(params, wire::kRequestId);
+  if (id.size() != kRequestIdDigits) throw InvalidParameter(wire::kRequestId, "is not 16 hex digits");
+  parse_hex(id, wire::kRequestId);
+  return id;
+}
+
+std::uint32_t parse_tenant(const json& params, const config::Names& names) {
+  const auto name = optional_text(params, wire::kTenant);
+  if (name.empty()) return names.no_tenant;
+  const auto found = names.tenants.find(name);
+  if (found == names.tenants.end()) throw InvalidParameter(wire::kTenant, "is in no settings");
+  return found->second;
+}
+
+bool parse_is_retry(const json& params) {
+  const auto found = params.find(wire::kIsRetry);
+  if (found == params.end() || found->is_null()) return false;
+  return found->is_boolean() ? found->get<bool>() : !(found->is_number() && *found == 0);
+}
+
+core::Submission parse_submission(const json& params, core::ClassIndex cls, const config::Names& names) {
   core::Submission out;
   out.cls = cls;
-  out.ticket = text(params, "txn", true);
-  // It is part of a path too.
-  if (out.ticket.size() != 16) throw Bad{"txn is not 16 hex digits"};
-  hex(out.ticket, "txn");
-  const auto limit = number(params, "limit", kMaxLimitMs);
-  if (!limit) throw Bad{"limit is missing"};
-  out.time_limit = core::Time(static_cast<std::int64_t>(*limit * 1e6));
-  out.tenant = names.no_tenant;
-  if (const auto team = text(params, "team", false); !team.empty()) {
-    const auto found = names.tenants.find(team);
-    if (found == names.tenants.end()) throw Bad{"team is in no settings"};
-    out.tenant = found->second;
-  }
-  if (const auto second = params.find("second"); second != params.end() && !second->is_null())
-    out.is_client_retry = second->is_boolean() ? second->get<bool>() : !(second->is_number() && *second == 0);
-  out.idempotency_key = text(params, "unique", false);
-  printable(out.idempotency_key, "unique");
-  if (const auto cpu = number(params, "cpu", kMaxCpuMs))
-    out.estimated_work = core::Time(static_cast<std::int64_t>(*cpu * 1e6));
-  out.estimated_memory_mb = number(params, "ram", kMaxRamMb).value_or(0);
-  if (const auto item = text(params, "item", false); !item.empty()) out.ordering_key = hex(item, "item");
-  auto body = from_base64(text(params, "data", true));
-  if (!body) throw Bad{"data is not base64"};
-  out.body = std::move(*body);
+  out.ticket = parse_request_id(params);
+  const auto time_limit_ms = optional_number(params, wire::kTimeLimit, kMaxTimeLimitMs);
+  if (!time_limit_ms) throw InvalidParameter(wire::kTimeLimit, "is missing");
+  out.time_limit = from_milliseconds(*time_limit_ms);
+  out.tenant = parse_tenant(params, names);
+  out.is_client_retry = parse_is_retry(params);
+  out.idempotency_key = optional_text(params, wire::kIdempotencyKey);
+  check_printable(out.idempotency_key, wire::kIdempotencyKey);
+  if (const auto cpu_ms = optional_number(params, wire::kEstimatedCpu, kMaxCpuMs))
+    out.estimated_work = from_milliseconds(*cpu_ms);
+  out.estimated_memory_mb = optional_number(params, wire::kEstimatedMemoryMb, kMaxMemoryMb).value_or(0);
+  if (const auto key = optional_text(params, wire::kOrderingKey); !key.empty())
+    out.ordering_key = parse_hex(key, wire::kOrderingKey);
+  auto statement = from_base64(required_text(params, wire::kStatement));
+  if (!statement) throw InvalidParameter(wire::kStatement, "is not base64");
+  out.body = std::move(*statement);
   out.data_group = sql::table_group(out.body);
   return out;
 }
 
+RpcCancel parse_cancel(const json& params, std::optional<std::uint64_t> id) {
+  RpcCancel out;
+  out.id = id;
+  const auto request = params.find(wire::kCancelledRpcId);
+  if (request != params.end() && request->is_number_unsigned()) out.request = request->get<std::uint64_t>();
+  out.ticket = optional_text(params, wire::kRequestId);
+  return out;
+}
+
+// `params`: an object, or anything else.
+RpcMessage parse_call(std::optional<std::uint64_t> id, const std::string& method, const json& params,
+                      const config::Names& names) {
+  if (!params.is_object()) throw InvalidParameter("params", "is not an object");
+  if (method == wire::kCancelMethod) return parse_cancel(params, id);
+  if (!id) return RpcError{std::nullopt, kRpcInvalidRequest, "id is missing"};
+  if (method == wire::kHealthMethod) return RpcHealth{*id};
+  const auto cls = names.classes.find(method);
+  if (cls == names.classes.end()) return RpcError{id, kRpcMethodNotFound, "no class of this name"};
+  return RpcRequest{*id, parse_submission(params, cls->second, names)};
+}
+
 std::string line(json message) {
   message["jsonrpc"] = "2.0";
   return message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
 json id_of(std::optional<std::uint64_t> id) { return id ? json(*id) : json(nullptr); }
+
+// By hand: nothing in it needs escaping, and results are by far the longest messages.
+std::string rpc_result(std::uint64_t id, std::string_view body) {
+  return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"result\":{\"" + wire::kResultBody +
+         "\":\"" + to_base64(body) + "\"}}\n";
+}
 }  // namespace
 
 RpcMessage parse_rpc(std::string_view in, const config::Names& names) {
-  bool deep = false;  // what nests without end is dropped as it is read
-  const auto shallow = [&deep](int depth, json::parse_event_t, json&) {
-    deep = deep || depth > kMaxDepth;
-    return !deep;
+  bool too_deep = false;  // what nests without end is dropped as it is read
+  const auto within_depth = [&too_deep](int depth, json::parse_event_t, json&) {
+    too_deep = too_deep || depth > kMaxDepth;
+    return !too_deep;
   };
-  const json message = json::parse(in, shallow, false);
-  if (deep) return RpcError{std::nullopt, kInvalidRequest, "nested too deeply"};
-  if (message.is_discarded()) return RpcError{std::nullopt, kParseError, "no JSON"};
-  if (!message.is_object()) return RpcError{std::nullopt, kInvalidRequest, "no call"};
+  const json message = json::parse(in, within_depth, false);
+  if (too_deep) return RpcError{std::nullopt, kRpcInvalidRequest, "nested too deeply"};
+  if (message.is_discarded()) return RpcError{std::nullopt, kRpcParseError, "no JSON"};
+  if (!message.is_object()) return RpcError{std::nullopt, kRpcInvalidRequest, "no call"};
   std::optional<std::uint64_t> id;
   if (const auto found = message.find("id"); found != message.end() && !found->is_null()) {
     if (!found->is_number_unsigned())
-      return RpcError{std::nullopt, kInvalidRequest, "id is not a whole number from 1 up"};
+      return RpcError{std::nullopt, kRpcInvalidRequest, "id is not a whole number from 1 up"};
     id = found->get<std::uint64_t>();
   }
   const auto method = message.find("method");
   const auto version = message.find("jsonrpc");
   if (method == message.end() || !method->is_string() || version == message.end() || *version != "2.0")
-    return RpcError{id, kInvalidRequest, "no call of JSON-RPC 2.0"};
-  const auto name = method->get<std::string>();
-  const auto given = message.find("params");
-  static const json kNone = json::object();
-  const json& params = given == message.end() ? kNone : *given;
+    return RpcError{id, kRpcInvalidRequest, "no call of JSON-RPC 2.0"};
+  static const json kNoParams = json::object();
+  const auto params = message.find("params");
   try {
-    if (!params.is_object()) throw Bad{"params is not an object"};
-    if (name == "cancel") {
-      RpcCancel out;
-      out.id = id;
-      if (const auto request = params.find("id"); request != params.end() && request->is_number_unsigned())
-        out.request = request->get<std::uint64_t>();
-      out.ticket = text(params, "txn", false);
-      return out;
-    }
-    if (!id) return RpcError{std::nullopt, kInvalidRequest, "id is missing"};
-    if (name == "health") return RpcHealth{*id};
-    const auto cls = names.classes.find(name);
-    if (cls == names.classes.end()) return RpcError{id, kUnknownMethod, "no class of this name"};
-    return RpcRequest{*id, submission(params, cls->second, names)};
-  } catch (const Bad& bad) {
-    return RpcError{id, kInvalidParams, bad.what};
+    return parse_call(id, method->get<std::string>(), params == message.end() ? kNoParams : *params, names);
+  } catch (const InvalidParameter& invalid) {
+    return RpcError{id, kRpcInvalidParams, invalid.message};
   }
 }
 
-std::string rpc_result(std::uint64_t id, std::string_view body) {
-  // Nothing in it needs escaping, and results are by far the longest that is written.
-  return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"result\":{\"data\":\"" + to_base64(body) +
-         "\"}}\n";
+std::string rpc_answer(std::uint64_t id, const core::Answer& answer) {
+  switch (answer.kind) {
+    case core::AnswerKind::served:
+      return rpc_result(id, answer.body);
+    case core::AnswerKind::rejected:
+      return rpc_error(id, kRpcRejected, "refused", answer.retry_after);
+    case core::AnswerKind::failed:
+      return rpc_error(id, kRpcFailed, "failed", answer.retry_after);
+    case core::AnswerKind::timed_out:
+      break;
+  }
+  return rpc_error(id, kRpcTimedOut, "timed out", answer.retry_after);
 }
 
-std::string rpc_health(std::uint64_t id, bool green) {
-  return line({{"id", id}, {"result", {{"green", green}}}});
+std::string rpc_cancelled(std::uint64_t id) {
+  return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"result\":true}\n";
 }
 
-std::string rpc_error(std::optional<std::uint64_t> id, int code, std::string_view message, core::Time later) {
+std::string rpc_health(std::uint64_t id, bool healthy) {
+  return line({{"id", id}, {"result", {{wire::kHealthy, healthy}}}});
+}
+
+std::string rpc_error(std::optional<std::uint64_t> id, int code, std::string_view message,
+                      core::Time retry_after) {
   json error = {{"code", code}, {"message", message}};
-  if (later > core::Time::zero())
-    error["data"] = {{"later", std::chrono::duration_cast<std::chrono::milliseconds>(later).count()}};
+  if (retry_after > core::Time::zero()) {
+    const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(retry_after);
+    error["data"] = {{wire::kRetryAfter, milliseconds.count()}};
+  }
   return line({{"id", id_of(id)}, {"error", std::move(error)}});
 }
 
--- /dev/null
+++ b/src/platform/jsonrpc_connection.cpp
@@ -0,0 +1,43 @@
+#include "platform/jsonrpc_connection.hpp"
+
+#include "core/guard.hpp"
+
+namespace bellstair::platform {
+namespace {
+constexpr int kMaxCandidates = 8;  // looked at per use, since each costs a system call
+}  // namespace
+
+void EvictionOrder::add(JsonRpcConnection& connection) {
+  auto& connections = of(connection.use);
+  connection.position = connections.insert(connections.end(), &connection);
+}
+
+void EvictionOrder::remove(const JsonRpcConnection& connection) {
+  of(connection.use).erase(connection.position);
+}
+
+void EvictionOrder::update(JsonRpcConnection& connection) {
+  const bool busy = !connection.open_requests.empty() || connection.stream.unwritten() > 0;
+  const auto at_rest = connection.has_sent_request ? ConnectionUse::idle : ConnectionUse::unused;
+  const auto use = busy ? ConnectionUse::busy : at_rest;
+  if (use == connection.use) return;
+  auto& from = of(connection.use);
+  auto& to = of(use);
+  to.splice(to.end(), from, connection.position);
+  connection.use = use;
+}
+
+// A connection whose next request lies unread in the socket is not at rest.
+JsonRpcConnection* EvictionOrder::candidate() const {
+  for (const auto use : {ConnectionUse::unused, ConnectionUse::idle}) {
+    int looked_at = 0;
+    for (auto* connection : of(use)) {
+      if (++looked_at > kMaxCandidates) break;
+      const bool unread = connection->stream.unread() == net::Stream::Unread::bytes;
+      if (core::Guard::may_close(connection->open_requests.size(), unread)) return connection;
+    }
+  }
+  return nullptr;
+}
+
+}  // namespace bellstair::platform
--- /dev/null
+++ b/src/platform/jsonrpc_connection.hpp
@@ -0,0 +1,68 @@
+// A client's connection to the JSON-RPC server, and the order in which connections are evicted for new ones.
+#pragma once
+
+#include <ev++.h>
+
+#include <array>
+#include <cstdint>
+#include <list>
+#include <string>
+#include <unordered_map>
+
+#include "core/events.hpp"
+#include "net/stream.hpp"
+
+namespace bellstair::platform {
+
+// In the order of eviction. Busy connections are never evicted.
+enum class ConnectionUse {
+  unused,  // no request has come on it
+  idle,
+  busy,  // with an open request, or output that has not left
+};
+
+struct JsonRpcConnection {
+  static constexpr std::size_t kMaxUnwritten = std::size_t{4} << 20;
+
+  JsonRpcConnection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnwritten) {}
+
+  std::uint64_t serial = 0;
+  net::Stream stream;
+  std::string partial_line;
+  std::uint64_t last_rpc_id = 0;  // the highest of its requests
+  bool half_closed = false;       // the client writes no more: it has closed its side, or all of it
+  bool closing = false;           // input is dropped; closed once all open requests are answered
+  bool has_sent_line = false;
+  bool has_sent_request = false;
+  bool timer_armed = false;
+  bool over_capacity = false;  // every request on it is rejected
+  unsigned invalid_messages = 0;
+  core::Time waiting_since{};  // for the first line, or for the end of the partial one
+  core::Time input_since{};    // the next bytes read may be as old as this; 0: as old as the read
+  ConnectionUse use = ConnectionUse::unused;
+  std::list<JsonRpcConnection*>::iterator position;                     // in the EvictionOrder
+  std::unordered_map<std::uint64_t, core::ClientHandle> open_requests;  // by the client's id
+};
+
+// All connections by use, and within a use by the time since when.
+class EvictionOrder {
+ public:
+  void add(JsonRpcConnection& connection);
+  void remove(const JsonRpcConnection& connection);
+  // To be called after anything that may change the connection's use.
+  void update(JsonRpcConnection& connection);
+  // The first connection that may be closed now; nullptr: there is none.
+  [[nodiscard]] JsonRpcConnection* candidate() const;
+  [[nodiscard]] const std::list<JsonRpcConnection*>& busy() const { return of(ConnectionUse::busy); }
+
+ private:
+  using Connections = std::list<JsonRpcConnection*>;
+  [[nodiscard]] const Connections& of(ConnectionUse use) const {
+    return by_use_[static_cast<std::size_t>(use)];
+  }
+  [[nodiscard]] Connections& of(ConnectionUse use) { return by_use_[static_cast<std::size_t>(use)]; }
+
+  std::array<Connections, 3> by_use_;
+};
+
+}  // namespace bellstair::platform
--- /dev/null
+++ b/src/platform/jsonrpc_server.cpp
@@ -0,0 +1,327 @@
+#include "platform/jsonrpc_server.hpp"
+
+#include <algorithm>
+
+namespace bellstair::platform {
+namespace {
+using namespace std::chrono_literals;
+
+// For the first line, and for any line from its first byte to its end: a client is owed an answer, an error
+// or a close within 3 s.
+constexpr core::Time kLineTimeout = 2s;
+constexpr core::Time kUnreadInputRecheck =
+    20ms;  // before a timed-out line whose rest lies unread is looked at
+// Connections that could not be accepted within so long after a stall may have come during it.
+constexpr core::Time kStallRecovery = 50ms;
+constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
+constexpr std::size_t kMaxPartialLineBytes = std::size_t{4} << 20;  // of all connections together
+constexpr unsigned kMaxInvalidMessages = 64;                        // on one connection
+constexpr std::size_t kMaxOpenRequests = 32;                        // on one connection
+constexpr std::size_t kMaxOverCapacity = 16;  // connections beyond the limit, on which requests are rejected
+}  // namespace
+
+JsonRpcServer::JsonRpcServer(ev::loop_ref loop, net::Fd listening, const config::Names& names,
+                             std::size_t max_connections, std::uint64_t& last_handle,
+                             std::function<bool()> healthy, net::EventSink emit)
+    : loop_(loop),
+      names_(names),
+      max_connections_(max_connections),
+      last_handle_(last_handle),
+      healthy_(std::move(healthy)),
+      emit_(std::move(emit)),
+      listener_(
+          loop, std::move(listening), [this](net::Fd fd, net::Time waited) { accept(std::move(fd), waited); },
+          [this] { return free_descriptor(); }),
+      lingerer_(loop) {}
+
+// ---- connections
+
+void JsonRpcServer::accept(net::Fd fd, core::Time waited) {
+  const bool within_capacity = make_room();
+  if (!within_capacity && connections_.size() >= max_connections_ + kMaxOverCapacity) {
+    lingerer_.reject(std::move(fd), rpc_error(std::nullopt, kRpcRejected, "too many connections"));
+    return lingerer_.trim_beside(connections_.size(), max_connections_);
+  }
+  auto made = std::make_unique<Connection>(loop_, std::move(fd));
+  auto& connection = *made;
+  connection.serial = ++last_serial_;
+  connection.waiting_since = now_;
+  connection.over_capacity = !within_capacity;
+  if (waited > core::Time::zero()) connection.input_since = earliest_arrival(waited);
+  eviction_order_.add(connection);
+  connections_.emplace(connection.serial, std::move(made));
+  arm_timer(connection, now_ + kLineTimeout);
+  connection.stream.handle(handlers_of(connection));
+}
+
+net::Stream::Handlers JsonRpcServer::handlers_of(Connection& connection) {
+  return {
+      .connected = {},
+      .data = [this, &connection](std::string_view bytes) { on_data(connection, bytes); },
+      .ended = [this, &connection] { on_half_close(connection); },
+      .closed = [this, &connection] { close(connection); },
+      .drained = [this, &connection] { eviction_order_.update(connection); },
+  };
+}
+
+core::Time JsonRpcServer::earliest_arrival(core::Time waited) const {
+  const core::Time refused_since = now_ - waited;
+  const bool stalled_before = refused_since <= last_stall_.resumed_at + kStallRecovery;
+  return stalled_before ? std::min(refused_since, last_stall_.since) : refused_since;
+}
+
+// A connection without an open request may be closed at any time.
+bool JsonRpcServer::make_room() {
+  while (connections_.size() >= max_connections_) {
+    auto* connection = eviction_order_.candidate();
+    if (connection == nullptr) return false;
+    const bool client_has_closed = connection->stream.unread() == net::Stream::Unread::end;
+    client_has_closed ? close(*connection) : close_gracefully(*connection);
+  }
+  return true;
+}
+
+// A graceful close would keep the descriptor.
+bool JsonRpcServer::free_descriptor() {
+  if (lingerer_.size() > 0) {
+    lingerer_.trim(lingerer_.size() - 1);
+    return true;
+  }
+  auto* connection = eviction_order_.candidate();
+  if (connection != nullptr) close(*connection);
+  return connection != nullptr;
+}
+
+void JsonRpcServer::close(Connection& connection) {
+  for (const auto& [id, client] : connection.open_requests) {
+    open_requests_.erase(client);
+    emit_(core::ClientCancelled{client});
+  }
+  connection.open_requests.clear();
+  clear_partial_line(connection);
+  connection.stream.close();
+  const auto found = connections_.find(connection.serial);
+  if (found == connections_.end()) return;
+  eviction_order_.remove(connection);
+  closed_.push_back(std::move(found->second));
+  connections_.erase(found);
+}
+
+void JsonRpcServer::close_gracefully(Connection& connection) {
+  lingerer_.take(connection.stream);
+  close(connection);
+  lingerer_.trim_beside(connections_.size(), max_connections_);
+}
+
+void JsonRpcServer::close_with_error(Connection& connection, std::string_view reason) {
+  connection.stream.write(rpc_error(std::nullopt, kRpcInvalidRequest, reason));
+  clear_partial_line(connection);
+  connection.closing = true;
+  stop_requests(connection);  // a cancel would not be read any more
+  if (connection.open_requests.empty()) close_gracefully(connection);
+}
+
+void JsonRpcServer::stop_requests(const Connection& connection) {
+  for (const auto& [id, client] : connection.open_requests) emit_(core::ClientHalfClosed{client});
+}
+
+// The client may only have closed its side, or have gone: what runs for it is answered.
+void JsonRpcServer::on_half_close(Connection& connection) {
+  connection.half_closed = true;
+  stop_requests(connection);
+  if (connection.open_requests.empty()) close_gracefully(connection);
+}
+
+// ---- input
+
+void JsonRpcServer::on_data(Connection& connection, std::string_view bytes) {
+  const auto rest = read_complete_lines(connection, bytes);
+  if (connection.stream.open() && !connection.closing) {
+    if (connection.over_capacity && connection.has_sent_line && rest.empty()) {
+      close_gracefully(connection);
+    } else {
+      eviction_order_.update(connection);
+      if (!rest.empty()) keep_partial_line(connection, rest);
+    }
+  }
+  connection.input_since = {};
+}
+
+// Lines are read in place; only one that arrives in parts is copied.
+std::string_view JsonRpcServer::read_complete_lines(Connection& connection, std::string_view bytes) {
+  while (connection.stream.open() && !connection.closing) {
+    const auto end = bytes.find('\n');
+    if (end == std::string_view::npos) break;
+    if (connection.partial_line.empty()) {
+      on_line(connection, bytes.substr(0, end));
+    } else {
+      partial_line_bytes_ -= connection.partial_line.size();
+      const auto line = std::exchange(connection.partial_line, {}).append(bytes.substr(0, end));
+      on_line(connection, line);
+    }
+    bytes.remove_prefix(end + 1);
+  }
+  return bytes;
+}
+
+void JsonRpcServer::keep_partial_line(Connection& connection, std::string_view bytes) {
+  const bool line_too_long = connection.partial_line.size() + bytes.size() > kMaxLineBytes;
+  if (line_too_long || partial_line_bytes_ + bytes.size() > kMaxPartialLineBytes)
+    return close_with_error(connection, "a line is too long");
+  if (connection.partial_line.empty() && connection.has_sent_line) {
+    connection.waiting_since = now_;
+    arm_timer(connection, now_ + kLineTimeout);
+  }
+  partial_line_bytes_ += bytes.size();
+  connection.partial_line.append(bytes);
+}
+
+void JsonRpcServer::clear_partial_line(Connection& connection) {
+  partial_line_bytes_ -= std::exchange(connection.partial_line, {}).size();
+}
+
+void JsonRpcServer::on_line(Connection& connection, std::string_view line) {
+  if (line.find_first_not_of(" \t\r") == std::string_view::npos) return;
+  connection.has_sent_line = true;
+  auto message = parse_rpc(line, names_);
+  if (const auto* error = std::get_if<RpcError>(&message)) {
+    reject_message(connection, rpc_error(error->id, error->code, error->message));
+  } else if (const auto* health = std::get_if<RpcHealth>(&message)) {
+    connection.stream.write(rpc_health(health->id, healthy_()));
+  } else if (const auto* cancel = std::get_if<RpcCancel>(&message)) {
+    on_cancel(connection, *cancel);
+  } else {
+    on_request(connection, std::get<RpcRequest>(message));
+  }
+}
+
+void JsonRpcServer::on_request(Connection& connection, RpcRequest& request) {
+  if (connection.over_capacity) {
+    connection.stream.write(rpc_error(request.id, kRpcRejected, "too many connections"));
+    return;
+  }
+  if (connection.open_requests.contains(request.id))
+    return reject_message(connection, rpc_error(std::nullopt, kRpcInvalidRequest, "the id is in use"));
+  if (connection.open_requests.size() >= kMaxOpenRequests)
+    return reject_message(connection, rpc_error(request.id, kRpcRejected, "too many open requests"));
+  connection.has_sent_request = true;
+  connection.last_rpc_id = std::max(connection.last_rpc_id, request.id);
+  const auto client = ++last_handle_;
+  connection.open_requests[request.id] = client;
+  open_requests_[client] = {connection.serial, request.id, request.submission.ticket};
+  request.submission.client = client;
+  emit_(core::RequestReceived{std::move(request.submission), connection.input_since});
+}
+
+void JsonRpcServer::on_cancel(Connection& connection, const RpcCancel& cancel) {
+  auto& open = connection.open_requests;
+  auto found = open.end();
+  // The call's own id may be that of the request it means.
+  const bool has_own_id = cancel.id && *cancel.id > connection.last_rpc_id;
+  if (cancel.id && !has_own_id) found = open.find(*cancel.id);
+  if (cancel.request && found == open.end()) found = open.find(*cancel.request);
+  if (found == open.end() && !cancel.ticket.empty()) {
+    found = std::ranges::find_if(
+        open, [&](const auto& request) { return open_requests_.at(request.second).ticket == cancel.ticket; });
+  }
+  if (found != open.end()) {
+    const auto client = found->second;
+    open.erase(found);
+    open_requests_.erase(client);
+    emit_(core::ClientCancelled{client});
+  }
+  // The id of a request gets no answer: it would be a second one.
+  if (has_own_id) connection.stream.write(rpc_cancelled(*cancel.id));
+}
+
+void JsonRpcServer::reject_message(Connection& connection, const std::string& reply) {
+  connection.stream.write(reply);
+  if (++connection.invalid_messages == kMaxInvalidMessages)
+    close_with_error(connection, "too many lines of no use");
+}
+
+// ---- timers
+
+void JsonRpcServer::arm_timer(Connection& connection, core::Time at) {
+  if (std::exchange(connection.timer_armed, true)) return;
+  timers_.arm(at, connection.serial);
+}
+
+// Clients that send nothing, or never end a line, hold descriptors and memory that others need.
+void JsonRpcServer::on_timer(Connection& connection) {
+  connection.timer_armed = false;
+  if (connection.closing || connection.half_closed) return;
+  if (connection.has_sent_line && connection.partial_line.empty()) return;
+  const auto due = connection.waiting_since + kLineTimeout;
+  if (now_ < due) return arm_timer(connection, due);
+  // What lies unread may be the rest of the line.
+  if (connection.stream.unread() == net::Stream::Unread::bytes)
+    return arm_timer(connection, now_ + kUnreadInputRecheck);
+  close_with_error(connection, "no whole request came");
+}
+
+// After a half-close, a reset is not seen by reading.
+void JsonRpcServer::close_departed_clients() {
+  std::vector<Connection*> departed;
+  for (auto* connection : eviction_order_.busy()) {
+    if (connection->half_closed && connection->stream.reset()) departed.push_back(connection);
+  }
+  for (auto* connection : departed) close(*connection);
+}
+
+void JsonRpcServer::tick(core::Time now) {
+  now_ = now;
+  lingerer_.tick(now);
+  close_departed_clients();
+  timers_.advance(now, [this](std::uint64_t serial) {
+    const auto found = connections_.find(serial);
+    if (found != connections_.end()) on_timer(*found->second);
+  });
+}
+
+void JsonRpcServer::resume(const net::Stall& stall) {
+  now_ = stall.resumed_at;
+  last_stall_ = stall;
+  lingerer_.set_clock(stall.resumed_at);
+}
+
+void JsonRpcServer::settle() {
+  closed_.clear();
+  lingerer_.settle();
+}
+
+// ---- output
+
+bool JsonRpcServer::run(const core::Answer& answer) {
+  const auto found = open_requests_.find(answer.client);
+  if (found == open_requests_.end()) return false;
+  const auto request = std::move(found->second);
+  open_requests_.erase(found);
+  auto& connection = *connections_.at(request.connection);
+  connection.open_requests.erase(request.rpc_id);
+  connection.stream.write(rpc_answer(request.rpc_id, answer));
+  const bool last = connection.closing || connection.half_closed || shutting_down_;
+  if (connection.open_requests.empty() && last) {
+    close_gracefully(connection);
+  } else {
+    eviction_order_.update(connection);
+  }
+  return true;
+}
+
+void JsonRpcServer::shut_down() {
+  shutting_down_ = true;
+  lingerer_.lift_limit();
+  std::vector<Connection*> unoccupied;
+  for (const auto& [serial, connection] : connections_) {
+    if (connection->open_requests.empty()) unoccupied.push_back(connection.get());
+  }
+  for (auto* connection : unoccupied) close_gracefully(*connection);
+}
+
+bool JsonRpcServer::has_unsent_output() const {
+  const auto unsent = [](const auto& entry) { return entry.second->stream.unwritten() > 0; };
+  return lingerer_.size() > 0 || std::ranges::any_of(connections_, unsent);
+}
+
+}  // namespace bellstair::platform
--- /dev/null
+++ b/src/platform/jsonrpc_server.hpp
@@ -0,0 +1,96 @@
+// The server for clients that speak the platform's protocol: JSON-RPC over TCP.
+#pragma once
+
+#include <ev++.h>
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include "config/config.hpp"
+#include "core/events.hpp"
+#include "core/wheel.hpp"
+#include "net/client_server.hpp"
+#include "net/event_sink.hpp"
+#include "net/lingerer.hpp"
+#include "net/listener.hpp"
+#include "platform/jsonrpc.hpp"
+#include "platform/jsonrpc_connection.hpp"
+
+namespace bellstair::platform {
+
+class JsonRpcServer : public net::ClientServer {
+ public:
+  // Client handles are drawn from `last_handle`, which all servers share. `healthy` answers health calls.
+  JsonRpcServer(ev::loop_ref loop, net::Fd listening, const config::Names& names, std::size_t max_connections,
+                std::uint64_t& last_handle, std::function<bool()> healthy, net::EventSink emit);
+
+  bool run(const core::Answer& answer) override;
+  void settle() override;
+  void tick(core::Time now) override;
+  void resume(const net::Stall& stall) override;
+  void shut_down() override;
+  [[nodiscard]] bool has_unsent_output() const override;
+
+ private:
+  using Connection = JsonRpcConnection;
+
+  struct OpenRequest {
+    std::uint64_t connection = 0;
+    std::uint64_t rpc_id = 0;
+    std::string ticket;
+  };
+
+  void accept(net::Fd fd, core::Time waited);
+  [[nodiscard]] net::Stream::Handlers handlers_of(Connection& connection);
+  // The earliest moment at which a connection that waited so long to be accepted may have come.
+  [[nodiscard]] core::Time earliest_arrival(core::Time waited) const;
+  bool make_room();
+  bool free_descriptor();  // at once; false: none can be
+
+  void on_data(Connection& connection, std::string_view bytes);
+  // The bytes that follow the last complete line; empty if the connection takes no more input.
+  [[nodiscard]] std::string_view read_complete_lines(Connection& connection, std::string_view bytes);
+  void keep_partial_line(Connection& connection, std::string_view bytes);
+  void clear_partial_line(Connection& connection);
+  void on_line(Connection& connection, std::string_view line);
+  void on_request(Connection& connection, RpcRequest& request);
+  void on_cancel(Connection& connection, const RpcCancel& cancel);
+  void on_half_close(Connection& connection);
+  void reject_message(Connection& connection, const std::string& reply);
+
+  void arm_timer(Connection& connection, core::Time at);
+  void on_timer(Connection& connection);
+  void close_departed_clients();
+  void stop_requests(const Connection& connection);  // nothing more is begun for those that are open
+
+  // The one end of a connection: what is open on it is cancelled.
+  void close(Connection& connection);
+  void close_gracefully(Connection& connection);
+  // Sends an error; the connection is closed once its open requests are answered.
+  void close_with_error(Connection& connection, std::string_view reason);
+
+  ev::loop_ref loop_;
+  const config::Names& names_;
+  std::size_t max_connections_;
+  std::uint64_t& last_handle_;
+  std::function<bool()> healthy_;
+  net::EventSink emit_;
+  net::Listener listener_;
+  std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+  std::unordered_map<core::ClientHandle, OpenRequest> open_requests_;
+  std::vector<std::unique_ptr<Connection>> closed_;  // freed once no handler of theirs can be running
+  net::Lingerer lingerer_;
+  EvictionOrder eviction_order_;
+  core::TimerWheel<std::uint64_t> timers_{std::chrono::milliseconds(5)};  // by connection
+  std::size_t partial_line_bytes_ = 0;                                    // of all connections
+  std::uint64_t last_serial_ = 0;
+  bool shutting_down_ = false;
+  core::Time now_{};
+  net::Stall last_stall_;
+};
+
+}  // namespace bellstair::platform
--- /dev/null
+++ b/src/platform/result_pages.hpp
@@ -0,0 +1,28 @@
+// Puts the result of a query together from the pages in which an engine sends it. Pure.
+#pragma once
+
+#include <cstddef>
+
+#include "core/events.hpp"
+#include "platform/http.hpp"
+
+namespace bellstair::platform {
+
+class ResultPages {
+ public:
+  // Appends the page that the response holds; the first page also sets the query's cost and memory. False:
+  // the page can't be used, since it is not the next one, holds no whole rows of three columns, or is too
+  // large.
+  [[nodiscard]] bool append(const HttpResponse& response, core::AttemptEnded& result);
+  [[nodiscard]] std::size_t next() const { return next_; }  // number of the page to fetch, from 0
+  [[nodiscard]] bool begun() const { return next_ > 0; }
+  [[nodiscard]] bool complete() const { return next_ == count_; }
+
+ private:
+  [[nodiscard]] bool read_first(const HttpResponse& response, core::AttemptEnded& result);
+
+  std::size_t next_ = 0;
+  std::size_t count_ = 0;
+};
+
+}  // namespace bellstair::platform
--- a/tests/capacity_test.py
+++ b/tests/capacity_test.py
@@ -427,9 +427,9 @@
             return code, said.getvalue()
 
         self.run_it()
-        code, said = told("src/net/pool.cpp", "Puddle")
+        code, said = told("src/net/connection_pool.cpp", "Puddle")
         self.assertEqual(code, 2)
-        self.assertIn("src/net/pool.cpp: Puddle, which the page names, is not here", said)
+        self.assertIn("src/net/connection_pool.cpp: Puddle, which the page names, is not here", said)
         code, said = told("src/net/puddle.cpp", "Pool")
         self.assertEqual(code, 2)
         self.assertIn("src/net/puddle.cpp: No such file", said)
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -56,7 +56,7 @@
   EXPECT_EQ(answer.status, 200U);
   EXPECT_EQ(answer.number("result-pages"), 3);
   EXPECT_EQ(answer.body, "a\tb\n");
-  const auto meter = platform::parse_meter(answer.header("x-meter"));
+  const auto meter = platform::parse_load_report(answer.header("x-meter"));
   EXPECT_EQ(meter.size(), 2U);
   EXPECT_EQ(meter.at("c"), 0.5);
 }
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -5,9 +5,9 @@
 
 #include "harness.hpp"
 #include "mysql_client.hpp"
-#include "net/pool.hpp"
-#include "platform/changelog.hpp"
-#include "platform/front.hpp"
+#include "net/connection_pool.hpp"
+#include "platform/change_log_client.hpp"
+#include "platform/jsonrpc_server.hpp"
 
 namespace bellstair::test {
 namespace {
@@ -169,7 +169,7 @@
   bool taken = false;
   auto fd = net::listen_tcp(net::parse_address("127.0.0.1:0").value());
   const auto address = net::local_address(fd.get());
-  platform::Front front(
+  platform::JsonRpcServer front(
       loop, std::move(fd), names, 1, handles, [] { return true; },
       [&](core::Event e) { taken = taken || std::holds_alternative<core::RequestReceived>(e); });
   Client busy(address);
@@ -308,29 +308,29 @@
 
 struct Dials {
   ev::dynamic_loop loop;
-  net::Pool pool;
+  net::ConnectionPool pool;
   core::Time now = 100s;
   explicit Dials(const std::string& address) : pool(loop, limits()) {
     pool.tick(now);
-    pool.place(7, address);
+    pool.set_endpoint(7, address);
   }
-  static net::Pool::Limits limits() {
-    net::Pool::Limits out;
-    out.dial_timeout = 400ms;
-    out.idle_life = 10s;
+  static net::ConnectionPool::Limits limits() {
+    net::ConnectionPool::Limits out;
+    out.connect_timeout = 400ms;
+    out.idle_timeout = 10s;
     return out;
   }
-  std::optional<net::Pool::Connection*> taken;
+  std::optional<net::ConnectionPool::Connection*> taken;
   void acquire() {
     taken.reset();
-    pool.acquire(7, [this](net::Pool::Connection* connection) { taken = connection; });
+    pool.acquire(7, [this](net::ConnectionPool::Connection* connection) { taken = connection; });
     pool.settle();
   }
   void pass(core::Time time) {
     pool.tick(now += time);
     pool.settle();
   }
-  net::Pool::Connection* take() {
+  net::ConnectionPool::Connection* take() {
     while (!taken) {
       loop.run(ev::ONCE);
       pool.settle();
@@ -379,12 +379,12 @@
     auto* open = d.take();
     auto other = engine.accept();
     const auto full = Socket::to(engine.address());
-    open->data = [](std::string_view) {};
+    open->on_data = [](std::string_view) {};
     d.acquire();
     // A second waiter, whose dials begin while others take long, has the same limit and no longer.
-    std::optional<net::Pool::Connection*> second;
+    std::optional<net::ConnectionPool::Connection*> second;
     d.pass(100ms);
-    d.pool.acquire(7, [&](net::Pool::Connection* connection) { second = connection; });
+    d.pool.acquire(7, [&](net::ConnectionPool::Connection* connection) { second = connection; });
     d.pool.settle();
     if (heard) {
       other.send("x");
@@ -427,7 +427,7 @@
   d.acquire();
   auto* old = d.take();
   const auto serial = old->serial;
-  d.pool.place(7, two.address());
+  d.pool.set_endpoint(7, two.address());
   d.pool.release(*old);
   d.acquire();
   EXPECT_NE(d.take()->serial, serial);
@@ -476,7 +476,7 @@
     ev::dynamic_loop loop;
     bool serves = false;
     config::Names names;
-    platform::ChangeLog log(loop, silent.address(), names, 0, 1, [&](core::Event e) {
+    platform::ChangeLogClient log(loop, silent.address(), names, 0, 1, [&](core::Event e) {
       serves = std::holds_alternative<core::EndpointListPolled>(e);
     });
     core::Time now = 100s;
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -1,11 +1,10 @@
 // The driver of HTTP engines by itself: effects in, calls at a stand-in engine and events out.
-#include "platform/engines.hpp"
-
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
-#include "platform/changelog.hpp"
-#include "platform/peers.hpp"
+#include "platform/change_log_client.hpp"
+#include "platform/gossip_socket.hpp"
+#include "platform/http_engine_client.hpp"
 
 namespace bellstair::test {
 namespace {
@@ -76,16 +75,16 @@
   core::Time ahead{};  // of the clock, for the driver
 
  private:
-  static net::Pool::Limits limits() {
-    net::Pool::Limits out;
-    out.most = 8;
-    out.dial_timeout = kDial;
-    out.idle_life = 10s;
+  static net::ConnectionPool::Limits limits() {
+    net::ConnectionPool::Limits out;
+    out.max_connections = 8;
+    out.connect_timeout = kDial;
+    out.idle_timeout = 10s;
     return out;
   }
   static void nothing(ev::timer&, int) {}
   ev::dynamic_loop loop_;
-  platform::Engines engines_;
+  platform::HttpEngineClient engines_;
 };
 
 bool put(const Call& call) { return call.method == "PUT"; }
@@ -471,12 +470,12 @@
   for (const int resets : {2, 3}) {
     Resetting listener;
     ev::dynamic_loop loop;
-    net::Pool::Limits limits;
-    limits.dial_timeout = 5s;
-    net::Pool pool(loop, limits);
-    pool.place(7, listener.address());
+    net::ConnectionPool::Limits limits;
+    limits.connect_timeout = 5s;
+    net::ConnectionPool pool(loop, limits);
+    pool.set_endpoint(7, listener.address());
     std::optional<bool> taken;
-    pool.acquire(7, [&](net::Pool::Connection* connection) { taken = connection != nullptr; });
+    pool.acquire(7, [&](net::ConnectionPool::Connection* connection) { taken = connection != nullptr; });
     for (int i = 0; i < resets; ++i) {
       pool.settle();
       EXPECT_FALSE(taken);
@@ -505,7 +504,7 @@
     ev::dynamic_loop loop;
     bool serves = false;
     config::Names names;
-    platform::ChangeLog log(loop, address, names, 0, seed, [&](core::Event e) {
+    platform::ChangeLogClient log(loop, address, names, 0, seed, [&](core::Event e) {
       serves = std::holds_alternative<core::EndpointListPolled>(e);
     });
     core::Time now = 100s;
@@ -534,8 +533,8 @@
   config.settings.broker_index = 3;
   config.peers[3] = config.peer_listen;
   std::vector<std::uint32_t> heard;
-  platform::Peers peers(loop, config,
-                        [&](core::Event e) { heard.push_back(std::get<core::GossipReceived>(e).from); });
+  platform::GossipSocket peers(
+      loop, config, [&](core::Event e) { heard.push_back(std::get<core::GossipReceived>(e).from); });
   const auto to = net::parse_address(config.peer_listen).value();
   for (const auto* from : {&stranger, &last})
     ASSERT_EQ(::sendto(from->get(), "o", 1, 0, reinterpret_cast<const sockaddr*>(&to), sizeof to), 1);
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -131,7 +131,7 @@
   };
   auto none = parse("");
   ASSERT_TRUE(std::holds_alternative<platform::RpcRequest>(none));
-  EXPECT_GE(std::get<platform::RpcRequest>(none).asked.tenant, now.settings.tenants.size());
+  EXPECT_GE(std::get<platform::RpcRequest>(none).submission.tenant, now.settings.tenants.size());
   EXPECT_TRUE(std::holds_alternative<platform::RpcRequest>(parse(R"(,"team":"second")")));
   EXPECT_TRUE(std::holds_alternative<platform::RpcError>(parse(R"(,"team":"first")")));
 }
