--- a/benchmarks/scale/capacity.py
+++ b/benchmarks/scale/capacity.py
@@ -745,8 +745,9 @@
         ("src/net/lingerer.cpp", "Lingerer"),
     ]),
     "data": Role("Data path of a broker", [
-        ("src/core/reducer.cpp", "Reducer::consult"), ("src/policy/scheduler.cpp", "Scheduler::handle"),
-        ("src/platform/http_engine_client.cpp", "HttpEngineClient"), ("src/net/connection_pool.cpp", "ConnectionPool"),
+        ("src/core/reducer.cpp", "Reducer::call_scheduler"), ("src/policy/scheduler.cpp", "Scheduler::handle"),
+        ("src/platform/http_engine_client.cpp", "HttpEngineClient"),
+        ("src/net/connection_pool.cpp", "ConnectionPool"),
     ]),
     "control": Role("Control part of a broker", [
         ("src/core/reducer.cpp", "Reducer::on"), ("src/policy/scheduler.cpp", "tell_peers"),
