--- a/src/core/names.cpp
+++ b/src/core/names.cpp
@@ -7,6 +7,18 @@
 
 namespace bellstair::core {
 namespace {
+constexpr std::array<const char*, kGuardDecisions> kGuardDecisionNames{
+    "allowed",     "stopping",         "too_many_open", "no_memory",        "ticket_in_use",   "answered",
+    "client_gone", "engine_not_ready", "too_late",      "repeat_forbidden", "another_running", "key_in_use"};
+constexpr std::array<const char*, kAnswerKinds> kAnswerKindNames{"served", "refused", "failed", "timed_out"};
+constexpr std::array<const char*, kAttemptEnds> kAttemptEndNames{
+    "served", "error", "turned_away", "expired", "not_connected", "reset", "withdrawn"};
+constexpr std::array<const char*, kUnservedReasons> kUnservedReasonNames{
+    "unknown_class", "over_share",    "no_time",         "too_big", "overdue_on_arrival",
+    "deadline",      "held_too_long", "no_attempt_left", "at_fault"};
+constexpr std::array<const char*, kViolations> kViolationNames{
+    "second_answer", "late_answer", "unsafe_refusal", "unsafe_send", "lost_at_exit"};
+
 template <class Kind, std::size_t size>
 const char* name_in(const std::array<const char*, size>& names, Kind kind) {
   const auto index = static_cast<std::size_t>(kind);
@@ -14,36 +26,10 @@
 }
 }  // namespace
 
-const char* name(GuardDecision decision) {
-  static constexpr std::array<const char*, kGuardDecisions> kNames{
-      "allowed",       "stopping",         "too_many_open",   "no_memory",
-      "ticket_in_use", "answered",         "client_gone",     "engine_not_ready",
-      "too_late",      "repeat_forbidden", "another_running", "key_in_use"};
-  return name_in(kNames, decision);
-}
-
-const char* name(AnswerKind kind) {
-  static constexpr std::array<const char*, kAnswerKinds> kNames{"served", "refused", "failed", "timed_out"};
-  return name_in(kNames, kind);
-}
-
-const char* name(AttemptEnd end) {
-  static constexpr std::array<const char*, kAttemptEnds> kNames{
-      "served", "error", "turned_away", "expired", "not_connected", "reset", "withdrawn"};
-  return name_in(kNames, end);
-}
-
-const char* name(policy::UnservedReason reason) {
-  static constexpr std::array<const char*, kUnservedReasons> kNames{
-      "unknown_class", "over_share",    "no_time",         "too_big", "overdue_on_arrival",
-      "deadline",      "held_too_long", "no_attempt_left", "at_fault"};
-  return name_in(kNames, reason);
-}
-
-const char* name(Violation violation) {
-  static constexpr std::array<const char*, kViolations> kNames{
-      "second_answer", "late_answer", "unsafe_refusal", "unsafe_send", "lost_at_exit"};
-  return name_in(kNames, violation);
-}
+const char* name(GuardDecision decision) { return name_in(kGuardDecisionNames, decision); }
+const char* name(AnswerKind kind) { return name_in(kAnswerKindNames, kind); }
+const char* name(AttemptEnd end) { return name_in(kAttemptEndNames, end); }
+const char* name(policy::UnservedReason reason) { return name_in(kUnservedReasonNames, reason); }
+const char* name(Violation violation) { return name_in(kViolationNames, violation); }
 
 }  // namespace bellstair::core
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -4,8 +4,9 @@
 
 namespace bellstair::core {
 namespace {
+constexpr std::size_t kFixedSize = 1024;  // bytes of a request, but for its texts
+
 std::size_t size_in_bytes(const Submission& submission) {
-  constexpr std::size_t kFixedSize = 1024;  // bytes for all but the texts
   return kFixedSize + submission.body.size() + submission.parameters.size() +
          submission.idempotency_key.size();
 }
