--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -112,7 +112,7 @@
   const bool ticket_in_use = !submission.ticket.empty() && requests_.ticket_in_use(submission.ticket);
   const auto decision = guard_.may_admit(
       {lifecycle_.phase(), requests_.unanswered(), requests_.fits(submission), ticket_in_use});
-  if (decision != GuardDecision::allowed) return responder_.refuse_admission(submission, decision);
+  if (decision != GuardDecision::allowed) return responder_.deny_admission(submission, decision);
   ++context_.counters().taken;
   const Time now = context_.now();
   const Time received_at = received.since == Time::zero() ? now : std::min(received.since, now);
--- a/src/core/responder.cpp
+++ b/src/core/responder.cpp
@@ -12,7 +12,7 @@
 constexpr Time kDeadlineSlack = 50ms;
 }  // namespace
 
-void Responder::refuse_admission(const Submission& submission, GuardDecision decision) {
+void Responder::deny_admission(const Submission& submission, GuardDecision decision) {
   ++context_.counters().turned_down[static_cast<std::size_t>(decision)];
   context_.trace(requests_.last_id(), "ticket ", submission.ticket, " is not admitted: ", name(decision));
   Answer answer;
--- a/src/core/responder.hpp
+++ b/src/core/responder.hpp
@@ -26,7 +26,7 @@
         tagged_log_(context, settings) {}
 
   // A submission that is not admitted, and has no place in the table.
-  void refuse_admission(const Submission& submission, GuardDecision decision);
+  void deny_admission(const Submission& submission, GuardDecision decision);
 
   void serve(RequestId id, Request& request, std::string body, std::string shape);
   // `retry_after`: how long the client should stay away.
