--- a/benchmarks/hooks_cost.cpp
+++ b/benchmarks/hooks_cost.cpp
@@ -66,14 +66,14 @@
       std::string problem;
       machines.push_back(hooks::Machine::make(spec, kWords, 1s, problem));
       if (!machines.back()) std::abort();
-      machines.back()->remember(&store);
+      machines.back()->set_store(&store);
     }
   }
   static hooks::Set make(const std::vector<const char*>& scripts, const std::string& contains) {
     hooks::Set out;
-    out.limits.share = 0.9;  // the virtual clock is slower than the one that hooks are measured by
-    out.limits.burst = 1h;
-    out.limits.turn = 1h;
+    out.limits.cpu_share = 0.9;  // the virtual clock is slower than the one that hooks are measured by
+    out.limits.max_burst = 1h;
+    out.limits.max_turn_cpu = 1h;
     for (const char* script : scripts) {
       hooks::Spec spec;
       spec.id = static_cast<hooks::HookId>(out.hooks.size() + 1);
@@ -156,7 +156,7 @@
   std::string problem;
   const auto machine = hooks::Machine::make(spec, kWords, 1s, problem);
   if (!machine) return state.SkipWithError(problem.c_str());
-  machine->remember(&world.store);
+  machine->set_store(&world.store);
   std::vector<double> took;
   hooks::JobId job = 0;
   for (auto _ : state) {
@@ -174,7 +174,7 @@
       if (ran.how != hooks::Ran::How::yielded) break;
       run.first = false;
     }
-    machine->drop(job);
+    machine->abort(job);
   }
   std::ranges::sort(took);
   state.counters["us_p99"] = took[took.size() * 99 / 100];
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -15,6 +15,7 @@
 using hcl::Reader;
 
 constexpr std::int64_t kGiga = 1'000'000'000;
+constexpr std::size_t kMaxHookName = 64;  // bytes
 
 std::string secret(Reader& in, const char* name) {
   const auto variable = in.text(name);
@@ -81,16 +82,16 @@
 
 hooks::Limits parse_limits(Reader& in) {
   hooks::Limits out;
-  out.share = in.number("share", out.share, {0.01, 0.9});
-  out.burst = in.duration("burst", out.burst, {100us, 100ms});
-  out.turn = in.duration("turn", out.turn, {50us, 10ms});
+  out.cpu_share = in.number("share", out.cpu_share, {0.01, 0.9});
+  out.max_burst = in.duration("burst", out.max_burst, {100us, 100ms});
+  out.max_turn_cpu = in.duration("turn", out.max_turn_cpu, {50us, 10ms});
   if (auto breaker = in.block("breaker")) {
     auto& b = breaker->reader;
-    out.failures = static_cast<unsigned>(b.whole("failures", out.failures, {1, 1000}));
-    out.pause = b.duration("pause", out.pause, {10ms, 1h});
-    out.most_pause = b.duration("most_pause", out.most_pause, {10ms, 24h});
-    out.trials = static_cast<unsigned>(b.whole("trials", out.trials, {1, 1000}));
-    if (out.most_pause < out.pause) b.wrong("most_pause", "is less than pause");
+    out.failure_threshold = static_cast<unsigned>(b.whole("failures", out.failure_threshold, {1, 1000}));
+    out.open_duration = b.duration("pause", out.open_duration, {10ms, 1h});
+    out.max_open_duration = b.duration("most_pause", out.max_open_duration, {10ms, 24h});
+    out.success_threshold = static_cast<unsigned>(b.whole("trials", out.success_threshold, {1, 1000}));
+    if (out.max_open_duration < out.open_duration) b.wrong("most_pause", "is less than pause");
     b.finish();
   }
   in.finish();
@@ -112,15 +113,15 @@
   return out;
 }
 
-hooks::Spec parse_hook(Reader& in, const std::string& name, const Names& names, const std::string& file) {
-  hooks::Spec out;
-  out.name = name;
-  const auto plain = [](unsigned char c) { return std::isalnum(c) != 0 || c == '_' || c == '-' || c == '.'; };
-  if (name.empty() || name.size() > 64 || !std::ranges::all_of(name, plain))
+void check_hook_name(Reader& in, const std::string& name) {
+  const auto allowed = [](unsigned char c) {
+    return std::isalnum(c) != 0 || c == '_' || c == '-' || c == '.';
+  };
+  if (name.empty() || name.size() > kMaxHookName || !std::ranges::all_of(name, allowed))
     in.wrong("", "a hook's name has 1 to 64 letters, digits, '-', '_' or '.'");
-  // Beside the file, unless the path is a whole one.
-  const auto script = in.text("script");
-  out.path = (std::filesystem::path(file).parent_path() / script).string();
+}
+
+void parse_phases(Reader& in, hooks::Spec& out) {
   auto phases = in.texts("phases");
   if (!in.has("phases")) phases = {hooks::kPhaseNames[0]};
   for (const auto& phase : phases) {
@@ -132,17 +133,30 @@
     }
   }
   if (phases.empty()) in.wrong("phases", "names no phase");
-  out.order = in.whole("order", 0, {-kGiga, kGiga});
-  out.time = in.duration("time", out.time, {10us, 1s}, "time_ms");
-  out.wait = in.duration("wait", std::max(out.wait, out.time), {1ms, 10s});
+}
+
+void parse_hook_limits(Reader& in, hooks::Spec& out) {
+  out.cpu_limit = in.duration("time", out.cpu_limit, {10us, 1s}, "time_ms");
+  out.wait_timeout = in.duration("wait", std::max(out.wait_timeout, out.cpu_limit), {1ms, 10s});
   out.slice = in.duration("slice", out.slice, {20us, 2ms});
-  out.every = in.duration("every", out.every, {10ms, 24h});
-  out.instructions = static_cast<std::uint64_t>(in.whole("instructions", 1'000'000, {1000, kGiga}));
-  out.memory = in.size("memory", out.memory, {64 << 10, 64 << 20}, "memory_kb");
-  out.state = in.size("state", out.state, {0, 64 << 20});
-  out.at_once = static_cast<std::size_t>(in.whole("at_once", 8, {1, 256}));
-  out.refuse_on_failure = in.choice("on_failure", {"pass", "refuse"}, 0) == 1;
-  out.later = in.duration("later", out.later, {1ms, 1h});
+  out.timer_interval = in.duration("every", out.timer_interval, {10ms, 24h});
+  out.instruction_limit = static_cast<std::uint64_t>(in.whole("instructions", 1'000'000, {1000, kGiga}));
+  out.memory_limit = in.size("memory", out.memory_limit, {64 << 10, 64 << 20}, "memory_kb");
+  out.store_limit = in.size("state", out.store_limit, {0, 64 << 20});
+  out.max_concurrent_calls = static_cast<std::size_t>(in.whole("at_once", 8, {1, 256}));
+}
+
+hooks::Spec parse_hook(Reader& in, const std::string& name, const Names& names, const std::string& file) {
+  hooks::Spec out;
+  out.name = name;
+  check_hook_name(in, name);
+  const auto script = in.text("script");
+  out.path = (std::filesystem::path(file).parent_path() / script).string();
+  parse_phases(in, out);
+  out.order = in.whole("order", 0, {-kGiga, kGiga});
+  parse_hook_limits(in, out);
+  out.reject_on_failure = in.choice("on_failure", {"pass", "refuse"}, 0) == 1;
+  out.retry_after = in.duration("later", out.retry_after, {1ms, 1h});
   if (auto match = in.block("match")) out.match = parse_match(match->reader, names);
   if (in.has("every") && !out.phases[static_cast<std::size_t>(hooks::Phase::timer)])
     in.wrong("every", "is for phase \"timer\" only");
