--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "config/read.hpp"
+#include "config/json_fields.hpp"
 #include "policy/state.hpp"
 #include "simulator/settings_json.hpp"
 
@@ -37,7 +37,7 @@
   if (name == "in_service") return policy::EngineState::ready;
   if (name == "terminating") return policy::EngineState::draining;
   if (name == "terminated") return policy::EngineState::gone;
-  bad("servers[].state", "holds an unknown word");
+  fail("servers[].state", "holds an unknown word");
 }
 
 core::EndpointRecord parse_endpoint(const json& in, const Names& names) {
@@ -47,14 +47,14 @@
   out.endpoint.state = parse_engine_state(text(need(in, "state"), "servers[].state"));
   out.address = text_or_none(in, "addr");
   if (out.address.empty() && out.endpoint.state != policy::EngineState::gone)
-    bad("servers[].addr", "is missing");
+    fail("servers[].addr", "is missing");
   const auto index = [](const auto& map, const std::string& key) {
     const auto found = map.find(key);
     return found == map.end() ? static_cast<std::uint16_t>(0) : static_cast<std::uint16_t>(found->second);
   };
   out.endpoint.zone = index(names.zones, text_or_none(in, "zone"));
   const auto kind = text_or_none(in, "kind");
-  if (!kind.empty() && !names.kinds.contains(kind)) bad("servers[].kind", "is in no settings");
+  if (!kind.empty() && !names.kinds.contains(kind)) fail("servers[].kind", "is in no settings");
   out.endpoint.kind = index(names.kinds, kind);
   if (const auto cell = in.find("cell"); cell != in.end() && cell->is_number_unsigned())
     out.endpoint.cell = cell->get<std::uint16_t>();
@@ -68,7 +68,7 @@
 Changes parse_changes(const json& in, const Names& names) {
   object(in, "changes");
   Changes out;
-  out.seq = whole(need(in, "seq"), "seq");
+  out.seq = integer(need(in, "seq"), "seq");
   for (const json& result : list(need(in, "results"), "results")) {
     object(result, "results[]");
     const auto fleet = result.find("fleet");
@@ -128,9 +128,9 @@
   const auto limits = in.find("limits");
   if (limits == in.end()) return;
   if (const auto sockets = object(*limits, "limits").find("sockets"); sockets != limits->end())
-    out.sockets = whole(*sockets, "limits.sockets");
+    out.sockets = integer(*sockets, "limits.sockets");
   if (const auto memory = limits->find("memory_mb"); memory != limits->end())
-    out.memory_mb = whole(*memory, "limits.memory_mb");
+    out.memory_mb = integer(*memory, "limits.memory_mb");
 }
 
 void parse_settings(const json& in, Config& out) {
@@ -147,7 +147,7 @@
   const json& ceilings = object(need(settings, "ceilings"), "settings.ceilings");
   const auto time_or = [&](const char* key, core::Time fallback) {
     const auto found = ceilings.find(key);
-    return found == ceilings.end() ? fallback : core::Time(static_cast<std::int64_t>(whole(*found, key)));
+    return found == ceilings.end() ? fallback : core::Time(static_cast<std::int64_t>(integer(*found, key)));
   };
   out.dial_timeout = time_or("dial-timeout", 250ms);
   out.idle_close = time_or("idle-close", 30s);
@@ -169,7 +169,7 @@
   out.name = text_or_none(all, "name");
   parse_addresses(all, out);
   const auto seed = parse_hex<std::uint64_t>(text(need(all, "seed"), "seed"));
-  if (!seed) bad("seed", "is not a number in hex digits");
+  if (!seed) fail("seed", "is not a number in hex digits");
   out.seed = *seed;
   parse_limits(all, out);
   const json& settings = object(need(all, "settings"), "settings");
--- a/src/hooks/runner.cpp
+++ b/src/hooks/runner.cpp
@@ -4,48 +4,49 @@
 
 namespace bellstair::hooks {
 
-Runner::Runner(ev::loop_ref loop, Words words, Post post)
-    : words_(std::make_shared<const Words>(std::move(words))), post_(std::move(post)), worker_(loop) {}
+Runner::Runner(ev::loop_ref loop, Words names, Post post)
+    : names_(std::make_shared<const Words>(std::move(names))), post_(std::move(post)), worker_(loop) {}
 
 void Runner::adopt(Loaded& loaded) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
     auto& store = stores_.try_emplace(spec.name, spec.store_limit).first->second;
-    store.bound(spec.store_limit);
+    store.set_limit(spec.store_limit);
     loaded.machines[i]->set_store(&store);
-    loaded.machines[i]->set_names(words_);  // those that it was made with may be of an older version
-    held_[spec.id] = {spec, std::move(loaded.machines[i])};
+    loaded.machines[i]->set_names(names_);  // it may have been loaded with older ones
+    hooks_[spec.id] = {spec, std::move(loaded.machines[i])};
   }
 }
 
-void Runner::know(Words words) {
-  words_ = std::make_shared<const Words>(std::move(words));
-  for (auto& [id, held] : held_) held.machine->set_names(words_);
+void Runner::know(Words names) {
+  names_ = std::make_shared<const Words>(std::move(names));
+  for (auto& [id, hook] : hooks_) hook.machine->set_names(names_);
 }
 
 void Runner::run(Run& run) {
-  const auto found = held_.find(run.hook);
-  if (found == held_.end()) return;
+  const auto found = hooks_.find(run.hook);
+  if (found == hooks_.end()) return;
   post_(core::HookRan{found->second.machine->run(std::move(run))});
 }
 
 void Runner::run(const Drop& drop) {
-  if (const auto found = held_.find(drop.hook); found != held_.end()) found->second.machine->abort(drop.job);
+  if (const auto found = hooks_.find(drop.hook); found != hooks_.end())
+    found->second.machine->abort(drop.job);
 }
 
 void Runner::run(const Renew& renew) {
-  const auto found = held_.find(renew.hook);
-  if (found == held_.end()) return;
-  later([this, spec = found->second.spec, words = words_]() -> std::function<void()> {
+  const auto found = hooks_.find(renew.hook);
+  if (found == hooks_.end()) return;
+  later([this, spec = found->second.spec, names = names_]() -> std::function<void()> {
     auto problem = std::make_shared<std::string>();
-    std::shared_ptr<Machine> fresh = Machine::make(spec, *words, kMaxLoad, *problem);
+    std::shared_ptr<Machine> fresh = Machine::make(spec, *names, kMaxLoad, *problem);
     return [this, problem, fresh, id = spec.id] {
-      const auto held = held_.find(id);
-      if (held == held_.end()) return;
+      const auto hook = hooks_.find(id);
+      if (hook == hooks_.end()) return;
       if (fresh) {
-        fresh->set_store(&stores_.at(held->second.spec.name));
-        fresh->set_names(words_);
-        held->second.machine = fresh;
+        fresh->set_store(&stores_.at(hook->second.spec.name));
+        fresh->set_names(names_);
+        hook->second.machine = fresh;
       }
       post_(core::HookRenewed{{id, *problem}});
     };
@@ -53,6 +54,6 @@
 }
 
 // The store stays: a hook of the same name may come again.
-void Runner::run(const Retire& retire) { held_.erase(retire.hook); }
+void Runner::run(const Retire& retire) { hooks_.erase(retire.hook); }
 
 }  // namespace bellstair::hooks
--- a/src/hooks/runner.hpp
+++ b/src/hooks/runner.hpp
@@ -1,5 +1,5 @@
-// Does what the core says about hooks: runs slices, drops calls, makes machines anew. What takes long is done
-// beside the loop.
+// Executes the core's commands about hooks: runs slices, aborts calls, renews machines. Scripts are loaded in
+// a thread of their own.
 #pragma once
 
 #include <ev++.h>
@@ -17,31 +17,34 @@
 
 class Runner {
  public:
+  // Called for each result, on the thread of the event loop.
   using Post = std::function<void(core::Event)>;
-  Runner(ev::loop_ref loop, Words words, Post post);  // the words are never changed, only replaced
+  Runner(ev::loop_ref loop, Words names, Post post);  // the names are never changed, only replaced
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
 
-  [[nodiscard]] std::shared_ptr<const Words> words() const { return words_; }
-  void know(Words words);  // for all machines, from now on
-  // Takes the machines over; the core is to be told of the set.
+  [[nodiscard]] std::shared_ptr<const Words> words() const { return names_; }
+  void know(Words names);  // for all machines, from now on
+  // Takes the machines over; the caller gives the set to the core.
   void adopt(Loaded& loaded);
   // See net::Worker.
   void later(net::Worker::Work work) { worker_.later(std::move(work)); }
 
+  // Posts HookRan before it returns.
   void run(Run& run);
   void run(const Drop& drop);
+  // Posts HookRenewed later, from the event loop.
   void run(const Renew& renew);
   void run(const Retire& retire);
 
  private:
-  struct Held {
+  struct LoadedHook {
     Spec spec;
     std::shared_ptr<Machine> machine;
   };
-  std::shared_ptr<const Words> words_;
+  std::shared_ptr<const Words> names_;
   Post post_;
-  std::unordered_map<HookId, Held> held_;
+  std::unordered_map<HookId, LoadedHook> hooks_;
   std::unordered_map<std::string, Store> stores_;  // by the hook's name, kept over reloads
 
   net::Worker worker_;
--- a/src/hooks/store.cpp
+++ b/src/hooks/store.cpp
@@ -3,39 +3,43 @@
 #include <algorithm>
 
 namespace bellstair::hooks {
+namespace {
 
-std::size_t Store::weight(std::string_view key, const Item& value) {
+constexpr int kMaxPurged = 16;  // at each use, so that none takes long
+
+}  // namespace
+
+std::size_t Store::charged_bytes(std::string_view key, const Item& value) {
   const auto* text = std::get_if<std::string>(&value);
-  return kEach + key.size() + (text == nullptr ? 0 : text->size());
+  return kEntryOverhead + key.size() + (text == nullptr ? 0 : text->size());
 }
 
-// A few at each use, so that none takes long.
-void Store::purge(Time now) {
-  for (int i = 0; i < 16 && !expiries_.empty() && expiries_.begin()->first <= now; ++i)
-    drop(entries_.find(*expiries_.begin()->second));
+void Store::purge_expired(Time now) {
+  for (int i = 0; i < kMaxPurged && !expiries_.empty() && expiries_.begin()->first <= now; ++i)
+    remove(entries_.find(*expiries_.begin()->second));
 }
 
-void Store::drop(Entries::iterator found) {
-  bytes_ -= weight(found->first, found->second.value);
+void Store::remove(Entries::iterator found) {
+  bytes_ -= charged_bytes(found->first, found->second.value);
   expiries_.erase(found->second.expiry);
   entries_.erase(found);
 }
 
 const Store::Item* Store::get(Time now, std::string_view key) {
-  purge(now);
+  purge_expired(now);
   const auto found = entries_.find(key);
   if (found == entries_.end() || found->second.expiry->first <= now) return nullptr;
   return &found->second.value;
 }
 
 bool Store::set(Time now, std::string_view key, Item value, Time ttl) {
-  purge(now);
-  const auto needed = weight(key, value);
+  purge_expired(now);
+  const auto needed = charged_bytes(key, value);
   if (const auto found = entries_.find(key); found != entries_.end()) {
-    if (bytes_ - weight(key, found->second.value) + needed > most_) return false;
-    drop(found);
+    if (bytes_ - charged_bytes(key, found->second.value) + needed > max_bytes_) return false;
+    remove(found);
   }
-  if (bytes_ + needed > most_) return false;
+  if (bytes_ + needed > max_bytes_) return false;
   const auto made = entries_.emplace(std::string(key), Entry{std::move(value), {}}).first;
   made->second.expiry = expiries_.emplace(now + std::clamp(ttl, Time(1), kMaxTtl), &made->first);
   bytes_ += needed;
@@ -43,7 +47,7 @@
 }
 
 std::optional<double> Store::incr(Time now, std::string_view key, double by, Time ttl) {
-  purge(now);
+  purge_expired(now);
   const auto found = entries_.find(key);
   if (found == entries_.end() || found->second.expiry->first <= now)
     return set(now, key, by, ttl) ? std::optional(by) : std::nullopt;
@@ -53,7 +57,7 @@
 }
 
 void Store::erase(std::string_view key) {
-  if (const auto found = entries_.find(key); found != entries_.end()) drop(found);
+  if (const auto found = entries_.find(key); found != entries_.end()) remove(found);
 }
 
 }  // namespace bellstair::hooks
--- a/tests/hooks_test.cpp
+++ b/tests/hooks_test.cpp
@@ -380,7 +380,7 @@
 // ---- store
 
 TEST(Store, WhatHasExpiredIsGoneAndWhatIsFullTakesNothingMore) {
-  Store store(4 * (Store::kEach + 8));
+  Store store(4 * (Store::kEntryOverhead + 8));
   EXPECT_EQ(store.incr(1s, "k", 1, 10s), 1);
   EXPECT_EQ(store.incr(5s, "k", 2, 10s), 3);
   EXPECT_EQ(store.incr(11s, "k", 1, 10s), 1) << "the time to live counts from the first";
