--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -127,7 +127,7 @@
   for (const auto& phase : phases) {
     const auto found = std::ranges::find(hooks::kPhaseNames, phase);
     if (found == hooks::kPhaseNames.end()) {
-      in.wrong("phases", "'" + phase + "' is no phase: expected \"request\", \"answer\" or \"timer\"");
+      in.wrong("phases", "'" + phase + R"(' is no phase: expected "request", "answer" or "timer")");
     } else {
       out.phases[static_cast<std::size_t>(found - hooks::kPhaseNames.begin())] = true;
     }
