--- a/src/main.cpp
+++ b/src/main.cpp
@@ -73,11 +73,11 @@
 Options parse_options(int argc, char** argv) {
   Options out;
   if (const char* config = std::getenv("BALANCER_CONFIG")) out.config = config;
-  const option kOptions[] = {
+  const option long_options[] = {
       {"config", required_argument, nullptr, 'c'}, {"fronts", required_argument, nullptr, 'f'},
       {"cases", required_argument, nullptr, 't'},  {"log-level", required_argument, nullptr, 'l'},
       {"help", no_argument, nullptr, 'h'},         {nullptr, 0, nullptr, 0}};
-  for (int c = 0; (c = getopt_long(argc, argv, "c:f:t:l:h", kOptions, nullptr)) != -1;) {
+  for (int c = 0; (c = getopt_long(argc, argv, "c:f:t:l:h", long_options, nullptr)) != -1;) {
     if (c == 'c') out.config = optarg;
     if (c == 'f') out.fronts = optarg;
     if (c == 't') out.cases = optarg;
--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -249,9 +249,9 @@
 
 void MysqlServer::look_up_user(Connection& connection, const std::string& password) {
   connection.phase = Phase::directory_lookup;
-  options_.lookup(connection.user, password, [this, serial = connection.serial](directory::Verdict verdict) {
-    on_lookup(serial, verdict);
-  });
+  options_.lookup(
+      connection.user, password,
+      [this, serial = connection.serial](const directory::Verdict& verdict) { on_lookup(serial, verdict); });
 }
 
 void MysqlServer::on_lookup(std::uint64_t serial, const directory::Verdict& verdict) {
--- a/src/platform/http.cpp
+++ b/src/platform/http.cpp
@@ -34,7 +34,7 @@
 }
 
 const http_parser_settings& HttpReader::callbacks() {
-  static const http_parser_settings kCallbacks = [] {
+  static const http_parser_settings callbacks_of_reader = [] {
     http_parser_settings s{};
     const auto self = [](http_parser* p) -> HttpReader& { return *static_cast<HttpReader*>(p->data); };
     static const auto of = self;
@@ -73,7 +73,7 @@
     };
     return s;
   }();
-  return kCallbacks;
+  return callbacks_of_reader;
 }
 
 void HttpReader::expect() {
--- a/src/platform/jsonrpc.cpp
+++ b/src/platform/jsonrpc.cpp
@@ -144,8 +144,8 @@
 
 // By hand: nothing in it needs escaping, and results are by far the longest messages.
 std::string rpc_result(std::uint64_t id, std::string_view body) {
-  return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"result\":{\"" + wire::kResultBody +
-         "\":\"" + to_base64(body) + "\"}}\n";
+  return R"({"jsonrpc":"2.0","id":)" + std::to_string(id) + R"(,"result":{")" + wire::kResultBody + R"(":")" +
+         to_base64(body) + "\"}}\n";
 }
 }  // namespace
 
@@ -169,10 +169,10 @@
   const auto version = message.find("jsonrpc");
   if (method == message.end() || !method->is_string() || version == message.end() || *version != "2.0")
     return RpcError{id, kRpcInvalidRequest, "no call of JSON-RPC 2.0"};
-  static const json kNoParams = json::object();
+  static const json no_params = json::object();
   const auto params = message.find("params");
   try {
-    return parse_call(id, method->get<std::string>(), params == message.end() ? kNoParams : *params, names);
+    return parse_call(id, method->get<std::string>(), params == message.end() ? no_params : *params, names);
   } catch (const InvalidParameter& invalid) {
     return RpcError{id, kRpcInvalidParams, invalid.message};
   }
@@ -193,7 +193,7 @@
 }
 
 std::string rpc_cancelled(std::uint64_t id) {
-  return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"result\":true}\n";
+  return R"({"jsonrpc":"2.0","id":)" + std::to_string(id) + R"(,"result":true})" + "\n";
 }
 
 std::string rpc_health(std::uint64_t id, bool healthy) {
