--- a/src/app/last_version_writer.cpp
+++ b/src/app/last_version_writer.cpp
@@ -56,7 +56,8 @@
   retry_at_ = now_ + backoff_.after_failure();
   if (logged_failure_ == id) return;
   logged_failure_ = id;
-  write_log_("control: version " + control::to_text(id) + " is not persisted for a restart: " + error->what());
+  write_log_("control: version " + control::to_text(id) +
+             " is not persisted for a restart: " + error->what());
 }
 
 }  // namespace bellstair::app
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -5,8 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "policy/settings_check.hpp"
 #include "config/json_fields.hpp"
+#include "policy/settings_check.hpp"
 #include "simulator/settings_json.hpp"
 
 namespace bellstair::config {
