--- a/src/directory/ldap.cpp
+++ b/src/directory/ldap.cpp
@@ -17,6 +17,7 @@
 
 constexpr std::size_t kMaxConcurrentLookups = 32;  // each has a connection of its own
 constexpr std::size_t kMaxCachedVerdicts = 4096;
+constexpr const char* kHexDigits = "0123456789abcdef";
 
 struct MessageDeleter {
   void operator()(LDAPMessage* message) const { ldap_msgfree(message); }
@@ -26,12 +27,11 @@
 }  // namespace
 
 std::string escape_filter(std::string_view value) {
-  constexpr const char* kDigits = "0123456789abcdef";
   std::string out;
   for (const char c : value) {
     const auto byte = static_cast<unsigned char>(c);
     if (c == '*' || c == '(' || c == ')' || c == '\\' || byte < 0x20 || byte >= 0x7f) {
-      out += {'\\', kDigits[byte >> 4], kDigits[byte & 15]};
+      out += {'\\', kHexDigits[byte >> 4], kHexDigits[byte & 15]};
     } else {
       out += c;
     }
@@ -197,7 +197,7 @@
   if (!lookup.start()) answer(lookup, {Verdict::Kind::unavailable, {}});
 }
 
-void Ldap::answer(UserLookup& lookup, Verdict verdict) {
+void Ldap::answer(UserLookup& lookup, const Verdict& verdict) {
   const auto at = std::ranges::find(lookups_, &lookup, &std::unique_ptr<UserLookup>::get);
   if (at == lookups_.end()) return;
   lookup.stop();
--- a/src/directory/ldap.hpp
+++ b/src/directory/ldap.hpp
@@ -36,7 +36,7 @@
     Verdict verdict;
     core::Time until{};
   };
-  void answer(UserLookup& lookup, Verdict verdict);
+  void answer(UserLookup& lookup, const Verdict& verdict);
   [[nodiscard]] std::string key(const std::string& user, const std::string& password) const;
 
   ev::loop_ref loop_;
--- a/src/hcl/parse.cpp
+++ b/src/hcl/parse.cpp
@@ -26,12 +26,12 @@
   grammar::peg::memory_input in(text.data(), text.size(), file);
   try {
     if (state.json) {
-      grammar::peg::parse<grammar::json_file, grammar::Action, grammar::Control>(in, state);
+      grammar::peg::parse<grammar::JsonFile, grammar::Action, grammar::Control>(in, state);
       Body out;
       out.attributes = std::move(std::get<std::vector<Member>>(state.values.at(0).is));
       return out;
     }
-    grammar::peg::parse<grammar::native_file, grammar::Action, grammar::Control>(in, state);
+    grammar::peg::parse<grammar::NativeFile, grammar::Action, grammar::Control>(in, state);
     return std::move(state.open_blocks.front().body);
   } catch (const ParseFailure& failure) {
     throw Invalid(file, {failure.problem});
--- a/src/hcl/parse_errors.hpp
+++ b/src/hcl/parse_errors.hpp
@@ -21,73 +21,73 @@
 }
 
 template <class>
-inline constexpr const char* expected = nullptr;
+inline constexpr const char* kExpected = nullptr;
 template <>
-inline constexpr const char* expected<comment_end> = "the comment does not end: expected '*/'";
+inline constexpr const char* kExpected<CommentEnd> = "the comment does not end: expected '*/'";
 template <>
-inline constexpr const char* expected<escape_rest> =
+inline constexpr const char* kExpected<EscapeRest> =
     "unknown escape: expected one of \\n \\r \\t \\\" \\\\ \\uNNNN \\UNNNNNNNN";
 template <>
-inline constexpr const char* expected<text_body> = "the text does not end in its line: expected '\"'";
+inline constexpr const char* kExpected<TextBody> = "the text does not end in its line: expected '\"'";
 template <>
-inline constexpr const char* expected<heredoc_delimiter> = "expected the word that ends the text";
+inline constexpr const char* kExpected<HeredocDelimiter> = "expected the word that ends the text";
 template <>
-inline constexpr const char* expected<peg::eol> = "expected the end of the line";
+inline constexpr const char* kExpected<peg::eol> = "expected the end of the line";
 template <>
-inline constexpr const char* expected<heredoc_end> =
+inline constexpr const char* kExpected<HeredocEnd> =
     "the text does not end: expected a line with its word alone";
 template <>
-inline constexpr const char* expected<number_end> =
+inline constexpr const char* kExpected<NumberEnd> =
     "a number goes on with letters: expected a unit to be in a text, as in \"2ms\"";
 template <>
-inline constexpr const char* expected<element> = "expected a value or ']'";
+inline constexpr const char* kExpected<Element> = "expected a value or ']'";
 template <>
-inline constexpr const char* expected<list_items> = "expected a value or ']'";
+inline constexpr const char* kExpected<ListItems> = "expected a value or ']'";
 template <>
-inline constexpr const char* expected<list_end> = "expected ',' or ']'";
+inline constexpr const char* kExpected<ListEnd> = "expected ',' or ']'";
 template <>
-inline constexpr const char* expected<assignment_sign> = "expected '=' or ':' after the name";
+inline constexpr const char* kExpected<AssignmentSign> = "expected '=' or ':' after the name";
 template <>
-inline constexpr const char* expected<member_value> = "expected a value";
+inline constexpr const char* kExpected<MemberValue> = "expected a value";
 template <>
-inline constexpr const char* expected<object_items> = "expected a name or '}'";
+inline constexpr const char* kExpected<ObjectItems> = "expected a name or '}'";
 template <>
-inline constexpr const char* expected<object_end> = "expected ',', a new line or '}'";
+inline constexpr const char* kExpected<ObjectEnd> = "expected ',', a new line or '}'";
 template <>
-inline constexpr const char* expected<attribute_value> =
+inline constexpr const char* kExpected<AttributeValue> =
     "expected a value: a text, a number, true, false, null, a list or an object";
 template <>
-inline constexpr const char* expected<item_end> = "expected the end of the line";
+inline constexpr const char* kExpected<ItemEnd> = "expected the end of the line";
 template <>
-inline constexpr const char* expected<block_begin> = "expected a label or '{'";
+inline constexpr const char* kExpected<BlockBegin> = "expected a label or '{'";
 template <>
-inline constexpr const char* expected<block_head> = "expected a label or '{'";
+inline constexpr const char* kExpected<BlockHead> = "expected a label or '{'";
 template <>
-inline constexpr const char* expected<items> = "expected a name or '}'";
+inline constexpr const char* kExpected<Items> = "expected a name or '}'";
 template <>
-inline constexpr const char* expected<block_end> = "expected a name or '}'";
+inline constexpr const char* kExpected<BlockEnd> = "expected a name or '}'";
 template <>
-inline constexpr const char* expected<item_rest> = "expected '=' or a block after the name";
+inline constexpr const char* kExpected<ItemRest> = "expected '=' or a block after the name";
 template <>
-inline constexpr const char* expected<end> = "expected the name of an attribute or block";
+inline constexpr const char* kExpected<End> = "expected the name of an attribute or block";
 template <>
-inline constexpr const char* expected<native_file> = "expected attributes and blocks";
+inline constexpr const char* kExpected<NativeFile> = "expected attributes and blocks";
 template <>
-inline constexpr const char* expected<json_file> = "expected an object";
+inline constexpr const char* kExpected<JsonFile> = "expected an object";
 template <>
-inline constexpr const char* expected<without_operation> = "expected the end of the line";
+inline constexpr const char* kExpected<WithoutOperation> = "expected the end of the line";
 template <>
-inline constexpr const char* expected<inline_space> = "expected '='";
+inline constexpr const char* kExpected<InlineSpace> = "expected '='";
 template <>
-inline constexpr const char* expected<space> = "expected a value";
+inline constexpr const char* kExpected<Space> = "expected a value";
 
 // PEGTL calls raise() where a rule must match and does not.
 template <class Rule>
 struct Control : peg::normal<Rule> {
   template <class Input, class... States>
   [[noreturn]] static void raise(const Input& in, States&&...) {
-    static_assert(expected<Rule> != nullptr, "every rule that must match says what was expected");
-    throw ParseFailure{{position_of(in), expected<Rule>}};
+    static_assert(kExpected<Rule> != nullptr, "every rule that must match says what was expected");
+    throw ParseFailure{{position_of(in), kExpected<Rule>}};
   }
 };
 
--- a/src/hcl/reader.cpp
+++ b/src/hcl/reader.cpp
@@ -138,7 +138,7 @@
   return value;
 }
 
-std::string Reader::text(const std::string& name, std::optional<std::string> fallback) {
+std::string Reader::text(const std::string& name, const std::optional<std::string>& fallback) {
   const auto* value = need(name, !fallback);
   if (value == nullptr) return fallback.value_or("");
   if (const auto* text = value->as<std::string>()) return *text;
@@ -193,7 +193,7 @@
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
   return within<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), fallback, range,
-                      "expected a duration, as \"2ms\" or \"1m30s\"", show_duration);
+                      R"(expected a duration, as "2ms" or "1m30s")", show_duration);
 }
 
 std::uint64_t Reader::size(const std::string& name, std::uint64_t fallback, Sizes range, const char* old_name,
@@ -205,7 +205,7 @@
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
   return within<std::uint64_t>(name, text == nullptr ? std::nullopt : parse_size(*text), fallback, range,
-                               "expected a size, as \"64KB\" or \"1MB\"", show_size);
+                               R"(expected a size, as "64KB" or "1MB")", show_size);
 }
 
 std::vector<std::string> Reader::texts(const std::string& name) {
--- a/src/hcl/reader.hpp
+++ b/src/hcl/reader.hpp
@@ -43,7 +43,7 @@
   [[nodiscard]] bool has(const std::string& name);
   // Missing or null: `fallback`, or else an error. What is wrong is noted, and gives `fallback` or an empty
   // one.
-  std::string text(const std::string& name, std::optional<std::string> fallback = std::nullopt);
+  std::string text(const std::string& name, const std::optional<std::string>& fallback = std::nullopt);
   bool flag(const std::string& name, bool fallback);
   std::int64_t whole(const std::string& name, std::int64_t fallback, Range<std::int64_t> range);
   double number(const std::string& name, double fallback, Range<double> range);
--- a/src/hcl/structure_actions.hpp
+++ b/src/hcl/structure_actions.hpp
@@ -26,7 +26,7 @@
 }
 
 template <>
-struct Action<list_begin> {
+struct Action<ListBegin> {
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
     state.enter_nested(position_of(in));
@@ -34,9 +34,9 @@
   }
 };
 template <>
-struct Action<object_begin> : Action<list_begin> {};
+struct Action<ObjectBegin> : Action<ListBegin> {};
 template <>
-struct Action<list> {
+struct Action<List> {
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
     const auto from = state.values.begin() + static_cast<std::ptrdiff_t>(state.nested.back().values);
@@ -47,7 +47,7 @@
   }
 };
 template <>
-struct Action<object> {
+struct Action<Object> {
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
     const auto [first_value, first_name] = state.nested.back();
@@ -64,21 +64,21 @@
   }
 };
 template <>
-struct Action<key_word> {
+struct Action<KeyWord> {
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
     state.names.push_back({position_of(in), in.string(), {}});
   }
 };
 template <>
-struct Action<key_text> {
+struct Action<KeyText> {
   static void apply0(ParseState& state) { state.names.push_back({state.text_at, std::move(state.text), {}}); }
 };
 
 template <>
-struct Action<item_name> : Action<key_word> {};
+struct Action<ItemName> : Action<KeyWord> {};
 template <>
-struct Action<attribute> {
+struct Action<Attribute> {
   static void apply0(ParseState& state) {
     auto made = std::move(state.names.back());
     state.names.pop_back();
@@ -88,11 +88,11 @@
   }
 };
 template <>
-struct Action<label_word> : Action<key_word> {};
+struct Action<LabelWord> : Action<KeyWord> {};
 template <>
-struct Action<label_text> : Action<key_text> {};
+struct Action<LabelText> : Action<KeyText> {};
 template <>
-struct Action<block_begin> {
+struct Action<BlockBegin> {
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
     // Outside of values, all names that are open are this block's type and labels.
@@ -108,7 +108,7 @@
   }
 };
 template <>
-struct Action<block_end> {
+struct Action<BlockEnd> {
   static void apply0(ParseState& state) {
     auto made = std::move(state.open_blocks.back());
     state.open_blocks.pop_back();
--- a/src/hcl/value.cpp
+++ b/src/hcl/value.cpp
@@ -1,10 +1,15 @@
 #include "hcl/value.hpp"
 
+#include <array>
 #include <utility>
 
 namespace bellstair::hcl {
 namespace {
 
+// By the index of the type in Value::is.
+constexpr std::array<const char*, 7> kKindNames{"null",   "true or false", "a whole number", "a number",
+                                                "a text", "a list",        "an object"};
+
 std::string text_of(const std::string& file, const std::vector<Problem>& problems) {
   std::string out;
   for (const auto& problem : problems) {
@@ -17,11 +22,7 @@
 
 }  // namespace
 
-const char* kind_of(const Value& value) {
-  static constexpr const char* kNames[] = {"null",   "true or false", "a whole number", "a number",
-                                           "a text", "a list",        "an object"};
-  return kNames[value.is.index()];
-}
+const char* kind_of(const Value& value) { return kKindNames[value.is.index()]; }
 
 Invalid::Invalid(const std::string& file, std::vector<Problem> found)
     : std::runtime_error(text_of(file, found)), problems(std::move(found)) {}
--- a/src/hooks/lua_sandbox.cpp
+++ b/src/hooks/lua_sandbox.cpp
@@ -109,11 +109,11 @@
 }
 
 void open_base(lua_State* lua) {
-  const luaL_Reg kLibraries[] = {{LUA_GNAME, luaopen_base},
-                                 {LUA_TABLIBNAME, luaopen_table},
-                                 {LUA_STRLIBNAME, luaopen_string},
-                                 {LUA_MATHLIBNAME, luaopen_math}};
-  for (const auto& library : kLibraries) {
+  const luaL_Reg libraries[] = {{LUA_GNAME, luaopen_base},
+                                {LUA_TABLIBNAME, luaopen_table},
+                                {LUA_STRLIBNAME, luaopen_string},
+                                {LUA_MATHLIBNAME, luaopen_math}};
+  for (const auto& library : libraries) {
     luaL_requiref(lua, library.name, library.func, 1);
     lua_pop(lua, 1);
   }
--- a/src/hooks/machine.cpp
+++ b/src/hooks/machine.cpp
@@ -17,6 +17,8 @@
 constexpr std::array<const char*, kPhases> kHandlerNames{"on_request", "on_answer", "on_timer"};
 constexpr const char* kOldRequestHandlerName = "admit";
 constexpr std::size_t kMaxSpareThreads = 4;
+// Free slots that are needed on a thread's stack: to prepare a call, and to read its decision.
+constexpr int kCallStackSlots = 8, kDecisionStackSlots = 4;
 
 struct CloseLua {
   void operator()(lua_State* lua) const { lua_close(lua); }
@@ -125,8 +127,7 @@
     call.thread = lua_newthread(lua);
     call.thread_ref = luaL_ref(lua, LUA_REGISTRYINDEX);
   }
-  constexpr int kNeededPlaces = 8;
-  if (lua_checkstack(call.thread, kNeededPlaces) == 0) luaL_error(lua, "not enough memory");
+  if (lua_checkstack(call.thread, kCallStackSlots) == 0) luaL_error(lua, "not enough memory");
   if (run.phase == Phase::timer) {
     lua_pushnil(lua);
   } else {
@@ -216,9 +217,8 @@
 
 // Reads the result of a call that has returned.
 void Machine::State::complete(Call& call, Phase phase, Ran& result) {
-  constexpr int kNeededPlaces = 4;
   if (phase != Phase::request || lua_gettop(call.thread) <= 1) return;
-  if (lua_checkstack(call.thread, kNeededPlaces) == 0) return;
+  if (lua_checkstack(call.thread, kDecisionStackSlots) == 0) return;
   lua_settop(call.thread, 2);  // the first result, above the argument that prepare_call() left
   auto problem = read_decision(call.thread, view_refs, result.verdict);
   if (problem.empty()) return;
--- a/src/hooks/request_view.cpp
+++ b/src/hooks/request_view.cpp
@@ -26,7 +26,7 @@
   lua_createtable(lua, static_cast<int>(tags.size()), 0);
   for (std::size_t i = 0; i < tags.size(); ++i) {
     push_text(lua, tags[i]);
-    lua_rawseti(lua, -2, static_cast<lua_Integer>(i + 1));
+    lua_rawseti(lua, -2, static_cast<lua_Integer>(i) + 1);
   }
   return 1;
 }
--- a/src/hooks/slice_timer.cpp
+++ b/src/hooks/slice_timer.cpp
@@ -1,8 +1,7 @@
 #include "hooks/slice_timer.hpp"
 
-#include <time.h>
-
 #include <algorithm>
+#include <ctime>
 
 #include "hooks/script_context.hpp"
 
--- a/src/hooks/spec.hpp
+++ b/src/hooks/spec.hpp
@@ -20,8 +20,8 @@
 inline constexpr std::size_t kPhases = 3;
 inline constexpr std::array<const char*, kPhases> kPhaseNames{"request", "answer", "timer"};
 
-inline constexpr std::size_t kMaxTags = 8, kMaxTag = 64;  // bytes for each
-inline constexpr std::size_t kMaxStatement = 32 * 1024;   // bytes that a hook is shown
+inline constexpr std::size_t kMaxTags = 8, kMaxTag = 64;              // bytes for each
+inline constexpr std::size_t kMaxStatement = std::size_t{32} * 1024;  // bytes that a hook is shown
 inline constexpr std::size_t kMaxHooks = 64;
 
 // Which requests a hook is called for; what is empty fits all.
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -18,6 +18,8 @@
 using bellstair::policy::Scheduler;
 namespace simulator = bellstair::simulator;
 
+constexpr std::size_t kChunkBytes = std::size_t{1} << 20;  // read at once
+
 // False at the end of input; a frame cut short is malformed.
 bool read_frame(std::vector<std::uint8_t>& frame) {
   frame.resize(simulator::kLengthBytes);
@@ -25,8 +27,7 @@
   if (got == 0 && std::feof(stdin) != 0) return false;
   if (got != frame.size()) throw simulator::FrameError("frame: truncated");
   const auto length = simulator::frame_length(frame);
-  // Grow as bytes come, so that an absurd length costs no absurd memory.
-  constexpr std::size_t kChunkBytes = std::size_t{1} << 20;
+  // Grow as bytes come: a false length must not take the memory.
   while (frame.size() < length) {
     const auto at = frame.size();
     const auto part = std::min(kChunkBytes, length - at);
--- a/src/sql/value.cpp
+++ b/src/sql/value.cpp
@@ -9,6 +9,8 @@
 namespace bellstair::sql {
 namespace {
 
+constexpr const char* kHexDigits = "0123456789abcdef";
+
 template <class T>
 void put(std::string& out, const T& value) {
   std::array<char, sizeof(T)> raw{};
@@ -89,11 +91,10 @@
 }
 
 std::string hex(std::string_view bytes) {
-  constexpr const char* kDigits = "0123456789abcdef";
   std::string out = "x'";
   for (const char c : bytes) {
-    out += kDigits[static_cast<unsigned char>(c) >> 4];
-    out += kDigits[static_cast<unsigned char>(c) & 15];
+    out += kHexDigits[static_cast<unsigned char>(c) >> 4];
+    out += kHexDigits[static_cast<unsigned char>(c) & 15];
   }
   return out + "'";
 }
