--- a/benchmarks/control_at_size.cpp
+++ b/benchmarks/control_at_size.cpp
@@ -52,7 +52,7 @@
           } catch (const std::exception& error) {
             problem = error.what();
           }
-          clients[at]->applied(version, problem);
+          clients[at]->report_apply_result(version, problem);
         }));
   }
   struct Turns {
--- a/include/bellstair/policy/actions.hpp
+++ b/include/bellstair/policy/actions.hpp
@@ -1,4 +1,4 @@
-// What the decision module decides: actions that the caller carries out in their order.
+// What the policy module decides: actions that the caller carries out in their order.
 #pragma once
 
 #include <cstdint>
@@ -34,13 +34,13 @@
   request_at_fault,  // two healthy engines have answered it with an error
 };
 
-/// Ends a request that has had no effect: the client may try again.
+/// Ends a request that its client may safely send again.
 struct Reject {
   RequestId request = 0;
   Time retry_after{};
   UnservedReason reason = UnservedReason::deadline;
 };
-/// Ends a request that may have had an effect.
+/// Ends a request that may have run and may be unsafe to send again.
 struct Fail {
   RequestId request = 0;
   UnservedReason reason = UnservedReason::deadline;
--- a/include/bellstair/policy/events.hpp
+++ b/include/bellstair/policy/events.hpp
@@ -1,4 +1,4 @@
-// What the decision module is told: an event for each thing that has happened.
+// What the policy module is told: an event for each thing that has happened.
 #pragma once
 
 #include <cstdint>
--- a/include/bellstair/policy/scheduler.hpp
+++ b/include/bellstair/policy/scheduler.hpp
@@ -1,4 +1,4 @@
-// The interface of the decision module: events in, actions out.
+// The interface of the policy module: events in, actions out.
 #pragma once
 
 #include <cstddef>
--- a/include/bellstair/policy/settings.hpp
+++ b/include/bellstair/policy/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of the decision module.
+// The settings of the policy module.
 #pragma once
 
 #include <chrono>
--- a/include/bellstair/policy/types.hpp
+++ b/include/bellstair/policy/types.hpp
@@ -1,4 +1,4 @@
-// The basic types of the decision module.
+// The basic types of the policy module.
 #pragma once
 
 #include <chrono>
--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -19,10 +19,10 @@
 double seconds(core::Time time) { return std::chrono::duration<double>(time).count(); }
 }  // namespace
 
-hooks::Words words_of(const config::Config& config) { return words_of(config.settings); }
+hooks::SettingNames names_of(const config::Config& config) { return names_of(config.settings); }
 
-hooks::Words words_of(const policy::Settings& settings) {
-  hooks::Words out;
+hooks::SettingNames names_of(const policy::Settings& settings) {
+  hooks::SettingNames out;
   out.fronts = config::kFrontNames;
   for (const auto& cls : settings.classes) out.classes.push_back(cls.name);
   for (const auto& tenant : settings.tenants) out.tenants.push_back(tenant.name);
@@ -35,7 +35,7 @@
   sigint_.start(SIGINT);
   sighup_.start(SIGHUP);
   sigusr1_.start(SIGUSR1);
-  let_signals_through({SIGHUP, SIGTERM, SIGINT, SIGUSR1});
+  unblock_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});
   tick_due_ = true;  // before the first socket is read, so that all have the time
   tick_timer_.start(0, seconds(core::Reducer::kTick));
   prepare_.start();
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -18,7 +18,7 @@
 #include "config/fronts.hpp"
 #include "control/version.hpp"
 #include "core/reducer.hpp"
-#include "directory/ldap.hpp"
+#include "directory/ldap_directory.hpp"
 #include "hooks/runner.hpp"
 #include "net/client_server.hpp"
 #include "net/engine_driver.hpp"
@@ -36,14 +36,14 @@
 };
 
 // Names for hooks, by their positions in the settings.
-[[nodiscard]] hooks::Words words_of(const config::Config& config);
-[[nodiscard]] hooks::Words words_of(const policy::Settings& settings);
+[[nodiscard]] hooks::SettingNames names_of(const config::Config& config);
+[[nodiscard]] hooks::SettingNames names_of(const policy::Settings& settings);
 
 class Broker {
  public:
   // The files are read again on SIGHUP; `fronts_file` may be empty. `loaded`: the hooks of `fronts`. Throws
   // StartError.
-  Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, hooks::Loaded loaded,
+  Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::Loaded loaded,
          std::string file, std::string fronts_file);
   // Returns once the broker has stopped, after SIGTERM or SIGINT.
   void run();
@@ -80,7 +80,7 @@
   [[nodiscard]] bool has_unsent_output() const;
   void log_counters();
 
-  void offer(const control::Version& version);
+  void apply_version(const control::Version& version);
   [[nodiscard]] core::SettingsOffered parse_version(const control::Version& version) const;
   void on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
                              std::uint64_t versions_applied_before);
@@ -112,7 +112,7 @@
   // servers hold references to them.
   config::Config config_;
   config::Overlay start_;  // as the platform's own configuration has them
-  config::Fronts fronts_;
+  config::OperatorConfig fronts_;
   std::uint64_t versions_applied_ = 0;
   core::Time origin_;  // from the steady clock to the core's, which began at the Unix time of the start
   core::ClientHandle last_client_handle_ = 0;
@@ -121,7 +121,7 @@
   core::Reducer reducer_;
   hooks::Runner runner_;
   std::unique_ptr<net::EngineDriver> engines_;
-  std::unique_ptr<directory::Ldap> directory_;  // none without its block in the operator's file
+  std::unique_ptr<directory::LdapDirectory> directory_;  // none without its block in the operator's file
   std::vector<std::unique_ptr<net::ClientServer>> servers_;
   std::unique_ptr<ControlClient> control_;              // none without its block in the operator's file
   const control::Version* version_in_offer_ = nullptr;  // while offer() runs
--- a/src/app/broker_configuration.cpp
+++ b/src/app/broker_configuration.cpp
@@ -9,14 +9,14 @@
 
 // ---- versions from the control nodes
 
-// Events that were posted before refer to tenants of the version before: they are handled first.
-void Broker::offer(const control::Version& version) {
+// Pending events hold tenant positions of the settings in force: they are handled before those change.
+void Broker::apply_version(const control::Version& version) {
   handle_events();
   core::SettingsOffered offered;
   try {
     offered = parse_version(version);
   } catch (const std::exception& error) {
-    return control_->applied(version, error.what());
+    return control_->report_apply_result(version, error.what());
   }
   version_in_offer_ = &version;
   post(std::move(offered));
@@ -45,13 +45,13 @@
   config_.settings = std::move(effect.settings);
   config_.names = *static_cast<const config::Names*>(effect.names.get());
   config_.changelog = std::move(effect.changelog);
-  runner_.know(words_of(config_.settings));
+  runner_.set_names(names_of(config_.settings));
   change_log_.set_address(config_.changelog);
-  control_->applied(*version_in_offer_, {});
+  control_->report_apply_result(*version_in_offer_, {});
 }
 
 void Broker::run(const core::SettingsRejected& effect) {
-  control_->applied(*version_in_offer_, effect.problem);
+  control_->report_apply_result(*version_in_offer_, effect.problem);
 }
 
 // ---- the broker's own files
@@ -69,7 +69,7 @@
     };
   };
   if (fronts_file_.empty()) return work()();
-  runner_.later(work);
+  runner_.run_in_background(work);
 }
 
 void Broker::on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
@@ -78,7 +78,7 @@
   if (versions_applied_before != versions_applied_) return post(core::ReloadRequested{});
   if (read.problem.empty()) {
     start_.changelog = read.changelog;
-    runner_.adopt(loaded);
+    runner_.install(loaded);
   }
   post(std::move(read));
 }
--- a/src/app/broker_wiring.cpp
+++ b/src/app/broker_wiring.cpp
@@ -19,7 +19,7 @@
 net::ConnectionPool::Limits pool_limits(const config::Config& config) {
   net::ConnectionPool::Limits out;
   out.max_connections = max_engine_connections(config.sockets);
-  out.connect_timeout = config.dial_timeout;
+  out.connect_timeout = config.connect_timeout;
   // Well before the engine closes it: a call must not cross the close.
   out.idle_timeout = config.idle_close / 2;
   return out;
@@ -37,7 +37,7 @@
 }
 }  // namespace
 
-Broker::Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, hooks::Loaded loaded,
+Broker::Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::Loaded loaded,
                std::string file, std::string fronts_file)
     : loop_(loop),
       file_(std::move(file)),
@@ -48,9 +48,10 @@
       origin_(unix_now() - net::steady_now()),
       reducer_(config_.settings, config_.seed, max_stored_request_bytes(config_), loaded.set,
                config_.changelog),
-      runner_(loop, words_of(config_), event_sink()),
+      runner_(loop, names_of(config_), event_sink()),
       engines_(make_engine_driver()),
-      change_log_(loop, config_.changelog, config_.names, config_.known.seq, config_.seed, event_sink()),
+      change_log_(loop, config_.changelog, config_.names, config_.initial_changes.seq, config_.seed,
+                  event_sink()),
       gossip_(loop, config_, event_sink()),
       tick_timer_(loop),
       scheduler_timer_(loop),
@@ -63,10 +64,11 @@
       sigusr1_(loop) {
   make_servers(loaded);
   if (fronts_.control) {
-    control_ = std::make_unique<ControlClient>(loop, *fronts_.control, config_.name, config_.seed,
-                                               [this](const control::Version& version) { offer(version); });
+    control_ =
+        std::make_unique<ControlClient>(loop, *fronts_.control, config_.name, config_.seed,
+                                        [this](const control::Version& version) { apply_version(version); });
   }
-  for (auto& change : config_.known.changes) post(std::move(change));
+  for (auto& change : config_.initial_changes.changes) post(std::move(change));
   post(core::ListenersReady{});
   set_watchers();
   reducer_.enable_tracing(log::enabled(log::Level::debug));
@@ -100,9 +102,9 @@
   const auto max_connections = max_client_connections(config_.sockets);
   const auto max_per_server = fronts_.mysql ? max_connections / 2 : max_connections;
   servers_.push_back(make_jsonrpc_server(max_per_server));
-  runner_.adopt(loaded);
+  runner_.install(loaded);
   if (fronts_.directory)
-    directory_ = std::make_unique<directory::Ldap>(loop_, *fronts_.directory, config_.names);
+    directory_ = std::make_unique<directory::LdapDirectory>(loop_, *fronts_.directory, config_.names);
   if (fronts_.mysql) servers_.push_back(make_mysql_server(max_per_server));
 }
 
--- a/src/app/configuration_reload.hpp
+++ b/src/app/configuration_reload.hpp
@@ -16,9 +16,9 @@
   std::string fronts_file;  // the operator's own; may be empty
   // Of the start, to tell which fields have changed that need a restart. Must outlive the read.
   const config::Config* running_config = nullptr;
-  const config::Fronts* running_fronts = nullptr;
-  config::Names names;                        // that the files may refer to
-  std::shared_ptr<const hooks::Words> words;  // that hooks may refer to
+  const config::OperatorConfig* running_fronts = nullptr;
+  config::Names names;                               // that the files may refer to
+  std::shared_ptr<const hooks::SettingNames> words;  // that hooks may refer to
 };
 
 struct ReloadedConfiguration {
--- a/src/app/control_client.cpp
+++ b/src/app/control_client.cpp
@@ -153,7 +153,7 @@
   impl_->disconnect();
 }
 
-void ControlClient::applied(const control::Version& version, const std::string& reason) {
+void ControlClient::report_apply_result(const control::Version& version, const std::string& reason) {
   if (reason.empty()) impl_->writer.persist(version);
   if (impl_->stopped) return;
   impl_->decide([&](auto& effects) {
--- a/src/app/control_client.hpp
+++ b/src/app/control_client.hpp
@@ -31,7 +31,7 @@
   void settle();              // once in each turn of the loop
   void stop();                // disconnects for good
   // What became of a version. An empty reason: it is active, and is persisted as soon as the disk takes it.
-  void applied(const control::Version& version, const std::string& reason);
+  void report_apply_result(const control::Version& version, const std::string& rejection_reason);
 
   // Of the version in the file, durably.
   [[nodiscard]] const control::VersionId& persisted() const;
--- a/src/app/control_node.cpp
+++ b/src/app/control_node.cpp
@@ -79,7 +79,7 @@
   terminate_.start(SIGTERM);
   interrupt_.start(SIGINT);
   hangup_.start(SIGHUP);
-  let_signals_through({SIGHUP, SIGTERM, SIGINT});
+  unblock_signals({SIGHUP, SIGTERM, SIGINT});
   log("listening on " + find(name_)->address);
   tick_.start(0, std::chrono::duration<double>(kTickInterval).count());
   prepare_.start();
@@ -97,7 +97,7 @@
   out.fleet = config_.fleet;
   out.name = name_;
   out.region = find(name_)->region;
-  out.term = {config_.epoch, config_.writer};
+  out.term = {config_.epoch, config_.leader};
   out.validate = [classes = config_.classes](const std::string& text) {
     return check_document(text, kDocumentName, classes);
   };
@@ -229,7 +229,7 @@
 }
 
 int run_control_node(const std::string& file, const std::string& node) {
-  hold_signals({SIGHUP, SIGTERM, SIGINT});  // ControlNode::run() lets them through
+  block_signals({SIGHUP, SIGTERM, SIGINT});  // ControlNode::run() lets them through
   log::start();
   try {
     auto config = config::read_control(config::read_file(file, "operator's file"), file, node);
--- a/src/app/hook_case_runner.cpp
+++ b/src/app/hook_case_runner.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-HookCaseRunner::HookCaseRunner(hooks::Loaded loaded, hooks::Words names)
+HookCaseRunner::HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names)
     : control_(loaded.set), names_(std::move(names)) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
@@ -47,17 +47,17 @@
   now_ += read_milliseconds(test_case, "after", 1000);
   calls_ = json::array();
   json out{{"pass", "untouched"}};
-  if (control_.enter(now_, 1, std::move(subject), statement_of(request))) {
-    while (control_.passed.empty()) step();
-    out = outcome_of(std::exchange(control_.passed, {}).front());
+  if (control_.submit(now_, 1, std::move(subject), statement_of(request))) {
+    while (control_.completions.empty()) step();
+    out = outcome_of(std::exchange(control_.completions, {}).front());
   }
-  while (!control_.commands.empty() || !control_.said.empty()) step();
+  while (!control_.commands.empty() || !control_.log_lines.empty()) step();
   out["calls"] = calls_;
   return out;
 }
 
-hooks::Subject HookCaseRunner::read_request(const json& request) const {
-  hooks::Subject subject;
+hooks::RequestView HookCaseRunner::read_request(const json& request) const {
+  hooks::RequestView subject;
   subject.cls = index_of(names_.classes, request.value("class", first_of(names_.classes)), "class");
   subject.tenant = index_of(names_.tenants, request.value("tenant", first_of(names_.tenants)), "tenant");
   subject.front =
@@ -71,7 +71,7 @@
   return subject;
 }
 
-json HookCaseRunner::outcome_of(const hooks::Passed& passed) const {
+json HookCaseRunner::outcome_of(const hooks::HookCompletion& passed) const {
   json out{{"pass", passed.refused ? "refused" : "taken"},
            {"tags", passed.subject.tags},
            {"ram", passed.subject.ram},
@@ -85,7 +85,7 @@
 }
 
 void HookCaseRunner::step() {
-  control_.turn(now_);
+  control_.begin_turn(now_);
   control_.dispatch(now_);
   if (control_.commands.empty()) {
     now_ = std::max(now_ + kBudgetStep, control_.due(now_).value_or(now_));
@@ -93,10 +93,10 @@
   }
   for (auto& command : std::exchange(control_.commands, {}))
     std::visit([this](const auto& each) { execute(each); }, command);
-  control_.said.clear();
+  control_.log_lines.clear();
 }
 
-void HookCaseRunner::execute(const hooks::Run& run) {
+void HookCaseRunner::execute(const hooks::RunSlice& run) {
   auto& hook = hooks_.at(run.hook);
   auto result = hook.machine->run(run);
   auto& call = call_report(run.job, hook.spec.name);
@@ -104,22 +104,24 @@
   call["instructions"] = call["instructions"].get<std::uint64_t>() + result.instructions;
   call["slices"] = call["slices"].get<int>() + 1;
   call["memory"] = std::max(call["memory"].get<std::size_t>(), hook.machine->memory_peak());
-  if (result.how == hooks::Ran::How::failed)
+  if (result.outcome == hooks::SliceResult::Outcome::failed)
     call["failed"] = std::string(hooks::name(result.failure)) + ": " + result.text;
-  for (const auto& line : result.said) call["said"].push_back(line);
-  control_.ran(now_, std::move(result));
+  for (const auto& line : result.log_lines) call["said"].push_back(line);
+  control_.on_slice_result(now_, std::move(result));
 }
 
-void HookCaseRunner::execute(const hooks::Drop& drop) {
+void HookCaseRunner::execute(const hooks::AbortCall& drop) {
   auto& hook = hooks_.at(drop.hook);
   hook.machine->abort(drop.job);
   call_report(drop.job, hook.spec.name)["failed"] = "it was cut off";
 }
 
 // No machine is made: the old one goes on.
-void HookCaseRunner::execute(const hooks::Renew& renew) { control_.renewed(now_, {renew.hook, {}}); }
+void HookCaseRunner::execute(const hooks::RenewMachine& renew) {
+  control_.on_machine_renewed(now_, {renew.hook, {}});
+}
 
-void HookCaseRunner::execute(const hooks::Retire&) {}  // the hooks never change here
+void HookCaseRunner::execute(const hooks::RetireMachine&) {}  // the hooks never change here
 
 json& HookCaseRunner::call_report(hooks::JobId job, const std::string& hook) {
   for (auto& call : calls_) {
--- a/src/app/hook_case_runner.hpp
+++ b/src/app/hook_case_runner.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "hooks/control.hpp"
+#include "hooks/hook_scheduler.hpp"
 #include "hooks/load.hpp"
 
 namespace bellstair::app {
@@ -18,7 +18,7 @@
 // the cases' "after" and where the budget of CPU time is spent.
 class HookCaseRunner {
  public:
-  HookCaseRunner(hooks::Loaded loaded, hooks::Words names);
+  HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names);
 
   // The outcome, with all calls under "calls". Throws std::runtime_error or a JSON error at a bad case.
   [[nodiscard]] nlohmann::json run(const nlohmann::json& test_case);
@@ -30,17 +30,17 @@
     std::unique_ptr<hooks::Machine> machine;
   };
 
-  [[nodiscard]] hooks::Subject read_request(const nlohmann::json& request) const;
-  [[nodiscard]] nlohmann::json outcome_of(const hooks::Passed& passed) const;
+  [[nodiscard]] hooks::RequestView read_request(const nlohmann::json& request) const;
+  [[nodiscard]] nlohmann::json outcome_of(const hooks::HookCompletion& passed) const;
   void step();
-  void execute(const hooks::Run& run);
-  void execute(const hooks::Drop& drop);
-  void execute(const hooks::Renew& renew);
-  void execute(const hooks::Retire& retire);
+  void execute(const hooks::RunSlice& run);
+  void execute(const hooks::AbortCall& drop);
+  void execute(const hooks::RenewMachine& renew);
+  void execute(const hooks::RetireMachine& retire);
   [[nodiscard]] nlohmann::json& call_report(hooks::JobId job, const std::string& hook);
 
-  hooks::Control control_;
-  hooks::Words names_;
+  hooks::HookScheduler control_;
+  hooks::SettingNames names_;
   std::unordered_map<hooks::HookId, LoadedHook> hooks_;
   hooks::Time now_ = std::chrono::system_clock::now().time_since_epoch();
   nlohmann::json calls_;  // of the case
--- a/src/app/hook_tool.cpp
+++ b/src/app/hook_tool.cpp
@@ -25,7 +25,7 @@
 // The names that hooks and cases may use: to positions, and back.
 struct KnownNames {
   config::Names indexes;
-  hooks::Words names;
+  hooks::SettingNames names;
 };
 
 std::vector<Case> read_cases(const std::string& path) {
@@ -44,7 +44,7 @@
 
 KnownNames names_of_config(const std::string& path) {
   const auto config = config::parse(config::read_file(path, "configuration"));
-  return {config.names, words_of(config)};
+  return {config.names, names_of(config)};
 }
 
 // Adds a name to both directions, at the next position, unless it is empty or known.
--- a/src/app/last_version.hpp
+++ b/src/app/last_version.hpp
@@ -15,7 +15,7 @@
 
 enum class LastVersionFault {
   io,
-  damaged,  // and renamed, where that could be done
+  damaged,  // or of another fleet; renamed, where that could be done
 };
 using LastVersionError = CodedError<LastVersionFault>;
 
--- a/src/app/signals.hpp
+++ b/src/app/signals.hpp
@@ -14,12 +14,12 @@
 }
 
 // Of this thread, and of those that it starts.
-inline void hold_signals(std::initializer_list<int> signals) {
+inline void block_signals(std::initializer_list<int> signals) {
   const auto held = signal_set(signals);
   sigprocmask(SIG_BLOCK, &held, nullptr);
 }
 
-inline void let_signals_through(std::initializer_list<int> signals) {
+inline void unblock_signals(std::initializer_list<int> signals) {
   const auto heeded = signal_set(signals);
   sigprocmask(SIG_UNBLOCK, &heeded, nullptr);
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -149,7 +149,7 @@
     const auto found = ceilings.find(key);
     return found == ceilings.end() ? fallback : core::Time(static_cast<std::int64_t>(integer(*found, key)));
   };
-  out.dial_timeout = time_or("dial-timeout", 250ms);
+  out.connect_timeout = time_or("dial-timeout", 250ms);
   out.idle_close = time_or("idle-close", 30s);
 }
 
@@ -176,9 +176,9 @@
   parse_settings(settings, out);
   parse_timeouts(settings, out);
   for (const char* field : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"})
-    out.fixed[field] = all.value(field, json()).dump(-1, ' ', false, json::error_handler_t::replace);
+    out.restart_only[field] = all.value(field, json()).dump(-1, ' ', false, json::error_handler_t::replace);
   if (const auto known = all.find("known"); known != all.end() && !known->is_null())
-    out.known = parse_changes(*known, out.names);
+    out.initial_changes = parse_changes(*known, out.names);
   return out;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -38,11 +38,11 @@
   std::vector<std::string> peers;
   std::uint64_t seed = 0;
   std::size_t sockets = 1024, memory_mb = 192;
-  core::Time dial_timeout{}, idle_close{};
+  core::Time connect_timeout{}, idle_close{};
   policy::Settings settings;
   Names names;
-  Changes known;
-  std::map<std::string, std::string> fixed;  // what needs a restart to change, as text, by field
+  Changes initial_changes;
+  std::map<std::string, std::string> restart_only;  // what needs a restart to change, as text, by field
 };
 
 // Reads the file at `path`; throws Invalid, also where there is none.
--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -24,9 +24,10 @@
   return std::nullopt;
 }
 
-std::string read_name(Reader& in, const char* field, std::optional<std::string> fallback = std::nullopt) {
+std::string read_name(Reader& in, const char* field,
+                      const std::optional<std::string>& fallback = std::nullopt) {
   const bool given = in.has(field);
-  auto out = in.text(field, std::move(fallback));
+  auto out = in.text(field, fallback);
   if (const auto error = name_error(out); given && error) in.wrong(field, *error);
   return out;
 }
@@ -102,8 +103,8 @@
   if (control.nodes.empty()) in.wrong("", "names no node");
   if (control.nodes.size() > kMaxControlNodes)
     in.wrong("node", "there are more than " + std::to_string(kMaxControlNodes));
-  if (!control.writer.empty() && !control.nodes.empty() && !names.contains(control.writer))
-    in.wrong("writer", unknown_node(control.writer, names));
+  if (!control.leader.empty() && !control.nodes.empty() && !names.contains(control.leader))
+    in.wrong("writer", unknown_node(control.leader, names));
   if (reader && !names.contains(*reader)) in.wrong("", unknown_node(*reader, names));
 }
 
@@ -113,7 +114,7 @@
   Control out;
   out.fleet = read_name(in, "fleet");
   out.epoch = read_epoch(in);
-  out.writer = read_name(in, "writer");
+  out.leader = read_name(in, "writer");
   out.region = read_name(in, "region", "");
   out.last = read_path(in, "last", file);
   out.classes = read_classes(in);
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -32,7 +32,7 @@
 
 struct Control {
   std::string fleet;
-  std::string writer;  // the leader's name
+  std::string leader;  // the leader's name
   std::string region;  // of the broker that reads the file
   std::string last;    // path of the broker's last version; empty: it is not persisted
   std::uint64_t epoch = 0;
@@ -43,8 +43,9 @@
 
 inline constexpr std::size_t kMaxControlNodes = 64;
 
-// The block as a part of the operator's file (parse_fronts). Relative paths are relative to the directory of
-// `file`. `node`: the control node that reads it, which needs its store and the classes. Mistakes go to `in`.
+// The block as a part of the operator's file (parse_operator_config). Relative paths are relative to the
+// directory of `file`. `node`: the control node that reads it, which needs its store and the classes.
+// Mistakes go to `in`.
 [[nodiscard]] Control parse_control(hcl::Reader& in, const std::string& file,
                                     const std::optional<std::string>& node = std::nullopt);
 // The block alone; the rest of the file is ignored. Throws hcl::Invalid, also where there is no such block.
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -183,11 +183,11 @@
 
 }  // namespace
 
-Fronts parse_fronts(std::string_view text, const std::string& file, const Names& names) {
+OperatorConfig parse_operator_config(std::string_view text, const std::string& file, const Names& names) {
   const auto body = hcl::parse(text, file);
   std::vector<hcl::Problem> problems;
   Reader top(body, "", problems);
-  Fronts out;
+  OperatorConfig out;
   if (auto directory = top.block("directory")) out.directory = parse_directory(directory->reader);
   if (auto mysql = top.block("mysql"))
     out.mysql = parse_mysql(mysql->reader, names, out.directory.has_value());
--- a/src/config/fronts.hpp
+++ b/src/config/fronts.hpp
@@ -30,7 +30,7 @@
   core::Time timeout{}, cache{};
   bool operator==(const Directory&) const = default;
 };
-struct Fronts {
+struct OperatorConfig {
   std::optional<MysqlFront> mysql;
   std::optional<MysqlEngines> mysql_engines;
   std::optional<Directory> directory;
@@ -42,7 +42,8 @@
 inline const std::vector<std::string> kFrontNames{"platform", "mysql"};
 
 // Secrets are named by the environment variable that holds them. Throws hcl::Invalid, with all that is wrong.
-[[nodiscard]] Fronts parse_fronts(std::string_view text, const std::string& file, const Names& names);
+[[nodiscard]] OperatorConfig parse_operator_config(std::string_view text, const std::string& file,
+                                                   const Names& names);
 
 // Only what is about hooks. `open`: classes and tenants that `names` does not hold are added to it.
 [[nodiscard]] hooks::Set parse_hooks(std::string_view text, const std::string& file, Names& names, bool open);
--- a/src/control/store.cpp
+++ b/src/control/store.cpp
@@ -18,6 +18,7 @@
 constexpr int kApplicationId = 0x42535452;  // "BSTR", in the file's header
 constexpr int kSchemaVersion = 1;
 
+// Stored names are older than the code's: reign is a LeaderTerm, writer its leader.
 constexpr const char* kSchema = R"(
   CREATE TABLE fleet (name TEXT NOT NULL);
   CREATE TABLE reign (epoch INTEGER NOT NULL, writer TEXT NOT NULL, digest TEXT NOT NULL);
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -28,12 +28,13 @@
   std::uint64_t taken = 0;  // requests admitted
   std::uint64_t cancelled = 0;
   std::uint64_t half_closed = 0;
-  std::uint64_t stalls = 0;                                  // ProcessStalled events
-  std::array<std::uint64_t, kAnswerKinds> answered{};        // by AnswerKind
-  std::array<std::uint64_t, kGuardDecisions> turned_down{};  // requests not admitted
-  std::array<std::uint64_t, kGuardDecisions> withheld{};     // attempts not started or not transmitted
-  std::array<std::uint64_t, kAttemptEnds> attempts{};        // by AttemptEnd
-  std::array<std::uint64_t, kUnservedReasons> unserved{};    // rejected or failed by the scheduler
+  std::uint64_t stalls = 0;                            // ProcessStalled events
+  std::array<std::uint64_t, kAnswerKinds> answered{};  // by AnswerKind
+  std::array<std::uint64_t, kGuardDecisions>
+      turned_down{};  // not admitted by the guard; hooks' rejections are only in `answered`
+  std::array<std::uint64_t, kGuardDecisions> withheld{};   // attempts not started or not transmitted
+  std::array<std::uint64_t, kAttemptEnds> attempts{};      // by AttemptEnd
+  std::array<std::uint64_t, kUnservedReasons> unserved{};  // rejected or failed by the scheduler
   std::array<std::uint64_t, kViolations> violations{};
 
   [[nodiscard]] std::uint64_t total_violations() const;
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -138,10 +138,10 @@
   std::shared_ptr<const void> names;  // opaque; handed back in SettingsApplied
 };
 struct HookRan {
-  hooks::Ran ran;
+  hooks::SliceResult ran;
 };
 struct HookRenewed {
-  hooks::Renewed renewed;
+  hooks::MachineRenewed renewed;
 };
 struct HooksTurn {};  // an iteration of the event loop in which waiting hook calls may continue
 struct Tick {
@@ -171,10 +171,10 @@
 struct Transmit {  // on the attempt's connection; its first byte may leave now
   AttemptId id;
   ClassIndex cls = 0;
-  Time wait{};           // until the attempt expires
+  Time timeout{};        // until the attempt expires
   double memory_mb = 0;  // to be reserved
   std::uint8_t priority = 1;
-  std::string ticket, nonce, body, parameters;
+  std::string ticket, idempotency_key, body, parameters;
 };
 struct CancelAttempt {  // it still ends with an AttemptEnded
   AttemptId id;
@@ -214,10 +214,10 @@
   std::uint64_t epoch = 0, number = 0;
   std::string problem;
 };
-using RunHook = hooks::Run;  // then post HookRan, before any other hook event
-using DropHook = hooks::Drop;
-using RenewHook = hooks::Renew;  // then post HookRenewed
-using RetireHook = hooks::Retire;
+using RunHook = hooks::RunSlice;  // then post HookRan, before any other hook event
+using DropHook = hooks::AbortCall;
+using RenewHook = hooks::RenewMachine;  // then post HookRenewed
+using RetireHook = hooks::RetireMachine;
 struct CloseClientConnections {};  // each one once all of its requests are answered
 struct Exit {};
 
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -22,7 +22,7 @@
     return GuardDecision::engine_not_ready;
   if (now >= start.expires_at) return GuardDecision::attempt_expired;
   for (const auto& prior : start.prior) {
-    if (!repeat_allowed(cls, prior.attempt, *start.endpoint, now, kDeduplicationMargin))
+    if (!retry_allowed(cls, prior.attempt, *start.endpoint, now, kDeduplicationMargin))
       return GuardDecision::retry_forbidden;
     if (prior.may_be_running && !settings_.hedging) return GuardDecision::hedging_forbidden;
   }
@@ -37,7 +37,7 @@
 }
 
 bool Guard::may_reject(ClassIndex cls, bool never_ran) const {
-  return policy::refusal_allowed(settings_.classes[cls], never_ran);
+  return policy::rejection_allowed(settings_.classes[cls], never_ran);
 }
 
 bool Guard::key_in_use(std::uint64_t ordering_key, RequestId request, Time now) const {
--- a/src/core/guard.hpp
+++ b/src/core/guard.hpp
@@ -17,25 +17,21 @@
 namespace bellstair::core {
 
 // The rules of admission, in their order:
-//
-// | decision          | input                          | limit                      | reason |
-// | shutting_down     | phase                          | before Phase::stopping     | it could not be
-// finished | | too_many_requests | unanswered requests            | max_open_requests; 0: none | operators'
-// limit | | memory_exhausted  | bytes held by all requests     | the broker's limit         | an OOM kill
-// loses all | | ticket_in_use     | tickets of requests held       | each once                  | engines key
-// queries by it |
+// | decision          | input                        | limit                      | reason                      |
+// | shutting_down     | phase                        | before Phase::stopping     | it could not be finished    |
+// | too_many_requests | unanswered requests          | max_open_requests; 0: none | the operators' limit        |
+// | memory_exhausted  | bytes held by all requests   | the broker's limit, bytes  | an OOM kill would lose all  |
+// | ticket_in_use     | tickets of requests held     | each once                  | engines key queries by it   |
 //
 // The rules on starting an attempt, and once more on transmitting its first byte, in their order:
-//
-// | decision            | input                        | limit                      | reason |
-// | already_answered    | the request                  |                            | nobody waits for it |
-// | client_disconnected | the client's connection      |                            | nobody may wait for it
-// | | engine_not_ready    | endpoint state               | ready                      | no new work while it
-// drains | | attempt_expired     | now                          | expires_at                 | its result
-// would come too late | | retry_forbidden     | earlier attempts, class      | policy::retry_rules        |
-// not to run twice | | hedging_forbidden   | earlier attempts             | settings' hedging          | one
-// attempt at a time | | ordering_key_in_use | attempts of the ordering key | one request at a time      |
-// requests of a key run in order |
+// | decision            | input                        | limit               | reason                           |
+// | already_answered    | the request                  |                     | nobody waits for it              |
+// | client_disconnected | the client's connection      |                     | nobody may wait for it           |
+// | engine_not_ready    | endpoint state               | ready               | no new work while it drains      |
+// | attempt_expired     | now                          | expires_at          | its result would come too late   |
+// | retry_forbidden     | earlier attempts, class      | policy::retry_rules | it must not run twice            |
+// | hedging_forbidden   | earlier attempts             | settings' hedging   | one attempt at a time            |
+// | ordering_key_in_use | attempts of the ordering key | one request         | requests of a key run in order   |
 class Guard {
  public:
   // `settings`: those in force; they are replaced in place.
--- a/src/core/hook_stage.cpp
+++ b/src/core/hook_stage.cpp
@@ -6,8 +6,8 @@
 namespace bellstair::core {
 namespace {
 // What hooks of all phases see of a request.
-hooks::Subject subject_of(const Submission& submission) {
-  hooks::Subject subject;
+hooks::RequestView subject_of(const Submission& submission) {
+  hooks::RequestView subject;
   subject.cls = submission.cls;
   subject.tenant = submission.tenant;
   subject.front = static_cast<std::uint8_t>(submission.front);
@@ -36,7 +36,7 @@
   subject.ram = submission.estimated_memory_mb;
   subject.group = submission.data_group;
   subject.second = submission.is_client_retry;
-  return control_.enter(context_.now(), id, std::move(subject), submission.body);
+  return control_.submit(context_.now(), id, std::move(subject), submission.body);
 }
 
 bool HookStage::is_ordered(const Submission& submission) const {
@@ -58,7 +58,7 @@
   scheduler_.notify(arrival);
 }
 
-void HookStage::pass(RequestId id, Request& request, const hooks::Subject& subject) {
+void HookStage::pass(RequestId id, Request& request, const hooks::RequestView& subject) {
   auto& submission = request.submission;
   submission.estimated_work = subject.cpu;
   submission.estimated_memory_mb = subject.ram;
@@ -70,7 +70,7 @@
 
 void HookStage::leave(RequestId id, Request& request) {
   if (request.stage == RequestStage::scheduler) return;
-  if (request.stage == RequestStage::hooks) control_.leave(id);
+  if (request.stage == RequestStage::hooks) control_.cancel(id);
   request.stage = RequestStage::scheduler;
   if (is_ordered(request.submission)) ordering_queues_.remove(request.submission.ordering_key, id);
 }
@@ -83,7 +83,7 @@
   subject.duration = context_.now() - request.received_at;
   subject.later = retry_after;
   subject.attempts = request.attempts.size();
-  control_.told(context_.now(), subject, request.submission.body);
+  control_.notify_answer(context_.now(), subject, request.submission.body);
 }
 
 void HookStage::advance_ordering_queues() {
@@ -102,8 +102,8 @@
   for (auto& command : control_.commands)
     std::visit([this](auto& effect) { context_.put(std::move(effect)); }, command);
   control_.commands.clear();
-  for (auto& line : control_.said) context_.log(std::move(line));
-  control_.said.clear();
+  for (auto& line : control_.log_lines) context_.log(std::move(line));
+  control_.log_lines.clear();
 }
 
 }  // namespace bellstair::core
--- a/src/core/hook_stage.hpp
+++ b/src/core/hook_stage.hpp
@@ -9,7 +9,7 @@
 #include "core/request_table.hpp"
 #include "core/scheduler_driver.hpp"
 #include "core/step_context.hpp"
-#include "hooks/control.hpp"
+#include "hooks/hook_scheduler.hpp"
 
 namespace bellstair::core {
 
@@ -27,25 +27,29 @@
   // A new request: it waits for its hooks or in its ordering queue, or the scheduler is notified of it.
   void enter(RequestId id, Request& request);
   // Its hooks have ended, and `subject` is what they have made of it.
-  void pass(RequestId id, Request& request, const hooks::Subject& subject);
+  void pass(RequestId id, Request& request, const hooks::RequestView& subject);
   // It is answered, wherever it waits: those behind it need not wait for it any more.
   void leave(RequestId id, Request& request);
   // Calls the hooks of phase "answer".
   void notify_answered(const Request& request, AnswerKind kind, Time retry_after);
 
-  void hook_ran(hooks::Ran ran) { control_.ran(context_.now(), std::move(ran)); }
-  void hook_renewed(const hooks::Renewed& renewed) { control_.renewed(context_.now(), renewed); }
-  void begin_turn() { control_.turn(context_.now()); }
+  void hook_ran(hooks::SliceResult ran) { control_.on_slice_result(context_.now(), std::move(ran)); }
+  void hook_renewed(const hooks::MachineRenewed& renewed) {
+    control_.on_machine_renewed(context_.now(), renewed);
+  }
+  void begin_turn() { control_.begin_turn(context_.now()); }
   void tick() { control_.tick(context_.now()); }
   void install(hooks::Set hooks) { control_.install(context_.now(), std::move(hooks)); }
 
   // At the end of each step: while has_progress(), take_passed() is to be dealt with and
   // advance_ordering_queues() called; then dispatch().
-  [[nodiscard]] bool idle() const { return control_.quiet() && !ordering_queues_.has_changed(); }
+  [[nodiscard]] bool idle() const { return control_.is_idle() && !ordering_queues_.has_changed(); }
   [[nodiscard]] bool has_progress() const {
-    return !control_.passed.empty() || ordering_queues_.has_changed();
+    return !control_.completions.empty() || ordering_queues_.has_changed();
+  }
+  [[nodiscard]] std::vector<hooks::HookCompletion> take_passed() {
+    return std::exchange(control_.completions, {});
   }
-  [[nodiscard]] std::vector<hooks::Passed> take_passed() { return std::exchange(control_.passed, {}); }
   void advance_ordering_queues();
   // Starts further hook calls, as far as their budget allows now.
   void dispatch();
@@ -64,7 +68,7 @@
   RequestTable& requests_;
   SchedulerDriver& scheduler_;
   const policy::Settings& settings_;
-  hooks::Control control_;
+  hooks::HookScheduler control_;
   OrderingQueues ordering_queues_;
 };
 
--- a/src/core/lifecycle.hpp
+++ b/src/core/lifecycle.hpp
@@ -26,19 +26,21 @@
   return "?";
 }
 
-// starting -> serving: the fronts listen and a ready engine is known.
+// Longest shutdown: min(longest deadline, 3 s) + 0.3 s of draining, then 0.3 s of stopping.
+//
+// starting -> serving: the servers listen and a ready engine is known.
 // starting, serving -> draining: a shutdown is requested. New requests are still served.
 // draining -> stopping: clients have had time to see it, and every request is answered.
 // stopping -> exited: everything is written, or kFlushTimeout has passed.
 class Lifecycle {
  public:
-  // After a shutdown request, new connections and requests may still come for 0.7 s.
+  // Draining lasts at least this long: new connections and requests may come for 0.7 s after the signal.
   static constexpr Time kMinDrain = std::chrono::milliseconds(800);
   // The platform kills the program after the longest deadline, counted as at most kMaxDeadline, and
   // kKillGrace.
   static constexpr Time kMaxDeadline = std::chrono::seconds(3);
   static constexpr Time kKillGrace = std::chrono::milliseconds(700);
-  // Unanswered requests are given up so long before, for clients to hear of it and retry elsewhere.
+  // Unanswered requests are given up this long before the kill, so that clients can retry elsewhere.
   static constexpr Time kKillMargin = std::chrono::milliseconds(400);
   static constexpr Time kFlushTimeout = std::chrono::milliseconds(300);
 
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -58,7 +58,7 @@
   hook_stage_.dispatch();
 }
 
-void Reducer::finish_hooks(hooks::Passed& passed) {
+void Reducer::finish_hooks(hooks::HookCompletion& passed) {
   auto* request = requests_.find(passed.owner);
   if (request == nullptr || request->answered) return;
   request->tags = std::move(passed.subject.tags);
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -91,7 +91,7 @@
 
   void call_scheduler();
   void settle_hooks();
-  void finish_hooks(hooks::Passed& passed);
+  void finish_hooks(hooks::HookCompletion& passed);
   void handle_timer(const Timer& timer);
   void time_out(RequestId id);
   void give_up(RequestId id, Request& request);
--- a/src/core/responder.hpp
+++ b/src/core/responder.hpp
@@ -25,7 +25,7 @@
         settings_(settings),
         tagged_log_(context, settings) {}
 
-  // A submission that is not admitted, and has no place in the table.
+  // Answers a submission that was not admitted: rejected, or failed if its ticket is in use.
   void deny_admission(const Submission& submission, GuardDecision decision);
 
   void serve(RequestId id, Request& request, std::string body, std::string shape);
--- a/src/core/timers.hpp
+++ b/src/core/timers.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 
 #include "core/events.hpp"
-#include "core/wheel.hpp"
+#include "core/timer_wheel.hpp"
 
 namespace bellstair::core {
 
--- a/src/directory/ldap.cpp
+++ b/src/directory/ldap_directory.cpp
@@ -1,4 +1,4 @@
-#include "directory/ldap.hpp"
+#include "directory/ldap_directory.hpp"
 
 // libldap on a socket of our own making (openldap.h), so that neither connecting nor waiting blocks.
 #include <ldap.h>
@@ -40,11 +40,11 @@
 }
 
 // The lookup of one user over one connection: bind as the service, search, bind as the user.
-class Ldap::UserLookup {
+class LdapDirectory::UserLookup {
  public:
   enum class Stage { connecting, service_bind, search, user_bind };
 
-  UserLookup(Ldap& owner, std::string user, std::string password, Done done)
+  UserLookup(LdapDirectory& owner, std::string user, std::string password, Done done)
       : owner_(owner),
         user_(std::move(user)),
         password_(std::move(password)),
@@ -78,10 +78,10 @@
   Done take_done() { return std::exchange(done_, {}); }
 
  private:
-  void finish(Verdict::Kind kind, std::string tenant = {}) {
+  void finish(LookupResult::Kind kind, std::string tenant = {}) {
     owner_.answer(*this, {kind, std::move(tenant)});
   }
-  void finish_unavailable() { finish(Verdict::Kind::unavailable); }
+  void finish_unavailable() { finish(LookupResult::Kind::unavailable); }
 
   void on_io(int) {
     if (stage_ == Stage::connecting) return on_connected();
@@ -102,8 +102,8 @@
       case Stage::search:
         return code == LDAP_SUCCESS ? on_entry(raw) : finish_unavailable();
       case Stage::user_bind:
-        if (code == LDAP_SUCCESS) return finish(Verdict::Kind::granted, tenant_);
-        return code == LDAP_INVALID_CREDENTIALS ? finish(Verdict::Kind::denied) : finish_unavailable();
+        if (code == LDAP_SUCCESS) return finish(LookupResult::Kind::granted, tenant_);
+        return code == LDAP_INVALID_CREDENTIALS ? finish(LookupResult::Kind::denied) : finish_unavailable();
     }
   }
 
@@ -143,19 +143,19 @@
 
   // An entry that is not the only one grants nothing.
   void on_entry(LDAPMessage* message) {
-    if (ldap_count_entries(ldap_, message) != 1) return finish(Verdict::Kind::denied);
+    if (ldap_count_entries(ldap_, message) != 1) return finish(LookupResult::Kind::denied);
     LDAPMessage* entry = ldap_first_entry(ldap_, message);
     const std::unique_ptr<char, void (*)(void*)> dn(ldap_get_dn(ldap_, entry), ldap_memfree);
     const std::unique_ptr<berval*, void (*)(berval**)> values(
         ldap_get_values_len(ldap_, entry, owner_.config_.tenant_attribute.c_str()), ldap_value_free_len);
-    if (!dn || !values || values.get()[0] == nullptr) return finish(Verdict::Kind::denied);
+    if (!dn || !values || values.get()[0] == nullptr) return finish(LookupResult::Kind::denied);
     const auto* first = values.get()[0];
     tenant_.assign(first->bv_val, first->bv_len);
-    if (!owner_.names_.tenants.contains(tenant_)) return finish(Verdict::Kind::denied);
+    if (!owner_.names_.tenants.contains(tenant_)) return finish(LookupResult::Kind::denied);
     bind(dn.get(), password_, Stage::user_bind);
   }
 
-  Ldap& owner_;
+  LdapDirectory& owner_;
   std::string user_, password_;
   Done done_;
   core::Time deadline_;
@@ -167,17 +167,17 @@
   std::string tenant_;
 };
 
-Ldap::Ldap(ev::loop_ref loop, const config::Directory& config, const config::Names& names)
+LdapDirectory::LdapDirectory(ev::loop_ref loop, const config::Directory& config, const config::Names& names)
     : loop_(loop), config_(config), names_(names), salt_(32, '\0') {
   RAND_bytes(reinterpret_cast<unsigned char*>(salt_.data()), static_cast<int>(salt_.size()));
   // The library reads its own files at its first use: before anything is served.
   ldap_set_option(nullptr, LDAP_OPT_REFERRALS, LDAP_OPT_OFF);
 }
 
-Ldap::~Ldap() = default;
+LdapDirectory::~LdapDirectory() = default;
 
 // Passwords are not cached, only a salted digest.
-std::string Ldap::key(const std::string& user, const std::string& password) const {
+std::string LdapDirectory::key(const std::string& user, const std::string& password) const {
   const auto text = salt_ + std::to_string(user.size()) + ":" + user + password;
   std::array<unsigned char, EVP_MAX_MD_SIZE> out{};
   unsigned size = 0;
@@ -185,37 +185,37 @@
   return {reinterpret_cast<const char*>(out.data()), size};
 }
 
-void Ldap::look_up(const std::string& user, const std::string& password, Done done) {
+void LdapDirectory::look_up(const std::string& user, const std::string& password, Done done) {
   // A bind with a name and no password is one as nobody (RFC 4513, 5.1.2), and always succeeds.
-  if (user.empty() || password.empty()) return done({Verdict::Kind::denied, {}});
+  if (user.empty() || password.empty()) return done({LookupResult::Kind::denied, {}});
   if (const auto found = cache_.find(key(user, password));
       found != cache_.end() && now_ < found->second.until)
     return done(found->second.verdict);
-  if (lookups_.size() >= kMaxConcurrentLookups) return done({Verdict::Kind::unavailable, {}});
+  if (lookups_.size() >= kMaxConcurrentLookups) return done({LookupResult::Kind::unavailable, {}});
   lookups_.push_back(std::make_unique<UserLookup>(*this, user, password, std::move(done)));
   auto& lookup = *lookups_.back();
-  if (!lookup.start()) answer(lookup, {Verdict::Kind::unavailable, {}});
+  if (!lookup.start()) answer(lookup, {LookupResult::Kind::unavailable, {}});
 }
 
-void Ldap::answer(UserLookup& lookup, const Verdict& verdict) {
+void LdapDirectory::answer(UserLookup& lookup, const LookupResult& verdict) {
   const auto at = std::ranges::find(lookups_, &lookup, &std::unique_ptr<UserLookup>::get);
   if (at == lookups_.end()) return;
   lookup.stop();
   finished_.push_back(std::move(*at));
   lookups_.erase(at);
-  if (verdict.kind == Verdict::Kind::granted) {
+  if (verdict.kind == LookupResult::Kind::granted) {
     if (cache_.size() >= kMaxCachedVerdicts) cache_.clear();
     cache_[key(lookup.user(), lookup.password())] = {verdict, now_ + config_.cache};
   }
   lookup.take_done()(verdict);
 }
 
-void Ldap::tick(core::Time now) {
+void LdapDirectory::tick(core::Time now) {
   now_ = now;
   finished_.clear();
   // In the order of their begin, and so of their deadlines.
   while (!lookups_.empty() && lookups_.front()->deadline() <= now)
-    answer(*lookups_.front(), {Verdict::Kind::unavailable, {}});
+    answer(*lookups_.front(), {LookupResult::Kind::unavailable, {}});
 }
 
 }  // namespace bellstair::directory
--- a/src/directory/ldap.hpp
+++ b/src/directory/ldap_directory.hpp
@@ -12,7 +12,7 @@
 
 #include "config/fronts.hpp"
 #include "core/events.hpp"
-#include "directory/verdict.hpp"
+#include "directory/lookup_result.hpp"
 #include "net/socket.hpp"
 
 namespace bellstair::directory {
@@ -20,10 +20,10 @@
 // Escapes a value by RFC 4515, so that it can't change the meaning of a filter.
 [[nodiscard]] std::string escape_filter(std::string_view value);
 
-class Ldap {
+class LdapDirectory {
  public:
-  Ldap(ev::loop_ref loop, const config::Directory& config, const config::Names& names);
-  ~Ldap();
+  LdapDirectory(ev::loop_ref loop, const config::Directory& config, const config::Names& names);
+  ~LdapDirectory();
 
   // Calls `done` exactly once: from here if the verdict is cached or the directory can't be asked, else from
   // the event loop.
@@ -33,10 +33,10 @@
  private:
   class UserLookup;
   struct CachedVerdict {
-    Verdict verdict;
+    LookupResult verdict;
     core::Time until{};
   };
-  void answer(UserLookup& lookup, const Verdict& verdict);
+  void answer(UserLookup& lookup, const LookupResult& verdict);
   [[nodiscard]] std::string key(const std::string& user, const std::string& password) const;
 
   ev::loop_ref loop_;
--- a/src/directory/verdict.hpp
+++ b/src/directory/lookup_result.hpp
@@ -6,12 +6,12 @@
 
 namespace bellstair::directory {
 
-struct Verdict {
+struct LookupResult {
   enum class Kind { granted, denied, unavailable } kind = Kind::denied;
   std::string tenant;  // its name: positions change with the settings
 };
 // `done` is called exactly once, now or later.
-using Done = std::function<void(Verdict)>;
+using Done = std::function<void(LookupResult)>;
 using Lookup = std::function<void(const std::string& user, const std::string& password, Done done)>;
 
 }  // namespace bellstair::directory
--- a/src/hooks/budget.hpp
+++ b/src/hooks/budget.hpp
@@ -18,10 +18,10 @@
 };
 
 // The limit of the hook that the call has reached, or Failure::none.
-[[nodiscard]] inline Failure exceeded_limit(const Spec& spec, const CallUsage& usage) {
-  if (usage.cpu >= spec.cpu_limit) return Failure::time;
-  if (usage.instructions >= spec.instruction_limit) return Failure::instructions;
-  return Failure::none;
+[[nodiscard]] inline HookFailureKind exceeded_limit(const Spec& spec, const CallUsage& usage) {
+  if (usage.cpu >= spec.cpu_limit) return HookFailureKind::time;
+  if (usage.instructions >= spec.instruction_limit) return HookFailureKind::instructions;
+  return HookFailureKind::none;
 }
 // The duration of the call's next slice: a whole one, or what is left of its CPU time.
 [[nodiscard]] inline Time next_slice(const Spec& spec, const CallUsage& usage) {
--- a/src/hooks/chain.cpp
+++ b/src/hooks/chain.cpp
@@ -9,7 +9,7 @@
   return part.empty() || ::memmem(text.data(), text.size(), part.data(), part.size()) != nullptr;
 }
 
-bool matches(const Match& match, const Subject& subject, std::string_view statement) {
+bool matches(const Match& match, const RequestView& subject, std::string_view statement) {
   const auto one_of = [](const auto& list, auto value) {
     return list.empty() || std::ranges::find(list, value) != list.end();
   };
@@ -22,7 +22,7 @@
   return hooks_[position_];
 }
 
-void Chain::apply(const Verdict& decision, Subject& subject) {
+void Chain::apply(const HookDecision& decision, RequestView& subject) {
   const auto hook = hooks_[position_++];
   if (decision.cpu || decision.ram || decision.second) labelled_by_ = hook;
   if (decision.cpu) subject.cpu = decision.cpu;
@@ -37,7 +37,7 @@
   rejected_by_ = hook;
 }
 
-void Chain::on_failure(const Spec& spec, Failure failure) {
+void Chain::on_failure(const Spec& spec, HookFailureKind failure) {
   const auto hook = hooks_[position_++];
   failures_.push_back({hook, failure});
   if (!spec.reject_on_failure) return;
--- a/src/hooks/chain.hpp
+++ b/src/hooks/chain.hpp
@@ -21,8 +21,8 @@
 
   [[nodiscard]] std::optional<HookId> next() const;  // the hook to call; none at the end of the chain
   // Outcomes of the call of next().
-  void apply(const Verdict& decision, Subject& subject);
-  void on_failure(const Spec& spec, Failure failure);
+  void apply(const HookDecision& decision, RequestView& subject);
+  void on_failure(const Spec& spec, HookFailureKind failure);
 
   // Of a rejection; none if no hook rejects the request.
   [[nodiscard]] const std::optional<Time>& retry_after() const { return retry_after_; }
@@ -31,7 +31,7 @@
   [[nodiscard]] HookId labelled_by() const { return labelled_by_; }  // the last that set a label
   struct HookFailure {
     HookId hook = 0;
-    Failure failure = Failure::none;
+    HookFailureKind failure = HookFailureKind::none;
   };
   [[nodiscard]] const std::vector<HookFailure>& failures() const { return failures_; }
 
@@ -44,7 +44,7 @@
 };
 
 // Whether a hook is for the request. `statement`: as far as hooks see it; the subject need not hold it yet.
-[[nodiscard]] bool matches(const Match& match, const Subject& subject, std::string_view statement);
+[[nodiscard]] bool matches(const Match& match, const RequestView& subject, std::string_view statement);
 // Plain search, in time linear in the text whatever both hold: std::string::find is not.
 [[nodiscard]] bool contains(std::string_view text, std::string_view part);
 
--- a/src/hooks/decision_reader.cpp
+++ b/src/hooks/decision_reader.cpp
@@ -16,9 +16,9 @@
 
 class DecisionReader {
  public:
-  DecisionReader(lua_State* lua, const RequestViewRefs& refs) : lua_(lua), refs_(refs) {}
+  DecisionReader(lua_State* lua, const RequestHandleRefs& refs) : lua_(lua), refs_(refs) {}
 
-  [[nodiscard]] std::string read(Verdict& decision) {
+  [[nodiscard]] std::string read(HookDecision& decision) {
     decision.cpu = read_time(Field::cpu);
     decision.ram = read_number(Field::ram);
     if (const auto second = read_number(Field::second)) decision.second = *second != 0;
@@ -54,7 +54,7 @@
     return Time(static_cast<std::int64_t>(*value * kNanosecondsPerMillisecond));
   }
 
-  void read_tags(Verdict& decision) {
+  void read_tags(HookDecision& decision) {
     push_field(Field::tags);
     if (lua_istable(lua_, -1)) {
       for (std::size_t i = 1; i <= kMaxTags && read_tag(i, decision); ++i) {
@@ -66,7 +66,7 @@
   }
 
   // False at the end of the list on top of the stack.
-  bool read_tag(std::size_t index, Verdict& decision) {
+  bool read_tag(std::size_t index, HookDecision& decision) {
     lua_rawgeti(lua_, -1, static_cast<lua_Integer>(index));
     std::size_t size = 0;
     const char* text = lua_type(lua_, -1) == LUA_TSTRING ? lua_tolstring(lua_, -1, &size) : nullptr;
@@ -79,13 +79,13 @@
   }
 
   lua_State* lua_;
-  const RequestViewRefs& refs_;
+  const RequestHandleRefs& refs_;
   std::string problem_;
 };
 
 }  // namespace
 
-std::string read_decision(lua_State* lua, const RequestViewRefs& refs, Verdict& decision) {
+std::string read_decision(lua_State* lua, const RequestHandleRefs& refs, HookDecision& decision) {
   if (lua_isnil(lua, -1)) return {};
   if (!lua_istable(lua, -1)) return "neither nil nor a table";
   return DecisionReader(lua, refs).read(decision);
--- a/src/hooks/load.cpp
+++ b/src/hooks/load.cpp
@@ -20,7 +20,7 @@
   return out;
 }
 
-Loaded load(Set set, const Words& words) {
+Loaded load(Set set, const SettingNames& words) {
   static std::atomic<HookId> last = 0;
   Loaded out;
   for (auto& spec : set.hooks) {
--- a/src/hooks/load.hpp
+++ b/src/hooks/load.hpp
@@ -19,7 +19,7 @@
   std::vector<std::unique_ptr<Machine>> machines;  // one for each hook of the set
   std::vector<std::string> problems;               // of all hooks; if there are any, nothing is of use
 };
-[[nodiscard]] Loaded load(Set set, const Words& words);
+[[nodiscard]] Loaded load(Set set, const SettingNames& words);
 [[nodiscard]] std::string sha256(const std::string& text);  // hex digits
 
 }  // namespace bellstair::hooks
--- a/src/hooks/lua_sandbox.cpp
+++ b/src/hooks/lua_sandbox.cpp
@@ -7,7 +7,7 @@
 #include "hooks/chain.hpp"
 #include "hooks/lua_prelude.hpp"
 #include "hooks/lua_store_api.hpp"
-#include "hooks/request_view.hpp"
+#include "hooks/request_handle.hpp"
 #include "hooks/script_context.hpp"
 
 namespace bellstair::hooks {
--- a/src/hooks/machine.hpp
+++ b/src/hooks/machine.hpp
@@ -13,15 +13,15 @@
 namespace bellstair::hooks {
 
 // Names by their positions in the settings' lists; scripts see the names.
-struct Words {
+struct SettingNames {
   std::vector<std::string> classes, tenants, fronts;
 };
 
 class Machine {
  public:
   // Loads the script within `load_timeout` of wall time. Null, with `problem` set, if it can't be used.
-  [[nodiscard]] static std::unique_ptr<Machine> make(const Spec& spec, const Words& names, Time load_timeout,
-                                                     std::string& problem);
+  [[nodiscard]] static std::unique_ptr<Machine> make(const Spec& spec, const SettingNames& names,
+                                                     Time load_timeout, std::string& problem);
   ~Machine();
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
@@ -33,9 +33,9 @@
   // For all slices from now on. The store outlives its use.
   void set_store(Store* store);
   // Also for calls that have begun: a position never changes its name while a call is about it.
-  void set_names(std::shared_ptr<const Words> names);
+  void set_names(std::shared_ptr<const SettingNames> names);
   // Begins or resumes the call, for one slice.
-  [[nodiscard]] Ran run(Run run);
+  [[nodiscard]] SliceResult run(RunSlice run);
   // Ends a call that has yielded.
   void abort(JobId job);
 
--- a/src/hooks/request_view.cpp
+++ b/src/hooks/request_handle.cpp
@@ -1,4 +1,4 @@
-#include "hooks/request_view.hpp"
+#include "hooks/request_handle.hpp"
 
 #include <string>
 #include <string_view>
@@ -33,7 +33,7 @@
 
 // The functions below return the number of pushed values: 0 stands for nil.
 
-int push_common_field(lua_State* lua, const Subject& request, Field field) {
+int push_common_field(lua_State* lua, const RequestView& request, Field field) {
   const auto& names = *ScriptContext::of(lua).names;
   switch (field) {
     case Field::request_class:
@@ -49,7 +49,7 @@
   }
 }
 
-int push_request_field(lua_State* lua, const Subject& request, Field field) {
+int push_request_field(lua_State* lua, const RequestView& request, Field field) {
   switch (field) {
     case Field::statement:
       push_text(lua, request.statement ? *request.statement : std::string_view());
@@ -78,7 +78,7 @@
   }
 }
 
-int push_answer_field(lua_State* lua, const Subject& request, Field field) {
+int push_answer_field(lua_State* lua, const RequestView& request, Field field) {
   switch (field) {
     case Field::kind:
       push_text(lua, request.kind);
@@ -107,7 +107,7 @@
 
 // The metamethod __index.
 int read_field(lua_State* lua) {
-  const auto& view = *static_cast<RequestView*>(lua_touserdata(lua, 1));
+  const auto& view = *static_cast<RequestHandle*>(lua_touserdata(lua, 1));
   if (view.request == nullptr) return luaL_error(lua, "the request is over");
   const auto field = field_argument(lua);
   int pushed = push_common_field(lua, *view.request, field);
@@ -123,8 +123,8 @@
 
 }  // namespace
 
-RequestViewRefs register_request_view(lua_State* lua) {
-  RequestViewRefs refs;
+RequestHandleRefs register_request_view(lua_State* lua) {
+  RequestHandleRefs refs;
   lua_createtable(lua, 0, 2);
   lua_createtable(lua, 0, static_cast<int>(kFieldCount));
   for (std::size_t i = 0; i < kFieldCount; ++i) {
@@ -140,9 +140,9 @@
   return refs;
 }
 
-RequestView* push_request_view(lua_State* lua, const RequestViewRefs& refs, const Subject& request,
-                               Phase phase) {
-  auto* view = static_cast<RequestView*>(lua_newuserdatauv(lua, sizeof(RequestView), 0));
+RequestHandle* push_request_view(lua_State* lua, const RequestHandleRefs& refs, const RequestView& request,
+                                 Phase phase) {
+  auto* view = static_cast<RequestHandle*>(lua_newuserdatauv(lua, sizeof(RequestHandle), 0));
   *view = {&request, phase};
   lua_rawgeti(lua, LUA_REGISTRYINDEX, refs.metatable);
   lua_setmetatable(lua, -2);
--- a/src/hooks/request_view.hpp
+++ b/src/hooks/request_handle.hpp
@@ -37,22 +37,22 @@
 
 // References into the Lua registry. The names are interned once, so that to read a decision allocates
 // nothing.
-struct RequestViewRefs {
+struct RequestHandleRefs {
   int metatable = LUA_NOREF;
   std::array<int, kFieldCount> field_names{};
 };
 
 // The userdata behind the object. A script may keep it for longer than the call lasts; `request` is then null
 // and every access an error.
-struct RequestView {
-  const Subject* request;
+struct RequestHandle {
+  const RequestView* request;
   Phase phase;
 };
 
 // Makes the metatable and interns the names. Raises Lua errors.
-[[nodiscard]] RequestViewRefs register_request_view(lua_State* lua);
+[[nodiscard]] RequestHandleRefs register_request_view(lua_State* lua);
 // Leaves a new view on the stack. `request` outlives it or is reset before. Raises Lua errors.
-[[nodiscard]] RequestView* push_request_view(lua_State* lua, const RequestViewRefs& refs,
-                                             const Subject& request, Phase phase);
+[[nodiscard]] RequestHandle* push_request_view(lua_State* lua, const RequestHandleRefs& refs,
+                                               const RequestView& request, Phase phase);
 
 }  // namespace bellstair::hooks
--- a/src/hooks/runner.cpp
+++ b/src/hooks/runner.cpp
@@ -4,10 +4,10 @@
 
 namespace bellstair::hooks {
 
-Runner::Runner(ev::loop_ref loop, Words names, Post post)
-    : names_(std::make_shared<const Words>(std::move(names))), post_(std::move(post)), worker_(loop) {}
+Runner::Runner(ev::loop_ref loop, SettingNames names, Post post)
+    : names_(std::make_shared<const SettingNames>(std::move(names))), post_(std::move(post)), worker_(loop) {}
 
-void Runner::adopt(Loaded& loaded) {
+void Runner::install(Loaded& loaded) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
     auto& store = stores_.try_emplace(spec.name, spec.store_limit).first->second;
@@ -18,26 +18,26 @@
   }
 }
 
-void Runner::know(Words names) {
-  names_ = std::make_shared<const Words>(std::move(names));
+void Runner::set_names(SettingNames names) {
+  names_ = std::make_shared<const SettingNames>(std::move(names));
   for (auto& [id, hook] : hooks_) hook.machine->set_names(names_);
 }
 
-void Runner::run(Run& run) {
+void Runner::run(RunSlice& run) {
   const auto found = hooks_.find(run.hook);
   if (found == hooks_.end()) return;
   post_(core::HookRan{found->second.machine->run(std::move(run))});
 }
 
-void Runner::run(const Drop& drop) {
+void Runner::run(const AbortCall& drop) {
   if (const auto found = hooks_.find(drop.hook); found != hooks_.end())
     found->second.machine->abort(drop.job);
 }
 
-void Runner::run(const Renew& renew) {
+void Runner::run(const RenewMachine& renew) {
   const auto found = hooks_.find(renew.hook);
   if (found == hooks_.end()) return;
-  later([this, spec = found->second.spec, names = names_]() -> std::function<void()> {
+  run_in_background([this, spec = found->second.spec, names = names_]() -> std::function<void()> {
     auto problem = std::make_shared<std::string>();
     std::shared_ptr<Machine> fresh = Machine::make(spec, *names, kMaxLoad, *problem);
     return [this, problem, fresh, id = spec.id] {
@@ -54,6 +54,6 @@
 }
 
 // The store stays: a hook of the same name may come again.
-void Runner::run(const Retire& retire) { hooks_.erase(retire.hook); }
+void Runner::run(const RetireMachine& retire) { hooks_.erase(retire.hook); }
 
 }  // namespace bellstair::hooks
--- a/src/hooks/runner.hpp
+++ b/src/hooks/runner.hpp
@@ -19,30 +19,30 @@
  public:
   // Called for each result, on the thread of the event loop.
   using Post = std::function<void(core::Event)>;
-  Runner(ev::loop_ref loop, Words names, Post post);  // the names are never changed, only replaced
+  Runner(ev::loop_ref loop, SettingNames names, Post post);  // the names are never changed, only replaced
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
 
-  [[nodiscard]] std::shared_ptr<const Words> words() const { return names_; }
-  void know(Words names);  // for all machines, from now on
+  [[nodiscard]] std::shared_ptr<const SettingNames> words() const { return names_; }
+  void set_names(SettingNames names);  // for all machines, from now on
   // Takes the machines over; the caller gives the set to the core.
-  void adopt(Loaded& loaded);
+  void install(Loaded& loaded);
   // See net::Worker.
-  void later(net::Worker::Work work) { worker_.later(std::move(work)); }
+  void run_in_background(net::Worker::Work work) { worker_.later(std::move(work)); }
 
   // Posts HookRan before it returns.
-  void run(Run& run);
-  void run(const Drop& drop);
+  void run(RunSlice& run);
+  void run(const AbortCall& drop);
   // Posts HookRenewed later, from the event loop.
-  void run(const Renew& renew);
-  void run(const Retire& retire);
+  void run(const RenewMachine& renew);
+  void run(const RetireMachine& retire);
 
  private:
   struct LoadedHook {
     Spec spec;
     std::shared_ptr<Machine> machine;
   };
-  std::shared_ptr<const Words> names_;
+  std::shared_ptr<const SettingNames> names_;
   Post post_;
   std::unordered_map<HookId, LoadedHook> hooks_;
   std::unordered_map<std::string, Store> stores_;  // by the hook's name, kept over reloads
--- a/src/hooks/script_context.hpp
+++ b/src/hooks/script_context.hpp
@@ -10,7 +10,7 @@
 
 #include "hooks/lua_allocator.hpp"
 #include "hooks/machine.hpp"
-#include "hooks/request_view.hpp"
+#include "hooks/request_handle.hpp"
 #include "hooks/slice_timer.hpp"
 #include "hooks/spec.hpp"
 #include "hooks/store.hpp"
@@ -21,9 +21,9 @@
 inline constexpr std::size_t kMaxLogLines = 4;        // of one slice; more are dropped
 
 struct ScriptContext {
-  ScriptContext(const Spec& hook, const Words& initial_names)
+  ScriptContext(const Spec& hook, const SettingNames& initial_names)
       : spec(hook),
-        names(std::make_shared<const Words>(initial_names)),
+        names(std::make_shared<const SettingNames>(initial_names)),
         allocator(hook.memory_limit, slice_timer) {}
   ScriptContext(const ScriptContext&) = delete;
   ScriptContext& operator=(const ScriptContext&) = delete;
@@ -34,13 +34,13 @@
   }
 
   Spec spec;
-  std::shared_ptr<const Words> names;
+  std::shared_ptr<const SettingNames> names;
   Store* store = nullptr;  // null while the script is loaded
   SliceTimer slice_timer;
   LuaAllocator allocator;
   Time now{};                          // of the slice, since the epoch
   std::vector<std::string> log_lines;  // of the slice
-  RequestViewRefs view_refs;
+  RequestHandleRefs view_refs;
 };
 
 // Pushes a number; whole ones as integers, which scripts see without a decimal point.
--- a/src/hooks/spec.hpp
+++ b/src/hooks/spec.hpp
@@ -71,7 +71,7 @@
 };
 
 // The request as a hook sees it, or its end (phase answer).
-struct Subject {
+struct RequestView {
   std::uint16_t cls = 0;
   std::uint32_t tenant = 0;
   std::uint8_t front = 0;
@@ -89,7 +89,7 @@
   std::size_t attempts = 0;
 };
 
-struct Verdict {
+struct HookDecision {
   std::optional<Time> cpu;
   std::optional<double> ram;
   std::optional<bool> second;
@@ -97,66 +97,76 @@
   std::vector<std::string> tags;
 };
 
-enum class Failure : std::uint8_t { none, error, memory, verdict, time, instructions, crowded, out };
-[[nodiscard]] constexpr const char* name(Failure failure) {
+enum class HookFailureKind : std::uint8_t {
+  none,
+  error,
+  memory,
+  verdict,
+  time,
+  instructions,
+  queue_timeout,
+  circuit_open
+};
+[[nodiscard]] constexpr const char* name(HookFailureKind failure) {
   switch (failure) {
-    case Failure::none:
+    case HookFailureKind::none:
       return "none";
-    case Failure::error:
+    case HookFailureKind::error:
       return "it failed";
-    case Failure::memory:
+    case HookFailureKind::memory:
       return "it took too much memory";
-    case Failure::verdict:
+    case HookFailureKind::verdict:
       return "it returned what can't be used";
-    case Failure::time:
+    case HookFailureKind::time:
       return "it took too long";
-    case Failure::instructions:
+    case HookFailureKind::instructions:
       return "it took too many instructions";
-    case Failure::crowded:
+    case HookFailureKind::queue_timeout:
       return "its turn did not come in time";
-    case Failure::out:
+    case HookFailureKind::circuit_open:
       return "it is taken out";
   }
   return "?";
 }
 // Whether the hook is to blame: one that merely did not get its turn is not.
-[[nodiscard]] constexpr bool blames(Failure failure) {
-  return failure != Failure::none && failure != Failure::crowded && failure != Failure::out;
+[[nodiscard]] constexpr bool counts_against_hook(HookFailureKind failure) {
+  return failure != HookFailureKind::none && failure != HookFailureKind::queue_timeout &&
+         failure != HookFailureKind::circuit_open;
 }
 
 // What the machine is asked to do, and what it says. Runs at once; the answer is the next event.
-struct Run {
+struct RunSlice {
   JobId job = 0;
   HookId hook = 0;
   Phase phase = Phase::request;
   Time slice{}, now{};
   bool first = false;
-  Subject subject;  // of the first slice; the call keeps its own copy
+  RequestView subject;  // of the first slice; the call keeps its own copy
 };
-struct Drop {  // the call is not gone on with
+struct AbortCall {  // the call is not gone on with
   JobId job = 0;
   HookId hook = 0;
 };
-struct Renew {  // a machine made anew from the same script, in place of the old one
+struct RenewMachine {  // a machine made anew from the same script, in place of the old one
   HookId hook = 0;
 };
-struct Retire {  // no call of it comes any more
+struct RetireMachine {  // no call of it comes any more
   HookId hook = 0;
 };
 
-struct Ran {
+struct SliceResult {
   JobId job = 0;
   HookId hook = 0;
-  enum class How : std::uint8_t { yielded, done, failed } how = How::done;
-  Failure failure = Failure::none;
+  enum class Outcome : std::uint8_t { yielded, done, failed } outcome = Outcome::done;
+  HookFailureKind failure = HookFailureKind::none;
   std::string text;  // of the failure
-  Verdict verdict;
+  HookDecision verdict;
   Time cpu{};  // of this slice
   std::uint64_t instructions = 0;
-  std::size_t memory = 0;         // bytes that the hook's machine holds
-  std::vector<std::string> said;  // by log()
+  std::size_t memory = 0;              // bytes that the hook's machine holds
+  std::vector<std::string> log_lines;  // by log()
 };
-struct Renewed {
+struct MachineRenewed {
   HookId hook = 0;
   std::string problem;
 };
--- a/src/link/channel.hpp
+++ b/src/link/channel.hpp
@@ -48,8 +48,8 @@
   [[nodiscard]] std::optional<ChannelError> send(std::string_view body);
   void close() { stream_.close(); }  // at once; no handler is called any more
   [[nodiscard]] bool is_open() const { return stream_.open(); }
-  [[nodiscard]] bool is_dialling() const { return stream_.dialling(); }
-  [[nodiscard]] std::size_t unsent_bytes() const { return stream_.unwritten(); }
+  [[nodiscard]] bool is_dialling() const { return stream_.connecting(); }
+  [[nodiscard]] std::size_t unsent_bytes() const { return stream_.unsent_bytes(); }
   [[nodiscard]] net::Stream& stream() { return stream_; }  // for a net::Lingerer
 
  private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -102,11 +102,11 @@
 int run_broker(const Options& options) {
   using bellstair::config::read_file;
   auto config = bellstair::config::parse(read_file(options.config, "configuration"));
-  bellstair::config::Fronts fronts;
+  bellstair::config::OperatorConfig fronts;
   if (!options.fronts.empty())
-    fronts =
-        bellstair::config::parse_fronts(read_file(options.fronts, "fronts"), options.fronts, config.names);
-  auto loaded = bellstair::hooks::load(fronts.hooks, bellstair::app::words_of(config));
+    fronts = bellstair::config::parse_operator_config(read_file(options.fronts, "fronts"), options.fronts,
+                                                      config.names);
+  auto loaded = bellstair::hooks::load(fronts.hooks, bellstair::app::names_of(config));
   for (const auto& problem : loaded.problems)
     bellstair::log::write(bellstair::log::Level::error, "bellstair: " + problem);
   if (!loaded.problems.empty()) return kExitFailure;
@@ -138,7 +138,7 @@
   if (options.command != "serve" && options.command != "check-config")
     usage_error("unknown command '" + options.command + "'");
   if (options.command == "serve") {
-    bellstair::app::hold_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});  // Broker::run() lets them through
+    bellstair::app::block_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});  // Broker::run() lets them through
     bellstair::log::start(options.log_level);
   }
   int status = kExitFailure;
--- a/src/mysql/mysql_engine_client.cpp
+++ b/src/mysql/mysql_engine_client.cpp
@@ -132,9 +132,10 @@
   std::vector<Attribute> attributes = {
       {kRequestIdAttribute, statement.ticket},
       {kClassAttribute, class_names_.at(statement.cls)},
-      {kTimeLimitMsAttribute, static_cast<std::int64_t>(statement.wait / 1ms)},
+      {kTimeLimitMsAttribute, static_cast<std::int64_t>(statement.timeout / 1ms)},
       {kPriorityAttribute, static_cast<std::int64_t>(statement.priority)}};
-  if (!statement.nonce.empty()) attributes.push_back({kIdempotencyKeyAttribute, statement.nonce});
+  if (!statement.idempotency_key.empty())
+    attributes.push_back({kIdempotencyKeyAttribute, statement.idempotency_key});
   if (statement.memory_mb >= 1)
     attributes.push_back({kMemoryGrantMbAttribute, static_cast<std::int64_t>(statement.memory_mb)});
   return attributes;
--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -91,7 +91,7 @@
             // The client may only have closed its side, or have gone: what runs is answered.
             connection.half_closed = true;
             if (connection.phase == Phase::running) return emit_(core::ClientHalfClosed{connection.client});
-            if (connection.stream.unwritten() == 0) close(connection);
+            if (connection.stream.unsent_bytes() == 0) close(connection);
           },
       .closed = [this, &connection] { close(connection); },
       .drained =
@@ -166,7 +166,7 @@
 }
 
 bool MysqlServer::has_unsent_output() const {
-  const auto unsent = [](const auto& entry) { return entry.second->stream.unwritten() > 0; };
+  const auto unsent = [](const auto& entry) { return entry.second->stream.unsent_bytes() > 0; };
   return lingerer_.size() > 0 || std::ranges::any_of(connections_, unsent);
 }
 
@@ -249,13 +249,14 @@
 
 void MysqlServer::look_up_user(Connection& connection, const std::string& password) {
   connection.phase = Phase::directory_lookup;
-  options_.lookup(
-      connection.user, password,
-      [this, serial = connection.serial](const directory::Verdict& verdict) { on_lookup(serial, verdict); });
+  options_.lookup(connection.user, password,
+                  [this, serial = connection.serial](const directory::LookupResult& verdict) {
+                    on_lookup(serial, verdict);
+                  });
 }
 
-void MysqlServer::on_lookup(std::uint64_t serial, const directory::Verdict& verdict) {
-  using Kind = directory::Verdict::Kind;
+void MysqlServer::on_lookup(std::uint64_t serial, const directory::LookupResult& verdict) {
+  using Kind = directory::LookupResult::Kind;
   const auto found = connections_.find(serial);
   if (found == connections_.end()) return;
   auto& connection = *found->second;
@@ -376,7 +377,7 @@
   } else {
     send_error(connection, error_of(answer));
   }
-  if (connection.half_closed && connection.stream.unwritten() == 0) {
+  if (connection.half_closed && connection.stream.unsent_bytes() == 0) {
     close(connection);
   } else if (!connection.half_closed && (connection.closing || shutting_down_)) {
     close_gracefully(connection);
--- a/src/mysql/mysql_server.hpp
+++ b/src/mysql/mysql_server.hpp
@@ -14,8 +14,8 @@
 #include "config/config.hpp"
 #include "config/fronts.hpp"
 #include "core/events.hpp"
-#include "core/wheel.hpp"
-#include "directory/verdict.hpp"
+#include "core/timer_wheel.hpp"
+#include "directory/lookup_result.hpp"
 #include "mysql/command.hpp"
 #include "mysql/handshake.hpp"
 #include "mysql/mapping.hpp"
@@ -97,7 +97,7 @@
   void on_login(Connection& connection, const std::string& payload);
   void check_password(Connection& connection, const std::string& answer, const std::string& plugin);
   void look_up_user(Connection& connection, const std::string& password);
-  void on_lookup(std::uint64_t serial, const directory::Verdict& verdict);
+  void on_lookup(std::uint64_t serial, const directory::LookupResult& verdict);
   void accept_login(Connection& connection, const std::string& tenant);
 
   void on_command(Connection& connection, const std::string& payload);
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/wheel.hpp"
+#include "core/timer_wheel.hpp"
 #include "net/stream.hpp"
 
 namespace bellstair::net {
--- a/src/net/lingerer.cpp
+++ b/src/net/lingerer.cpp
@@ -15,7 +15,7 @@
       .data = [](std::string_view) {},
       .ended =
           [this, position] {
-            if ((*position)->stream.unwritten() == 0) close(position);
+            if ((*position)->stream.unsent_bytes() == 0) close(position);
           },
       .closed = [this, position] { close(position); },
       .drained =
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -24,13 +24,13 @@
 void Stream::watch() {
   int events = 0;
   if (!connecting_ && !paused_ && !ended_ && !failed_) events |= ev::READ;
-  if (connecting_ || unwritten() > 0 || failed_) events |= ev::WRITE;
+  if (connecting_ || unsent_bytes() > 0 || failed_) events |= ev::WRITE;
   io_.watch(fd_.get(), events);
 }
 
 bool Stream::write(std::string_view bytes) {
   if (!fd_ || failed_) return false;
-  if (unwritten() == 0 && !connecting_) {
+  if (unsent_bytes() == 0 && !connecting_) {
     const auto sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     const int error = sent < 0 ? errno : 0;
     if (sent < 0 && !is_temporary(error)) {
@@ -46,7 +46,7 @@
     }
   }
   if (bytes.empty()) return true;
-  if (unwritten() + bytes.size() > max_unwritten_) {
+  if (unsent_bytes() + bytes.size() > max_unwritten_) {
     failed_ = true;
     watch();
     return false;
@@ -71,7 +71,7 @@
 
 void Stream::finish() {
   finishing_ = true;
-  if (fd_ && unwritten() == 0) ::shutdown(fd_.get(), SHUT_WR);
+  if (fd_ && unsent_bytes() == 0) ::shutdown(fd_.get(), SHUT_WR);
 }
 
 void Stream::pause(bool on) {
@@ -114,7 +114,7 @@
     watch();
     if (handlers_.connected) handlers_.connected();
     if (!*alive) return;
-    if (unwritten() > 0) flush();
+    if (unsent_bytes() > 0) flush();
     return;
   }
   const auto alive = alive_;
@@ -145,8 +145,8 @@
 }
 
 void Stream::flush() {
-  while (unwritten() > 0) {
-    const auto sent = ::send(fd_.get(), out_.data() + out_at_, unwritten(), MSG_NOSIGNAL);
+  while (unsent_bytes() > 0) {
+    const auto sent = ::send(fd_.get(), out_.data() + out_at_, unsent_bytes(), MSG_NOSIGNAL);
     if (sent < 0) {
       const int error = errno;
       if (!is_temporary(error)) return fail(error);
@@ -156,14 +156,14 @@
     out_at_ += static_cast<std::size_t>(sent);
     written_ += static_cast<std::size_t>(sent);
   }
-  if (unwritten() == 0) {
+  if (unsent_bytes() == 0) {
     if (finishing_) ::shutdown(fd_.get(), SHUT_WR);
     out_.clear();
     out_at_ = 0;
     if (out_.capacity() > kMaxIdleBufferBytes) out_.shrink_to_fit();
   }
   watch();
-  if (unwritten() == 0 && handlers_.drained) handlers_.drained();
+  if (unsent_bytes() == 0 && handlers_.drained) handlers_.drained();
 }
 
 }  // namespace bellstair::net
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -52,10 +52,10 @@
   [[nodiscard]] Rest release();
 
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
-  [[nodiscard]] bool dialling() const { return connecting_; }
+  [[nodiscard]] bool connecting() const { return connecting_; }
   // errno of what broke it; 0: it is not broken, or its peer does not read what is written.
   [[nodiscard]] int error() const { return error_; }
-  [[nodiscard]] std::size_t unwritten() const { return out_.size() - out_at_; }
+  [[nodiscard]] std::size_t unsent_bytes() const { return out_.size() - out_at_; }
   [[nodiscard]] std::size_t written() const { return written_; }  // bytes that the system has taken
   [[nodiscard]] bool ended() const { return ended_; }             // the peer writes no more
   // What lies in the system's buffer, not yet read: the loop may not have come to it.
--- a/src/platform/http_client.hpp
+++ b/src/platform/http_client.hpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "core/events.hpp"
-#include "core/wheel.hpp"
+#include "core/timer_wheel.hpp"
 #include "net/connection_pool.hpp"
 #include "platform/http.hpp"
 
--- a/src/platform/http_engine_client.cpp
+++ b/src/platform/http_engine_client.cpp
@@ -86,12 +86,13 @@
 }
 
 std::string HttpEngineClient::submit_request(const Attempt& attempt, const core::Transmit& effect) const {
-  const auto timeout_ms = std::max<std::int64_t>(1, effect.wait / 1ms);
+  const auto timeout_ms = std::max<std::int64_t>(1, effect.timeout / 1ms);
   HttpHeaders headers;
   headers.emplace_back(wire::kRequestIdHeader, effect.ticket);
   headers.emplace_back(wire::kRequestClassHeader, class_names_.at(effect.cls));
   headers.emplace_back(wire::kTimeoutMsHeader, std::to_string(timeout_ms));
-  if (!effect.nonce.empty()) headers.emplace_back(wire::kIdempotencyKeyHeader, effect.nonce);
+  if (!effect.idempotency_key.empty())
+    headers.emplace_back(wire::kIdempotencyKeyHeader, effect.idempotency_key);
   if (effect.memory_mb >= 1)
     headers.emplace_back(wire::kMemoryGrantMbHeader, std::to_string(std::llround(effect.memory_mb)));
   headers.emplace_back(wire::kPriorityHeader, std::to_string(effect.priority));
@@ -337,7 +338,7 @@
 // answer proves that the statement has arrived.
 void HttpEngineClient::cancel_submitted(AttemptId id, Attempt& attempt) {
   attempt.stage = Stage::cancel_requested;
-  if (attempt.connection->stream.unwritten() == 0)
+  if (attempt.connection->stream.unsent_bytes() == 0)
     return http_.shorten_timeout(attempt.call, kSideCallTimeout);
   pool_.discard(*attempt.connection);  // the engine never receives the statement whole
   http_.forget(attempt.call);
--- a/src/platform/jsonrpc_connection.cpp
+++ b/src/platform/jsonrpc_connection.cpp
@@ -17,7 +17,7 @@
 }
 
 void EvictionOrder::update(JsonRpcConnection& connection) {
-  const bool busy = !connection.open_requests.empty() || connection.stream.unwritten() > 0;
+  const bool busy = !connection.open_requests.empty() || connection.stream.unsent_bytes() > 0;
   const auto at_rest = connection.has_sent_request ? ConnectionUse::idle : ConnectionUse::unused;
   const auto use = busy ? ConnectionUse::busy : at_rest;
   if (use == connection.use) return;
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -320,7 +320,7 @@
 }
 
 bool JsonRpcServer::has_unsent_output() const {
-  const auto unsent = [](const auto& entry) { return entry.second->stream.unwritten() > 0; };
+  const auto unsent = [](const auto& entry) { return entry.second->stream.unsent_bytes() > 0; };
   return lingerer_.size() > 0 || std::ranges::any_of(connections_, unsent);
 }
 
--- a/src/platform/jsonrpc_server.hpp
+++ b/src/platform/jsonrpc_server.hpp
@@ -12,7 +12,7 @@
 
 #include "config/config.hpp"
 #include "core/events.hpp"
-#include "core/wheel.hpp"
+#include "core/timer_wheel.hpp"
 #include "net/client_server.hpp"
 #include "net/event_sink.hpp"
 #include "net/lingerer.hpp"
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 bool Dispatcher::send(Request& request, Engine& engine) {
-  if (!in_.rules.may_send(request, engine)) return false;
+  if (!in_.rules.may_start_attempt(request, engine)) return false;
   if (request.queued) in_.thread_budgets.record_dequeued(request);  // a hedged attempt has not waited
   if (!request.attempts.empty()) in_.retry_budget.record_retry();
   const auto& settings = context_.settings;
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -71,9 +71,9 @@
 }
 
 bool EndpointSelector::is_eligible(const Request& request, Engine& engine) const {
-  if (!in_.outliers.admits(request, engine)) return false;
+  if (!in_.outliers.try_admit(request, engine)) return false;
   if (!in_.scorer.has_capacity(engine, request.arrival.cls)) return false;
-  if (!in_.rules.may_send(request, engine)) return false;
+  if (!in_.rules.may_start_attempt(request, engine)) return false;
   if (request.awaited_from(engine.endpoint.engine)) return false;
   const bool locks = class_settings(context_.settings, request).locks_data_group;
   return !locks || !is_data_group_locked(request, engine);
--- a/src/policy/engine_state.hpp
+++ b/src/policy/engine_state.hpp
@@ -32,8 +32,8 @@
   // Outlier detection.
   Health health = Health::healthy;
   Time ejected_until{};
-  Time ejection_time{};   // length of the last ejection; 0: none since it was healthy
-  double error_rate = 0;  // moving average, 0 to 1
+  Time ejection_duration{};  // length of the last ejection; 0: none since it was healthy
+  double error_rate = 0;     // moving average, 0 to 1
   Time last_seen_at{};
   Time last_reset_at{};  // of a connection; 0: none, or heard since
 
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -31,7 +31,7 @@
   engine.health = Health::healthy;
   engine.error_rate = 0;
   engine.latency_ratio = 1;
-  engine.ejection_time = Time::zero();
+  engine.ejection_duration = Time::zero();
 }
 
 void Fleet::refresh() {
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -33,7 +33,7 @@
   engine.record_alive(context_.now, request.attempts[outcome.attempt].sent_at);
   outliers_.record_success(engine);
   blame_engines_with_errors(request, engine);
-  outliers_.end_trial(engine);
+  outliers_.pass_trial(engine);
   const double threads = class_settings(context_.settings, request).threads;
   auto& estimates = classes_[request.arrival.cls].estimates;
   latency_.record_answer(engine, estimates.learn(request, outcome, threads, context_.settings.memory_grants));
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 
 constexpr double kFleetErrorWeight = 0.01;   // of one outcome in the fleet's error rate
-constexpr double kEjectionErrorRate = 0.4;   // two errors in a row
+constexpr double kEjectionErrorRate = 0.4;   // two errors in a row at kErrorWeight reach 0.44
 constexpr double kFleetErrorRateFactor = 4;  // added to it: what all engines do alike is no outlier
 constexpr double kMaxEjectionErrorRate = 0.95;
-constexpr Time kFirstEjectionTime = 1s;
-constexpr Time kMaxEjectionTime = 4s;
+constexpr Time kFirstEjectionDuration = 1s;
+constexpr Time kMaxEjectionDuration = 4s;
 
 const char* describe(EjectionReason reason) {
   switch (reason) {
@@ -48,10 +48,10 @@
   fleet_error_rate_ -= kFleetErrorWeight * fleet_error_rate_;
 }
 
-void OutlierDetector::end_trial(Engine& engine) {
+void OutlierDetector::pass_trial(Engine& engine) {
   if (engine.health != Health::on_trial) return;
   engine.health = Health::healthy;
-  engine.ejection_time = Time::zero();
+  engine.ejection_duration = Time::zero();
   fleet_.mark_changed();
   log(engine, "recovered");
 }
@@ -61,14 +61,15 @@
   if (engine.health == Health::healthy) log(engine, describe(reason));
   engine.health = Health::ejected;
   fleet_.mark_changed();
-  const bool is_first = engine.ejection_time == Time::zero();
-  engine.ejection_time = is_first ? kFirstEjectionTime : std::min(2 * engine.ejection_time, kMaxEjectionTime);
+  const bool is_first = engine.ejection_duration == Time::zero();
+  engine.ejection_duration =
+      is_first ? kFirstEjectionDuration : std::min(2 * engine.ejection_duration, kMaxEjectionDuration);
   const double jitter = 0.5 + context_.uniform();
-  engine.ejected_until = context_.now + from_seconds(to_seconds(engine.ejection_time) * jitter);
+  engine.ejected_until = context_.now + from_seconds(to_seconds(engine.ejection_duration) * jitter);
   on_ejected_(engine);
 }
 
-bool OutlierDetector::admits(const Request& request, Engine& engine) const {
+bool OutlierDetector::try_admit(const Request& request, Engine& engine) const {
   if (engine.health == Health::healthy) return true;
   if (engine.health == Health::ejected && context_.now >= engine.ejected_until)
     engine.health = Health::on_trial;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -34,13 +34,13 @@
   void record_failure(Engine& engine, double weight);
   /// A served query.
   void record_success(Engine& engine);
-  /// The engine has served a query: ends its trial.
-  void end_trial(Engine& engine);
+  /// To be called for each served query: an engine on trial becomes healthy.
+  void pass_trial(Engine& engine);
   void eject(Engine& engine, EjectionReason reason);
 
-  /// Whether the request may go to the engine by its health. An ejection whose time is over becomes a trial,
-  /// of one idempotent query at a time.
-  [[nodiscard]] bool admits(const Request& request, Engine& engine) const;
+  /// Whether the request may go to the engine by its health. Begins a trial, of one idempotent query at a
+  /// time, once the ejection is over.
+  [[nodiscard]] bool try_admit(const Request& request, Engine& engine) const;
 
  private:
   void log(const Engine& engine, const char* text) const;
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -18,7 +18,9 @@
               RetryBudgetLimiter& budget)
       : context_(context), fleet_(fleet), rules_(rules), shedder_(shedder), budget_(budget) {}
 
-  /// Why the request is given up; nothing if it is queued again.
+  /// Why the request is not retried; nothing: it is to be queued again. It is given up where no ready engine
+  /// may take it, max_attempts or the retry budget is used up, an earlier attempt may run on for too long, or
+  /// two healthy engines have answered it with an error.
   [[nodiscard]] std::optional<UnservedReason> reason_to_give_up(const Request& request) const;
 
  private:
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -1,4 +1,4 @@
-// Passes events to the modules of the decisions, and releases queued requests.
+// Routes events to the policy modules, and sends queued requests.
 #include "bellstair/policy/scheduler.hpp"
 
 #include <algorithm>
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -8,6 +8,10 @@
 
 namespace bellstair::policy {
 namespace {
+/// Wider than the guard's: it covers the time until the attempt is sent.
+constexpr Time kDeduplicationMargin = kTickInterval;
+}  // namespace
+namespace {
 
 constexpr int kMaxAwaitedAttempts = 2;  // with hedging
 
@@ -21,10 +25,10 @@
 bool may_reject(const Settings& settings, const Request& request) {
   if (request.arrival.cls >= settings.classes.size()) return true;
   const bool proven_not_run = std::ranges::all_of(request.attempts, &Attempt::proven_not_run);
-  return refusal_allowed(class_settings(settings, request), proven_not_run);
+  return rejection_allowed(class_settings(settings, request), proven_not_run);
 }
 
-bool SendRules::may_send(const Request& request, Engine& engine) const {
+bool SendRules::may_start_attempt(const Request& request, Engine& engine) const {
   if (!engine.ready || !request.open || context_.now >= request.answer_by) return false;
   if (request.attempts.size() >= context_.settings.max_attempts || !may_add_attempt(request)) return false;
   if (!may_be_placed(request, engine) || !allows_attempt_at(request, engine) || !is_next_for_key(request))
@@ -48,7 +52,7 @@
   const auto& cls = class_settings(context_.settings, request);
   return std::ranges::all_of(request.attempts, [&](const Attempt& attempt) {
     const EarlierAttempt earlier{attempt.sent_at, attempt.zone, attempt.cell, attempt.proven_not_run()};
-    return repeat_allowed(cls, earlier, engine.endpoint, context_.now, kTickInterval);
+    return retry_allowed(cls, earlier, engine.endpoint, context_.now, kDeduplicationMargin);
   });
 }
 
--- a/src/policy/send_rules.hpp
+++ b/src/policy/send_rules.hpp
@@ -24,7 +24,7 @@
         slow_start_(slow_start),
         retry_budget_(retry_budget) {}
 
-  [[nodiscard]] bool may_send(const Request& request, Engine& engine) const;
+  [[nodiscard]] bool may_start_attempt(const Request& request, Engine& engine) const;
 
   /// Whether its earlier attempts leave room for another one now.
   [[nodiscard]] bool may_add_attempt(const Request& request) const;
--- a/tests/net/extras_test.cpp
+++ b/tests/net/extras_test.cpp
@@ -1,7 +1,7 @@
 // Directories, with the real program.
 #include <gtest/gtest.h>
 
-#include "directory/ldap.hpp"
+#include "directory/ldap_directory.hpp"
 #include "harness.hpp"
 #include "mysql_client.hpp"
 
