--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -32,7 +32,8 @@
   attempt.last_seen_at = context_.now;
   engine->record_alive(context_.now, attempt.sent_at);
   const bool blocked = progress.kind == ProgressKind::waiting && progress.amount > kWaitsForDataGroup;
-  if (blocked || is_too_slow(*request, progress)) dispatcher_.withdraw(progress.request, progress.attempt);
+  if (blocked || is_too_slow(*request, progress))
+    dispatcher_.cancel_for_retry(progress.request, progress.attempt);
 }
 
 // What is left of a first attempt takes longer than to begin anew elsewhere.
@@ -68,7 +69,7 @@
     if (silence > max_progress_gap) {
       outliers_.eject(engine, EjectionReason::no_response);
     } else {
-      dispatcher_.withdraw(id, index);
+      dispatcher_.cancel_for_retry(id, index);
     }
   }
   if (silence > kMinSilence && overdue_answers > kMaxOverdueAnswers)
--- a/src/policy/class_estimates.cpp
+++ b/src/policy/class_estimates.cpp
@@ -38,8 +38,8 @@
   return std::clamp(work / mean, kMinRelativeSize, kMaxRelativeSize);
 }
 
-double ClassEstimates::learn(const Request& request, const AttemptOutcome& outcome, double threads,
-                             bool learns_memory) {
+double ClassEstimates::update(const Request& request, const AttemptOutcome& outcome, double threads,
+                              bool learns_memory) {
   const double latency = to_seconds(outcome.latency);
   const double size = request.relative_size;
   mean_latency_ += kAverageStep * (latency - mean_latency_);
--- a/src/policy/class_estimates.hpp
+++ b/src/policy/class_estimates.hpp
@@ -20,7 +20,7 @@
 
   /// Learns from a served query of a class with `threads` a query; returns its latency over what its own size
   /// lets expect, so that the length of a query does not count against its engine.
-  double learn(const Request& request, const AttemptOutcome& outcome, double threads, bool learns_memory);
+  double update(const Request& request, const AttemptOutcome& outcome, double threads, bool learns_memory);
 
   [[nodiscard]] double mean_latency() const { return mean_latency_; }
   [[nodiscard]] double baseline_latency() const { return baseline_latency_; }  // while all was well
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -58,7 +58,7 @@
                           context_.now + std::max(minimum, outcome.may_run_for));
 }
 
-void Dispatcher::withdraw(RequestId id, std::size_t attempt) {
+void Dispatcher::cancel_for_retry(RequestId id, std::size_t attempt) {
   auto& request = in_.requests.at(id);
   if (!request.open) return;
   const auto& settings = context_.settings;
@@ -70,7 +70,7 @@
 
 void Dispatcher::withdraw_all(const Engine& engine) {
   const std::vector<AttemptKey> attempts(engine.in_flight.begin(), engine.in_flight.end());
-  for (const auto& [request, attempt] : attempts) withdraw(request, attempt);
+  for (const auto& [request, attempt] : attempts) cancel_for_retry(request, attempt);
 }
 
 }  // namespace bellstair::policy
--- a/src/policy/dispatcher.hpp
+++ b/src/policy/dispatcher.hpp
@@ -40,7 +40,7 @@
 
   /// Cancels an attempt of an idempotent request if another is awaited or a retry is allowed; the retry is
   /// sent once the cancellation is confirmed.
-  void withdraw(RequestId id, std::size_t attempt);
+  void cancel_for_retry(RequestId id, std::size_t attempt);
   /// As above, for all attempts in flight at the engine.
   void withdraw_all(const Engine& engine);
 
--- a/src/policy/hedging_policy.cpp
+++ b/src/policy/hedging_policy.cpp
@@ -26,7 +26,7 @@
   const double age = to_seconds(context_.now - sent.sent_at) / classes_.expected_latency(request);
   if (age < kHedgeAfter) return;
   const bool unheard = sent.last_seen_at == sent.sent_at;
-  if (unheard && age > kWithdrawUnheardAfter) return dispatcher_.withdraw(id, attempt);
+  if (unheard && age > kWithdrawUnheardAfter) return dispatcher_.cancel_for_retry(id, attempt);
   if (!may_hedge(request, attempt)) return;
   for (std::size_t earlier = 0; earlier < attempt; ++earlier) requests_.cancel(request, earlier);
   Engine* engine = selector_.select(request);
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -36,7 +36,8 @@
   outliers_.pass_trial(engine);
   const double threads = class_settings(context_.settings, request).threads;
   auto& estimates = classes_[request.arrival.cls].estimates;
-  latency_.record_answer(engine, estimates.learn(request, outcome, threads, context_.settings.memory_grants));
+  latency_.record_answer(engine,
+                         estimates.update(request, outcome, threads, context_.settings.memory_grants));
   if (!load_.uses_reports()) load_.record_recent(engine, context_.now);
 }
 
