--- a/src/policy/attempt_terms.cpp
+++ b/src/policy/attempt_terms.cpp
@@ -2,10 +2,10 @@
 
 namespace bellstair::policy {
 namespace {
-// Memory granted, times the need that is expected: a query granted less than it needs spills.
+// Memory granted, as a multiple of the expected need. A query that is granted less than it needs spills.
 constexpr double kGrantOverMean = 3.2;
 constexpr double kGrantOverEstimate = 2.0;
-constexpr double kGrantOverEstimateReserved = 1.6;  // where others can't use what is granted
+constexpr double kGrantOverEstimateReserved = 1.6;  // other queries can't use granted memory
 
 constexpr std::uint8_t kHighestRankPriority = 3;
 constexpr std::uint8_t kSmallQueryPriority = 2;
@@ -19,7 +19,7 @@
   return {request.arrival.request, memory_grant_mb(request), priority(request)};
 }
 
-// Estimates are off by class, by as much as answers have told.
+// The error of estimates differs by class. They are corrected by the ratio that answers have shown.
 double AttemptTermsPolicy::memory_grant_mb(const Request& request) const {
   const auto& estimates = classes_[request.arrival.cls].estimates;
   const double estimate = request.arrival.estimated_memory_mb;
--- a/src/policy/attempt_terms.hpp
+++ b/src/policy/attempt_terms.hpp
@@ -1,4 +1,4 @@
-// The terms of an attempt: memory granted and priority at the engine.
+// The terms of an attempt: the memory granted to it and its priority at the engine.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -6,7 +6,7 @@
 
 namespace bellstair::policy {
 
-/// Decides by the estimates of the request and of its class.
+/// Chooses the terms by the estimates of the request and of its class.
 class AttemptTermsPolicy {
  public:
   AttemptTermsPolicy(const Context& context, const ClassTable& classes)
--- a/src/policy/class_estimates.cpp
+++ b/src/policy/class_estimates.cpp
@@ -8,15 +8,15 @@
 namespace {
 constexpr double kInitialLatencyFraction = 0.5;  // of the latency objective
 constexpr double kAverageStep = 0.05;            // weight of one answer in a moving average
-constexpr double kMedianStep = 0.1;              // of the median, that one answer moves it by
+constexpr double kMedianStep = 0.1;              // fraction of the median by which one answer moves it
 constexpr double kMinRelativeSize = 0.2;
 constexpr double kMaxRelativeSize = 40;
-constexpr double kMaxEstimateInMean = 3;  // times the mean that one estimate counts for
+constexpr double kMaxEstimateInMean = 3;  // limit on one estimate, as a multiple of the mean
 constexpr double kMinExpectedSeconds = 0.02;
 constexpr double kMinLatencyRatio = 0.2;
 constexpr double kMaxLatencyRatio = 8.0;
 constexpr int kBaselineBatch = 10;  // answers
-// The baseline falls quickly and rises slowly, so that an overload is not soon taken for the usual.
+// The baseline falls quickly and rises slowly, so that it does not soon include an overload.
 constexpr double kBaselineStepDown = 0.5;
 constexpr double kBaselineStepUp = 0.05;
 
@@ -39,28 +39,28 @@
 }
 
 double ClassEstimates::update(const Request& request, const AttemptOutcome& outcome, double threads,
-                              bool learns_memory) {
+                              bool measures_memory) {
   const double latency = to_seconds(outcome.latency);
   const double size = request.relative_size;
   mean_latency_ += kAverageStep * (latency - mean_latency_);
   median_latency_ *= latency > median_latency_ * size ? 1 + kMedianStep : 1 - kMedianStep;
-  if (learns_memory && outcome.work) learn_memory(request, outcome);
+  if (measures_memory && outcome.work) update_memory(request, outcome);
   const double work = outcome.work ? to_seconds(*outcome.work) : latency * threads;
   mean_work_ += kAverageStep * (work / size - mean_work_);
   const double expected =
       outcome.work ? std::max(kMinExpectedSeconds, work / threads) : baseline_latency_ * size;
-  learn_baseline(latency);
+  update_baseline(latency);
   return std::clamp(latency / expected, kMinLatencyRatio, kMaxLatencyRatio);
 }
 
-void ClassEstimates::learn_memory(const Request& request, const AttemptOutcome& outcome) {
+void ClassEstimates::update_memory(const Request& request, const AttemptOutcome& outcome) {
   mean_memory_mb_ += step_from(mean_memory_mb_) * (outcome.memory_mb - mean_memory_mb_);
   const double estimated = request.arrival.estimated_memory_mb;
   if (!(estimated > 0)) return;
   mean_estimated_memory_mb_ += step_from(mean_estimated_memory_mb_) * (estimated - mean_estimated_memory_mb_);
 }
 
-void ClassEstimates::learn_baseline(double latency) {
+void ClassEstimates::update_baseline(double latency) {
   batch_latency_sum_ += latency;
   if (++batch_size_ < kBaselineBatch) return;
   const double mean = batch_latency_sum_ / batch_size_;
--- a/src/policy/class_table.hpp
+++ b/src/policy/class_table.hpp
@@ -21,7 +21,7 @@
  public:
   explicit ClassTable(const Settings& settings);
 
-  /// Ranks the classes anew by the settings: the shortest latency objective first, then the highest weight.
+  /// Recomputes the ranks from the settings: the shortest latency objective first, then the highest weight.
   void update_ranks();
 
   [[nodiscard]] std::size_t size() const { return classes_.size(); }
@@ -38,9 +38,9 @@
   [[nodiscard]] double expected_work(const Request& request) const;
   [[nodiscard]] double expected_latency(const Request& request) const;
 
-  /// A request of this class has arrived.
+  /// Counts an arriving request of this class in mean_arriving_work().
   void record_arrival(ClassIndex cls);
-  /// Mean work of the requests that arrived of late.
+  /// Moving average of the work of arriving requests.
   [[nodiscard]] double mean_arriving_work() const { return mean_arriving_work_; }
 
  private:
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -14,7 +14,7 @@
 
 bool Dispatcher::send(Request& request, Engine& engine) {
   if (!in_.rules.may_start_attempt(request, engine)) return false;
-  if (request.queued) in_.thread_budgets.record_dequeued(request);  // a hedged attempt has not waited
+  if (request.queued) in_.thread_budgets.record_dequeued(request);  // a hedged request was not queued
   if (!request.attempts.empty()) in_.retry_budget.record_retry();
   const auto& settings = context_.settings;
   if (settings.memory_grants || settings.priorities) context_.emit(in_.terms.terms(request));
@@ -68,7 +68,7 @@
   if (retry_allowed) in_.requests.cancel(request, attempt);
 }
 
-void Dispatcher::withdraw_all(const Engine& engine) {
+void Dispatcher::cancel_all_for_retry(const Engine& engine) {
   const std::vector<AttemptKey> attempts(engine.in_flight.begin(), engine.in_flight.end());
   for (const auto& [request, attempt] : attempts) cancel_for_retry(request, attempt);
 }
--- a/src/policy/dispatcher.hpp
+++ b/src/policy/dispatcher.hpp
@@ -1,4 +1,4 @@
-// Sending requests to engines, and the end of attempts.
+// Sends requests to engines and records the end of attempts.
 #pragma once
 
 #include "policy/attempt_terms.hpp"
@@ -14,7 +14,7 @@
 
 namespace bellstair::policy {
 
-/// What the dispatcher goes by and keeps up to date.
+/// The modules that the dispatcher reads and updates.
 struct DispatcherInputs {
   const SendRules& rules;
   const SlowStart& slow_start;
@@ -27,22 +27,23 @@
   ThreadBudgetController& thread_budgets;
 };
 
-/// The only place that sends requests.
+/// Starts and ends attempts. No other module sends requests to engines.
 class Dispatcher {
  public:
   Dispatcher(const Context& context, DispatcherInputs inputs) : context_(context), in_(inputs) {}
 
-  /// Sends the request if the rules allow it; returns whether it did. The caller takes it off its queue.
+  /// Sends the request if the rules allow it; returns whether it was sent. The caller removes it from
+  /// its queue.
   bool send(Request& request, Engine& engine);
 
-  /// Records the end of an attempt; false if it is unknown or has ended before.
+  /// Records the end of an attempt. Returns false if the attempt is unknown or has already ended.
   [[nodiscard]] bool end_attempt(Request& request, Engine& engine, const AttemptOutcome& outcome);
 
-  /// Cancels an attempt of an idempotent request if another is awaited or a retry is allowed; the retry is
-  /// sent once the cancellation is confirmed.
+  /// Cancels an attempt of an idempotent request if another attempt is awaited or a retry is allowed. The
+  /// retry is sent after the cancellation is confirmed.
   void cancel_for_retry(RequestId id, std::size_t attempt);
-  /// As above, for all attempts in flight at the engine.
-  void withdraw_all(const Engine& engine);
+  /// Calls cancel_for_retry() for each attempt in flight at the engine.
+  void cancel_all_for_retry(const Engine& engine);
 
  private:
   void add_attempt(Request& request, Engine& engine);
--- a/src/policy/hedging_policy.cpp
+++ b/src/policy/hedging_policy.cpp
@@ -6,17 +6,17 @@
 
 namespace bellstair::policy {
 namespace {
-// In expected latencies of the request.
+// Age of an attempt, as a multiple of the request's expected latency.
 constexpr double kHedgeAfter = 4;
-constexpr double kWithdrawUnheardAfter = 6;
+constexpr double kCancelWithoutProgressAfter = 6;
 
-constexpr double kBudgetFraction = 0.2;   // of the work of all requests
-constexpr double kMaxSavedRequests = 10;  // of the heaviest class
+constexpr double kBudgetFraction = 0.2;    // of the work of all requests
+constexpr double kMaxBudgetRequests = 10;  // largest budget, in requests of the heaviest class
 }  // namespace
 
 void HedgingPolicy::record_request(ClassIndex cls) {
   const double added = kBudgetFraction * classes_[cls].estimates.mean_work();
-  budget_ = std::min(budget_ + added, kMaxSavedRequests * classes_.heaviest_work());
+  budget_ = std::min(budget_ + added, kMaxBudgetRequests * classes_.heaviest_work());
 }
 
 void HedgingPolicy::check(RequestId id, std::size_t attempt) {
@@ -25,8 +25,8 @@
   const auto& sent = request.attempts[attempt];
   const double age = to_seconds(context_.now - sent.sent_at) / classes_.expected_latency(request);
   if (age < kHedgeAfter) return;
-  const bool unheard = sent.last_seen_at == sent.sent_at;
-  if (unheard && age > kWithdrawUnheardAfter) return dispatcher_.cancel_for_retry(id, attempt);
+  const bool no_progress = sent.last_seen_at == sent.sent_at;
+  if (no_progress && age > kCancelWithoutProgressAfter) return dispatcher_.cancel_for_retry(id, attempt);
   if (!may_hedge(request, attempt)) return;
   for (std::size_t earlier = 0; earlier < attempt; ++earlier) requests_.cancel(request, earlier);
   Engine* engine = selector_.select(request);
--- a/src/policy/hedging_policy.hpp
+++ b/src/policy/hedging_policy.hpp
@@ -1,4 +1,4 @@
-// Hedged requests: a second attempt while the first takes much longer than expected.
+// Hedging: a second attempt while the first one takes much longer than expected.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -10,8 +10,8 @@
 
 namespace bellstair::policy {
 
-/// Hedges within a budget of work, and not under overload, where most attempts are slow. An attempt that was
-/// never heard of is withdrawn in the end: a lost one would count as running until its deadline.
+/// Hedges within a budget of work, and not under overload, when most attempts are slow. Cancels an attempt
+/// that has never reported progress, because a lost one would count as running until its deadline.
 class HedgingPolicy {
  public:
   HedgingPolicy(const Context& context, const ClassTable& classes, const OverloadDetector& overload,
@@ -23,10 +23,10 @@
         dispatcher_(dispatcher),
         selector_(selector) {}
 
-  /// A request of this class has arrived: it adds to the budget.
+  /// Adds a fraction of the class's mean work to the budget, for a request that has arrived.
   void record_request(ClassIndex cls);
 
-  /// Hedges or withdraws an attempt in flight if it is due.
+  /// Hedges or cancels an attempt in flight if it is overdue.
   void check(RequestId id, std::size_t attempt);
 
  private:
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -8,12 +8,12 @@
 namespace bellstair::policy {
 namespace {
 constexpr double kMaxQueueFraction = 0.4;  // of the latency objective
-constexpr double kRunTimeFactor = 2.0;     // expected latencies that must be left when a wait ends
-// Under overload, the largest size is (threads a core / level) ^ exponent.
+constexpr double kRunTimeFactor = 2.0;     // expected latencies reserved for the run after queueing
+// Under overload, the largest relative size admitted is (threads a core / level) ^ exponent.
 constexpr double kSizeLimitThreadsPerCore = 1.5;
 constexpr double kSizeLimitExponent = 3;
 constexpr double kMinLevel = 0.1;             // threads a core
-constexpr double kLevelAtUsualLatency = 0.9;  // threads a core that a latency ratio of 1 stands for
+constexpr double kLevelAtUsualLatency = 0.9;  // threads a core assumed for a latency ratio of 1
 }  // namespace
 
 LoadShedder::LoadShedder(const Context& context, const ClassTable& classes, const LatencyMonitor& latency,
@@ -35,14 +35,16 @@
   return std::nullopt;
 }
 
-// A tenant's flood takes nothing from the others: over its quota it is rejected once requests wait.
+// Rejects a tenant over its quota once requests are queued or the fleet is overloaded, so that its burst does
+// not delay other tenants.
 bool LoadShedder::is_over_quota(const RequestArrival& arrival) {
-  if (context_.settings.over_quota_weight >= 1 || quotas_.take(arrival.tenant)) return false;
+  if (context_.settings.over_quota_weight >= 1 || quotas_.take_token(arrival.tenant)) return false;
   return !classes_[arrival.cls].queue.empty() || overload_.is_overloaded();
 }
 
-// What arrived while this broker was stalled has waited already, as its time left tells: what can't be
-// answered within its objective any more is rejected at once, so that no burst of such work follows.
+// Requests that arrived during a stall of this broker have already waited, which shows in their time left.
+// Those that can no longer be answered within their objective are rejected at once, so that no burst of late
+// work follows the stall.
 bool LoadShedder::is_overdue(const RequestArrival& arrival) {
   auto& longest = longest_time_left_[arrival.cls];
   if (context_.stall == Time::zero()) longest = std::max(longest, arrival.time_left);
@@ -51,8 +53,9 @@
   return waited > 0 && waited + latency > full_objective(arrival.cls);
 }
 
-// Under overload the largest queries are rejected: for the work of one, several others are answered. A usual
-// query always passes; a class with more weight for its work than the last in rank has a higher limit.
+// Under overload the largest queries are rejected, as the work of one is enough to answer several others. A
+// query of mean size is always admitted. A class with more weight for its work than the lowest-ranked class
+// has a higher limit.
 bool LoadShedder::is_too_big(const Request& request) const {
   const double fleet_level = load_.level();
   const double level = fleet_level >= 0 ? fleet_level : latency_.fleet_ratio() * kLevelAtUsualLatency;
@@ -72,7 +75,7 @@
          settings.objective_stretch * classes_[cls].estimates.baseline_latency();
 }
 
-// With an estimate of its work, its own objective and latency count; otherwise those usual for its class.
+// With an estimate of its work, the request's own objective and latency apply, else the means of its class.
 Time LoadShedder::max_queue_time(const Request& request) const {
   const auto cls = request.arrival.cls;
   const auto& settings = context_.settings.classes[cls];
@@ -88,7 +91,7 @@
 
 void LoadShedder::reconfigure(const Settings& previous) {
   for (std::size_t c = 0; c < longest_time_left_.size(); ++c) {
-    // Requests with a shorter timeout have not waited.
+    // Under a new timeout, a shorter time left does not mean that the request has waited.
     if (context_.settings.classes[c].client_timeout != previous.classes[c].client_timeout)
       longest_time_left_[c] = Time::zero();
   }
--- a/src/policy/load_shedder.hpp
+++ b/src/policy/load_shedder.hpp
@@ -1,4 +1,4 @@
-// Load shedding: requests that are rejected on arrival or after waiting, so that others are answered in time.
+// Load shedding: rejects requests on arrival or after queueing, so that others are answered in time.
 #pragma once
 
 #include <optional>
@@ -13,19 +13,19 @@
 
 namespace bellstair::policy {
 
-/// Decides by tenants' quotas, by the fleet's load and by the time that an answer would take.
+/// Decides by tenant quotas, the load of the fleet and the expected latency.
 class LoadShedder {
  public:
   LoadShedder(const Context& context, const ClassTable& classes, const LatencyMonitor& latency,
               const LoadEstimator& load, const OverloadDetector& overload, TenantQuotas& quotas);
 
-  /// Why a request that has just arrived is not admitted; nothing if it is. Takes a token of its tenant.
+  /// Returns why a newly arrived request is rejected, or nullopt if it is admitted. Takes a quota token.
   [[nodiscard]] std::optional<UnservedReason> reject_on_arrival(const Request& request);
 
-  /// How long it may be queued before an answer would come too late for its latency objective.
+  /// How long the request may be queued before its answer would miss the latency objective.
   [[nodiscard]] Time max_queue_time(const Request& request) const;
 
-  /// The settings have changed from `previous`.
+  /// Applies settings that have changed from `previous`.
   void reconfigure(const Settings& previous);
 
  private:
@@ -33,7 +33,7 @@
   [[nodiscard]] bool is_overdue(const RequestArrival& arrival);
   [[nodiscard]] bool is_too_big(const Request& request) const;
   [[nodiscard]] double work_per_weight(ClassIndex cls) const;
-  [[nodiscard]] double full_objective(ClassIndex cls) const;  // s, of a usual query
+  [[nodiscard]] double full_objective(ClassIndex cls) const;  // seconds, of a query at baseline latency
 
   const Context& context_;
   const ClassTable& classes_;
@@ -41,7 +41,7 @@
   const LoadEstimator& load_;
   const OverloadDetector& overload_;
   TenantQuotas& quotas_;
-  std::vector<Time> longest_time_left_;  // by class, that a request arrived with
+  std::vector<Time> longest_time_left_;  // by class: the largest time_left on arrival
 };
 
 }  // namespace bellstair::policy
--- a/src/policy/ordering_keys.hpp
+++ b/src/policy/ordering_keys.hpp
@@ -1,4 +1,4 @@
-// The order of requests with the same ordering key.
+// Keeps requests with the same ordering key in order.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace bellstair::policy {
 
-/// Queues of requests by ordering key, in the order of their arrival, and keys blocked for a time because an
-/// ended attempt may still run.
+/// Queues requests by ordering key, in order of arrival, and blocks a key for a time in which an ended
+/// attempt may still run.
 class OrderingKeys {
  public:
   void enqueue(std::uint64_t key, RequestId request) { queues_[key].push_back(request); }
@@ -36,7 +36,7 @@
     return block != blocked_until_.end() && now < block->second;
   }
 
-  void forget_expired(Time now) {
+  void remove_expired(Time now) {
     std::erase_if(blocked_until_, [now](const auto& block) { return block.second <= now; });
   }
 
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -9,23 +9,23 @@
 
 namespace bellstair::policy {
 
-/// An attempt, by its request and its place in Request::attempts.
+/// Identifies an attempt by its request and its index in Request::attempts.
 using AttemptKey = std::pair<RequestId, AttemptIndex>;
 
 /// One send of a request to an engine.
 struct Attempt {
   EngineId engine = 0;
-  std::uint16_t zone = 0;  // of the engine, which may be forgotten by now
+  std::uint16_t zone = 0;  // of the engine, whose record may have been removed
   std::uint16_t cell = 0;
   Time sent_at{};
-  Time last_seen_at{};  // when it was sent, or its last progress event came
+  Time last_seen_at{};  // when it was sent, or its last progress event arrived
   bool in_flight = true;
   bool cancelled = false;  // a cancellation was sent
   AttemptResult result = AttemptResult::not_started;
 
   [[nodiscard]] bool awaited() const { return in_flight && !cancelled; }
 
-  /// Whether its end proves that it had no effect.
+  /// Whether its result proves that it had no effect.
   [[nodiscard]] bool proven_not_run() const {
     return !in_flight && (result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
                           result == AttemptResult::not_started);
@@ -36,18 +36,18 @@
 struct Request {
   RequestArrival arrival;
   Time queued_at{};
-  Time answer_by{};  // the final answer goes out at this time
+  Time answer_by{};  // the final answer is sent by this time
   bool open = true;
-  bool queued = false;                 // it stands in its class's queue
-  Time health_checks_awaited_until{};  // 0: none were made for it
+  bool queued = false;                 // it is in the queue of its class
+  Time health_checks_awaited_until{};  // 0: none were sent for it
   std::vector<Attempt> attempts;
-  Time may_run_until{};      // an attempt that has ended may run on at its engine until then
-  double relative_size = 1;  // its estimated work over its class's mean
+  Time may_run_until{};      // an attempt that has ended may still run at its engine until then
+  double relative_size = 1;  // its estimated work relative to the mean of its class
 
   [[nodiscard]] bool in_flight() const { return std::ranges::any_of(attempts, &Attempt::in_flight); }
   [[nodiscard]] auto awaited() const { return std::ranges::count_if(attempts, &Attempt::awaited); }
 
-  /// Whether an attempt at this engine is or was made.
+  /// Whether any attempt was sent to this engine.
   [[nodiscard]] bool was_sent_to(EngineId engine) const {
     return std::ranges::any_of(attempts, [engine](const Attempt& a) { return a.engine == engine; });
   }
@@ -58,12 +58,12 @@
   }
 };
 
-/// The settings of its class, which must be a known one.
+/// The settings of the request's class. Its class index must be valid.
 inline const ClassSettings& class_settings(const Settings& settings, const Request& request) {
   return settings.classes[request.arrival.cls];
 }
 
-/// Whether it keeps the order of its key.
+/// Whether the request is ordered by its ordering key.
 inline bool is_ordered(const Settings& settings, const Request& request) {
   return request.arrival.ordering_key != 0 && request.arrival.cls < settings.classes.size() &&
          class_settings(settings, request).ordered_by_key;
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -57,10 +57,10 @@
   request.queued = false;
   by_answer_time_.erase({request.answer_by, id});
   for (std::size_t n = 0; n < request.attempts.size(); ++n) cancel(request, n);
-  if (!request.in_flight()) forget(request);
+  if (!request.in_flight()) remove(request);
 }
 
-void RequestTable::forget(Request& request) {
+void RequestTable::remove(Request& request) {
   const auto id = request.arrival.request;
   if (is_ordered(context_.settings, request)) ordering_keys_.remove(request.arrival.ordering_key, id);
   requests_.erase(id);
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,4 +1,4 @@
-// The requests that are open or have an attempt in flight, and their ends.
+// Stores the requests that are open or have an attempt in flight, and ends them.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace bellstair::policy {
 
-/// Owns all requests, and their places in the queues of their classes.
+/// Owns all requests, and adds them to and removes them from the queues of their classes.
 class RequestTable {
  public:
   RequestTable(const Context& context, ClassTable& classes, OrderingKeys& ordering_keys)
@@ -27,15 +27,15 @@
   void enqueue_back(Request& request);
   void enqueue_front(Request& request);
 
-  /// Ends an open request without success: rejects it if its client may try again, or else fails it.
+  /// Ends an open request without success: rejects it if a retry by its client is safe, or else fails it.
   void finish(Request& request, UnservedReason reason);
-  /// Closes an open request: its attempts are cancelled, and it is forgotten once none is in flight.
+  /// Closes an open request and cancels its attempts. The request is removed once none is in flight.
   void close(Request& request);
-  void forget(Request& request);
+  void remove(Request& request);
   /// Cancels an attempt if it is awaited and the settings allow it.
   void cancel(Request& request, std::size_t attempt) const;
 
-  /// Finishes requests whose time is over.
+  /// Finishes the requests whose Request::answer_by has passed.
   void finish_expired();
 
  private:
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -5,13 +5,13 @@
 bool RetryBudgetLimiter::allows_retry() {
   if (!context_.settings.retry_budget) return true;
   const auto& budget = *context_.settings.retry_budget;
-  forget_expired();
+  remove_expired();
   const double limit = budget.min_retries + budget.ratio * static_cast<double>(requests_.size());
   return static_cast<double>(retries_.size() + 1) <= limit;
 }
 
-// At the edge of the window, a request counts no more and a retry still does.
-void RetryBudgetLimiter::forget_expired() {
+// A request exactly at the edge of the window no longer counts; a retry there still does.
+void RetryBudgetLimiter::remove_expired() {
   const auto& budget = context_.settings.retry_budget;
   const Time begin = context_.now - (budget ? budget->window : Time::zero());
   while (!requests_.empty() && requests_.front() <= begin) requests_.pop_front();
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,4 +1,4 @@
-// The retry budget: retries in a sliding window against requests.
+// The retry budget: limits the retries in a sliding window by the number of requests in it.
 #pragma once
 
 #include <deque>
@@ -17,7 +17,7 @@
   void record_retry() { retries_.push_back(context_.now); }
 
   [[nodiscard]] bool allows_retry();
-  void forget_expired();
+  void remove_expired();
 
  private:
   const Context& context_;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace bellstair::policy {
 
-std::optional<UnservedReason> RetryPolicy::reason_to_give_up(const Request& request) const {
+std::optional<UnservedReason> RetryPolicy::reason_not_to_retry(const Request& request) const {
   if (!may_retry(request)) return UnservedReason::no_attempt_left;
   if (is_at_fault(request)) return UnservedReason::request_at_fault;
   return std::nullopt;
@@ -19,13 +19,13 @@
     return rules_.may_be_placed(request, *engine) && rules_.allows_attempt_at(request, *engine);
   });
   if (!has_engine) return false;
-  // Without hedging a retry waits until the last attempt is surely over.
+  // Without hedging, a retry waits until no earlier attempt can still be running.
   const bool in_time =
       settings.hedging || request.may_run_until <= context_.now + shedder_.max_queue_time(request);
   return in_time && request.attempts.size() < settings.max_attempts && budget_.allows_retry();
 }
 
-// Two engines that otherwise do well have answered it with an error: a third would too.
+// After errors from two engines with low error rates, the cause is the request: a third would fail it too.
 bool RetryPolicy::is_at_fault(const Request& request) const {
   std::set<EngineId> engines;
   for (const auto& attempt : request.attempts) {
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether a request is retried after its last attempt has ended without success.
+// Decides whether a request is retried after its last attempt has ended without success.
 #pragma once
 
 #include <optional>
@@ -11,17 +11,17 @@
 
 namespace bellstair::policy {
 
-/// Decides by the rules on repeats, the retry budget and what other engines have answered.
+/// Decides by the retry rules, the retry budget and the results of earlier attempts.
 class RetryPolicy {
  public:
   RetryPolicy(const Context& context, const Fleet& fleet, const SendRules& rules, const LoadShedder& shedder,
               RetryBudgetLimiter& budget)
       : context_(context), fleet_(fleet), rules_(rules), shedder_(shedder), budget_(budget) {}
 
-  /// Why the request is not retried; nothing: it is to be queued again. It is given up where no ready engine
-  /// may take it, max_attempts or the retry budget is used up, an earlier attempt may run on for too long, or
-  /// two healthy engines have answered it with an error.
-  [[nodiscard]] std::optional<UnservedReason> reason_to_give_up(const Request& request) const;
+  /// Returns why the request is not retried, or nullopt if it is to be queued again. It is not retried if no
+  /// ready engine may run it, max_attempts or the retry budget is used up, an earlier attempt may keep
+  /// running for too long, or two healthy engines have answered it with an error.
+  [[nodiscard]] std::optional<UnservedReason> reason_not_to_retry(const Request& request) const;
 
  private:
   [[nodiscard]] bool may_retry(const Request& request) const;
--- a/src/policy/retry_rules.hpp
+++ b/src/policy/retry_rules.hpp
@@ -1,21 +1,21 @@
-// The protocol's rules on retries and rejections. The policy module applies them when it decides; core::Guard
-// checks them again before bytes are sent.
+// The protocol's rules on retries and rejections. The policy module decides by them, and core::Guard checks
+// them again before bytes are sent.
 #pragma once
 
 #include "bellstair/policy/scheduler.hpp"
 
 namespace bellstair::policy {
 
-/// An attempt of the same request that was made before.
+/// An earlier attempt of the same request.
 struct EarlierAttempt {
   Time sent{};
   std::uint16_t zone = 0, cell = 0;  // of its engine
-  bool proven_not_run = false;       // its end proves that it had no effect
+  bool proven_not_run = false;       // its result proves that it had no effect
 };
 
-/// Whether a request of this class may go to an engine at `now` after an earlier attempt. Of a keyed class,
-/// engines of one deduplication scope drop a second execution within the window; `margin` is reserved for the
-/// time until the attempt arrives there.
+/// Whether a request of this class may be sent to `engine` at `now` after an earlier attempt. Engines of one
+/// deduplication scope execute a keyed request only once within the window; `margin` is reserved for the time
+/// until the attempt arrives at the engine.
 [[nodiscard]] inline bool retry_allowed(const ClassSettings& cls, const EarlierAttempt& earlier,
                                         const Endpoint& engine, Time now, Time margin) {
   if (cls.idempotency == Idempotency::idempotent || earlier.proven_not_run) return true;
@@ -27,7 +27,7 @@
   return same_scope && now + margin < earlier.sent + cls.deduplication_window;
 }
 
-/// Whether a client may be told that a retry does no harm.
+/// Whether a request may be rejected. A rejection promises the client that a retry is safe.
 [[nodiscard]] inline bool rejection_allowed(const ClassSettings& cls, bool proven_not_run) {
   return proven_not_run || cls.idempotency == Idempotency::idempotent ||
          (cls.idempotency == Idempotency::keyed && cls.deduplication_scope == DeduplicationScope::all);
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -39,7 +39,7 @@
 using namespace std::chrono_literals;
 
 constexpr Time kControlPeriod = 2s;
-constexpr Time kStallThreshold = 200ms;  // without a call for longer, this broker was stalled
+constexpr Time kStallThreshold = 200ms;  // a longer gap between calls counts as a stall
 constexpr Time kListRetryInterval = 1s;
 
 Settings checked(Settings settings) {
@@ -67,7 +67,7 @@
     for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
     if (fleet_.changed()) refresh_fleet();
     thread_budgets_.divide_pool();
-    while (release_one(true) || release_one(false)) continue;
+    while (send_one(true) || send_one(false)) continue;
   }
 
   [[nodiscard]] ClassStatus class_status(ClassIndex cls) const {
@@ -97,11 +97,11 @@
     context_.emit(ScheduleTimer{kTickInterval});
   }
 
-  // Engines that have left the list are forgotten everywhere before they are removed.
+  // Removes all references to engines that left the list before the fleet removes the engines.
   void refresh_fleet() {
     affinity_.clear();
     load_.forget_removed();
-    slow_start_.forget_removed();
+    slow_start_.drop_removed();
     fleet_.refresh();
   }
 
@@ -134,16 +134,17 @@
     if (!dispatcher_.end_attempt(*request, *engine, outcome)) return;
     outcomes_.record(*engine, *request, outcome);
     if (outcome.request_closed && request->open) return requests_.close(*request);
-    if (request->in_flight() || request->queued) return;  // by another attempt
-    if (!request->open) return requests_.forget(*request);
-    if (const auto reason = retries_.reason_to_give_up(*request)) return requests_.finish(*request, *reason);
+    if (request->in_flight() || request->queued) return;  // continued by another attempt
+    if (!request->open) return requests_.remove(*request);
+    if (const auto reason = retries_.reason_not_to_retry(*request))
+      return requests_.finish(*request, *reason);
     requests_.enqueue_front(*request);
   }
 
   void on(const RequestCancelled& cancelled) {
     Request* request = requests_.find(cancelled.request);
     if (request == nullptr || !request->open) return;
-    if (request->attempts.empty()) quotas_.give_back(request->arrival.tenant);
+    if (request->attempts.empty()) quotas_.return_token(request->arrival.tenant);
     requests_.close(*request);
   }
 
@@ -162,8 +163,8 @@
     draw_slow_start_permits(elapsed_seconds);
     gossip_.send();
     if (context_.now >= sampled_at_ + kControlPeriod) sample();
-    retry_budget_.forget_expired();
-    ordering_keys_.forget_expired(context_.now);
+    retry_budget_.remove_expired();
+    ordering_keys_.remove_expired(context_.now);
   }
 
   void on(const HealthCheckResult& result) { outcomes_.record(result); }
@@ -187,7 +188,7 @@
     }
   }
 
-  // With a large pool all reports are kept recent, unless answers bring them too.
+  // With a large pool, health checks keep the load reports of all engines recent, unless answers carry them.
   void check_engine_health() {
     if (fleet_.has_small_pool() || settings_.answers_report_load) return;
     for (auto* engine : fleet_.ready()) health_checker_.check_if_stale(*engine, 0);
@@ -200,7 +201,7 @@
         {classes_.lightest_work(), classes_.heaviest_work(), classes_.mean_arriving_work()});
   }
 
-  // The control loop, once in each period.
+  // Runs the control loop, once per control period.
   void sample() {
     quotas_.measure_arrival_rate(to_seconds(context_.now - sampled_at_));
     sampled_at_ = context_.now;
@@ -209,17 +210,17 @@
     thread_budgets_.sample();
   }
 
-  // Sends one request of the first class in rank that has one to send, among the classes that are within
-  // their thread budget or, with the pool's threads that others leave, past it.
-  bool release_one(bool within_budget) {
+  // Sends one request of the highest-ranked class that can send one: among the classes below their thread
+  // budget, or among those that have used it up and take threads that others leave free.
+  bool send_one(bool within_budget) {
     return std::ranges::any_of(classes_.by_rank(), [&](ClassIndex cls) {
       const bool is_within = classes_[cls].running_threads < thread_budgets_.budget(cls);
-      return is_within == within_budget && release_first(classes_[cls]);
+      return is_within == within_budget && send_first_eligible(classes_[cls]);
     });
   }
 
-  // Requests that wait for an earlier one of their key, or for the end of an attempt, are passed over.
-  bool release_first(ClassState& cls) {
+  // Skips requests that wait for an earlier request of their ordering key or for the end of an attempt.
+  bool send_first_eligible(ClassState& cls) {
     for (auto it = cls.queue.begin(); it != cls.queue.end(); ++it) {
       auto& request = requests_.at(*it);
       if (!rules_.is_next_for_key(request) || !rules_.may_add_attempt(request)) continue;
@@ -234,7 +235,7 @@
 
   Settings settings_;
   Context context_;
-  // Each module refers only to those above it.
+  // Each module holds references only to modules declared above it.
   ClassTable classes_{settings_};
   SlowStart slow_start_{context_};
   Fleet fleet_{context_, slow_start_};
@@ -255,7 +256,7 @@
                          {rules_, slow_start_, terms_, fleet_, classes_, requests_, ordering_keys_,
                           retry_budget_, thread_budgets_}};
   OutlierDetector outliers_{context_, fleet_,
-                            [this](const Engine& engine) { dispatcher_.withdraw_all(engine); }};
+                            [this](const Engine& engine) { dispatcher_.cancel_all_for_retry(engine); }};
   OutcomeRecorder outcomes_{context_, fleet_, classes_, latency_, load_, outliers_, health_checker_};
   DataGroupAffinity affinity_{fleet_};
   EndpointScorer scorer_{context_, fleet_, classes_, slow_start_, latency_, load_, overload_, affinity_};
@@ -269,7 +270,7 @@
   bool started_ = false;
   Time sampled_at_{};
   Time ticked_at_{};
-  Time poll_list_at_{};  // 0: not due
+  Time poll_list_at_{};  // 0: no poll is scheduled
 };
 
 Scheduler::Scheduler(Settings settings, std::uint64_t seed)
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -8,7 +8,7 @@
 
 namespace bellstair::policy {
 namespace {
-/// Wider than the guard's: it covers the time until the attempt is sent.
+/// Larger than the margin of core::Guard, as it also covers the time until the attempt is sent.
 constexpr Time kDeduplicationMargin = kTickInterval;
 }  // namespace
 namespace {
--- a/src/policy/send_rules.hpp
+++ b/src/policy/send_rules.hpp
@@ -1,4 +1,4 @@
-// The rules that every send and every rejection keeps.
+// The rules for sending attempts and for rejecting requests.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -9,11 +9,11 @@
 
 namespace bellstair::policy {
 
-/// Whether the client may be told that trying again does no harm.
+/// Whether the request may be rejected. A rejection promises the client that a retry is safe.
 [[nodiscard]] bool may_reject(const Settings& settings, const Request& request);
 
-/// Whether a request may be sent to an engine now: by placement, idempotency, order, time left, the number of
-/// attempts, the retry budget and slow start.
+/// Decides whether a request may be sent to an engine now. Checks placement, idempotency, order, time left,
+/// the number of attempts, the retry budget and slow start.
 class SendRules {
  public:
   SendRules(const Context& context, const ClassTable& classes, const OrderingKeys& ordering_keys,
@@ -26,16 +26,17 @@
 
   [[nodiscard]] bool may_start_attempt(const Request& request, Engine& engine) const;
 
-  /// Whether its earlier attempts leave room for another one now.
+  /// Whether the state of its earlier attempts allows another attempt now.
   [[nodiscard]] bool may_add_attempt(const Request& request) const;
-  /// Whether its class may run in the engine's zone and on its kind of machine.
+  /// Whether the request's class may run in the engine's zone and on its kind of machine.
   [[nodiscard]] bool may_be_placed(const Request& request, const Engine& engine) const;
-  /// Whether its earlier attempts allow one at this engine.
+  /// Whether the retry rules allow an attempt at this engine after the earlier ones.
   [[nodiscard]] bool allows_attempt_at(const Request& request, const Engine& engine) const;
-  /// Whether its ordering key allows it to go.
+  /// Whether the request is the first of its ordering key and, before its first attempt, the key isn't
+  /// blocked.
   [[nodiscard]] bool is_next_for_key(const Request& request) const;
 
-  /// Core-seconds that slow start counts: a small query is charged as its class's usual one.
+  /// Core-seconds charged to slow start. A query below its class's mean work is charged the mean.
   [[nodiscard]] double slow_start_work(const Request& request) const;
 
  private:
--- a/src/policy/settings_check.cpp
+++ b/src/policy/settings_check.cpp
@@ -31,7 +31,7 @@
 }
 
 void require_unchanged(bool same, const std::string& field) {
-  if (!same) throw std::invalid_argument("settings: " + field + " can't change in a running gateway");
+  if (!same) throw std::invalid_argument("settings: " + field + " can't change in a running broker");
 }
 
 bool same_idempotency(const ClassSettings& a, const ClassSettings& b) {
@@ -39,7 +39,7 @@
          a.deduplication_window == b.deduplication_window;
 }
 
-// The class `from` with all that may change as in `to`.
+// Returns `from` with the fields that may change taken from `to`.
 ClassSettings with_changes(ClassSettings from, const ClassSettings& to) {
   from.latency_objective = to.latency_objective;
   from.client_timeout = to.client_timeout;
@@ -51,24 +51,24 @@
 }  // namespace
 
 void check_settings(const Settings& settings) {
-  if (settings.brokers == 0) invalid("gateways must be 1 or more");
+  if (settings.brokers == 0) invalid("balancers must be 1 or more");
   if (settings.classes.empty()) invalid("classes must not be empty");
   if (settings.kinds.empty()) invalid("kinds must not be empty");
-  if (settings.max_attempts == 0) invalid("max_attempts must be 1 or more");
+  if (settings.max_attempts == 0) invalid("max-attempts must be 1 or more");
   if (settings.slow_start_capacity <= 0 || settings.slow_start_capacity > 1)
-    invalid("cold_from must lie above 0 and not above 1");
+    invalid("cold-from must be above 0 and at most 1");
   check_classes(settings);
   check_kinds(settings);
   check_tenants(settings);
   if (settings.retry_budget && settings.retry_budget->window <= Time::zero())
-    invalid("retry_budget.span must be above 0");
+    invalid("resend-span must be above 0");
 }
 
 void check_settings_change(const Settings& from, const Settings& to) {
   check_settings(to);
   require_unchanged(from.classes.size() == to.classes.size(), "the number of classes");
   require_unchanged(from.kinds == to.kinds, "kinds");
-  require_unchanged(from.brokers == to.brokers && from.broker_index == to.broker_index, "gateways");
+  require_unchanged(from.brokers == to.brokers && from.broker_index == to.broker_index, "balancers");
   require_unchanged(from.zone == to.zone && from.zones == to.zones, "zones");
   require_unchanged(from.min_call_interval == to.min_call_interval, "step");
   Settings expected = from;
@@ -80,9 +80,11 @@
     require_unchanged(cls.name == wanted.name, "classes[].name");
     require_unchanged(cls.threads == wanted.threads, "classes[].threads");
     require_unchanged(same_idempotency(cls, wanted), "classes[].semantics");
-    require_unchanged(cls == wanted, "classes[].in_order, zones, kinds, aim_stretch or groups");
+    require_unchanged(cls == wanted,
+                      "classes[].in-order, zones-allowed, bound-to, aim-stretch or data groups");
   }
-  require_unchanged(expected == to, "what is neither a class's aims and worths nor a tenant");
+  require_unchanged(expected == to,
+                    "a setting other than the tenants and the classes' aim, give-up, credit and late-share");
 }
 
 }  // namespace bellstair::policy
--- a/src/policy/settings_check.hpp
+++ b/src/policy/settings_check.hpp
@@ -1,4 +1,4 @@
-// Checks of the settings.
+// Validates settings.
 #pragma once
 
 #include "bellstair/policy/settings.hpp"
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,7 +6,7 @@
 
 namespace bellstair::policy {
 namespace {
-constexpr double kFullCapacity = 0.85;  // core-seconds a second for each core
+constexpr double kFullCapacity = 0.85;  // core-seconds per second and core
 }  // namespace
 
 bool SlowStart::is_warming_up(const Engine& engine) const {
@@ -71,7 +71,7 @@
   return engines_with_permit_;
 }
 
-void SlowStart::forget_removed() {
+void SlowStart::drop_removed() {
   std::erase_if(engines_with_permit_, [](const Engine* engine) { return is_removable(*engine); });
 }
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,4 +1,4 @@
-// Slow start: the capacity of engines that are warming up, and what may be sent to them.
+// Slow start: the capacity of engines that are warming up, and the work that may be sent to them.
 #pragma once
 
 #include <vector>
@@ -9,32 +9,33 @@
 
 namespace bellstair::policy {
 
-/// Decides which work may go to an engine that is warming up. Work is in core-seconds.
+/// Decides which work may be sent to an engine that is warming up. Work is in core-seconds.
 class SlowStart {
  public:
   explicit SlowStart(Context& context) : context_(context) {}
 
-  /// The first call of this process: what the process before it has sent is not known for one window.
+  /// Records the first call of this process. Work sent by a previous process is unknown for one window, in
+  /// which nothing may be sent to an engine that is warming up.
   void begin() { began_at_ = context_.now; }
 
   [[nodiscard]] bool is_warming_up(const Engine& engine) const;
 
-  /// Least fraction of its capacity that the engine has had over the last `lookback`.
+  /// The smallest fraction of its capacity that the engine has had during the last `lookback`.
   [[nodiscard]] double capacity_fraction(const Engine& engine, Time lookback = Time::zero()) const;
 
   [[nodiscard]] bool allows(Engine& engine, double work) const;
   void charge(Engine& engine, double work) const;
 
-  /// Grants permits at random, for `elapsed_seconds` since the last draw. One random draw for each engine
-  /// that is warming up.
+  /// Grants permits at random, for the `elapsed_seconds` since the last draw. Makes one random draw for each
+  /// engine that is warming up.
   void draw_permits(double elapsed_seconds, const std::vector<Engine*>& engines,
                     const slow_start::Demand& demand);
 
-  /// Engines at which this broker has a permit now.
+  /// The engines at which this broker has a valid permit.
   [[nodiscard]] const std::vector<Engine*>& engines_with_permit();
 
-  /// Forgets engines that are about to be removed.
-  void forget_removed();
+  /// Drops references to engines that are about to be removed.
+  void drop_removed();
 
  private:
   [[nodiscard]] slow_start::Capacity capacity(const Engine& engine) const;
--- a/src/policy/slow_start_budget.hpp
+++ b/src/policy/slow_start_budget.hpp
@@ -1,7 +1,7 @@
-// How much work (core-seconds) may be sent to an engine that is warming up, so that all brokers together stay
-// below what it bears without talking to each other. A query that fits a broker's even share is sent while
+// Limits the work (core-seconds) sent to an engine that is warming up, so that all brokers together do not
+// overload it, without any communication between them. A query that fits a broker's even share is sent while
 // the sum in a sliding window stays within that share. A larger one needs a permit: permits are granted at
-// random moments, at least a window apart, and are not saved up.
+// random times, at least a window apart, and do not accumulate.
 #pragma once
 
 #include <algorithm>
@@ -18,43 +18,43 @@
 
 namespace slow_start {
 
-inline constexpr double kBudgetFraction = 0.8;     // of what overloads an engine, from all brokers together
-inline constexpr double kEvenShareFraction = 0.4;  // part of it for even shares, where these hold a query
-inline constexpr Time kPermitDuration = std::chrono::seconds(1);  // in which a permit can be used
-inline constexpr double kMaxElapsedSeconds = 0.1;  // for one draw: a stalled broker gains no permits
-// Permits a second of all brokers together, by how many of them a window bears at once. Where it bears more,
-// their mean work is the limit.
+inline constexpr double kBudgetFraction = 0.8;     // of the work that overloads an engine, for all brokers
+inline constexpr double kEvenShareFraction = 0.4;  // of the same work, for even shares if a query fits one
+inline constexpr Time kPermitDuration = std::chrono::seconds(1);  // validity of a permit
+inline constexpr double kMaxElapsedSeconds = 0.1;  // counted in one draw: a stall adds no permits
+// Permits per second of all brokers together, by the number of permits that fit into one window. If more fit
+// than are listed, only their mean work is limited.
 inline constexpr std::array<double, 6> kMaxPermitsPerSecond = {0, 0.02, 0.15, 0.5, 0.9, 1.4};
 
-/// How many queries of mean work a window may hold whose budget is `n` of them (the operators' rule): by
-/// chance twice the root of n and 2 more, or below 30 three times it and 3.
+/// The operators' rule: the most queries of mean work that may be sent within a window whose budget is `n` of
+/// them. Chance may add twice the square root of n and 2, or below 30 three times the root and 3.
 [[nodiscard]] inline double max_queries_in_window(double n) {
   return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
 }
 
-/// What an engine bears, and how many brokers share it.
+/// The capacity of an engine, and the number of brokers that share it.
 struct Capacity {
-  double budget = 0;  // core-seconds that overload it when they are sent within the window
+  double budget = 0;  // core-seconds that overload it if sent within the window
   double window_seconds = 1;
   double brokers = 1;
   [[nodiscard]] double even_share() const { return kEvenShareFraction * budget / brokers; }
 };
 
-/// The work of the queries that arrive, in core-seconds.
+/// The work of an arriving query, in core-seconds.
 struct Demand {
   double lightest_class = 0;
   double heaviest_class = 0;
   double mean = 0;
 };
 
-/// How many permits of `work` a window bears at once, beside even shares of `even_fraction` of the budget.
-[[nodiscard]] inline std::size_t permits_borne(const Capacity& capacity, const Demand& demand, double work,
-                                               double even_fraction) {
+/// How many permits of `work` fit into one window beside even shares of `even_fraction` of the budget.
+[[nodiscard]] inline std::size_t permits_per_window(const Capacity& capacity, const Demand& demand,
+                                                    double work, double even_fraction) {
   const double max_work = max_queries_in_window(capacity.budget / demand.mean) * demand.mean;
   return static_cast<std::size_t>(std::max(0.0, (max_work - even_fraction * capacity.budget) / work));
 }
 
-/// One broker's permits at an engine.
+/// The rate at which one broker is granted permits for an engine.
 struct PermitRate {
   double work_per_second = 0;  // of all permits
   double work_per_permit = 0;
@@ -66,9 +66,9 @@
   double rate = fraction * capacity.budget / capacity.window_seconds / capacity.brokers;
   const double permit_seconds = std::chrono::duration<double>(kPermitDuration).count();
   const double work = std::max(demand.heaviest_class, rate * permit_seconds);
-  const auto borne = permits_borne(capacity, demand, work, kBudgetFraction - fraction);
-  if (borne < kMaxPermitsPerSecond.size())
-    rate = std::min(rate, kMaxPermitsPerSecond[borne] * work / capacity.brokers);
+  const auto permits = permits_per_window(capacity, demand, work, kBudgetFraction - fraction);
+  if (permits < kMaxPermitsPerSecond.size())
+    rate = std::min(rate, kMaxPermitsPerSecond[permits] * work / capacity.brokers);
   return {rate, work};
 }
 
@@ -82,7 +82,7 @@
     sum_ += work;
   }
 
-  /// The sum in the `window` that ends at `now`; forgets what is older.
+  /// The sum in the `window` that ends at `now`; removes older entries.
   [[nodiscard]] double within(Time now, Time window) {
     while (!entries_.empty() && entries_.front().first <= now - window) {
       sum_ -= entries_.front().second;
@@ -97,7 +97,7 @@
   double sum_ = 0;
 };
 
-/// What this broker has sent to one engine that is warming up, and may still send. Work is in core-seconds.
+/// The work that this broker has sent to one engine that is warming up, and may still send, in core-seconds.
 class SlowStartBudget {
  public:
   [[nodiscard]] bool allows(Time now, Time window, double work, double even_share) {
@@ -126,7 +126,7 @@
   [[nodiscard]] bool has_permit(Time now) const { return now < permit_expires_at_; }
 
  private:
-  SlidingSum sent_;  // against the even share
+  SlidingSum sent_;  // charged to the even share
   Time permit_granted_at_{};
   Time permit_expires_at_{};
   double permit_work_left_ = 0;
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -4,12 +4,12 @@
 
 namespace bellstair::policy {
 namespace {
-constexpr double kQuotaSlack = 1.3;          // times its quota that a tenant may take
-constexpr double kBurstSeconds = 2.0;        // of its refill rate that a tenant may save up
-constexpr double kMinBurst = 3;              // tokens on top: a quiet broker's requests come in clumps
+constexpr double kQuotaSlack = 1.3;    // multiple of its quota that a tenant may use
+constexpr double kBurstSeconds = 2.0;  // of its refill rate that a tenant's bucket holds
+constexpr double kMinBurst = 3;        // added to the bucket: a quiet broker's requests arrive in bursts
 constexpr double kRateWindowSeconds = 20.0;  // of the moving average of arrivals
-constexpr double kMaxRateGrowth = 1.3;       // times the average that one period counts for
-constexpr double kWarmUpPeriods = 3;         // in which the rate may grow freely
+constexpr double kMaxRateGrowth = 1.3;       // limit on the rate of one period, as a multiple of the average
+constexpr double kWarmUpPeriods = 3;         // during which the growth of the rate is not limited
 }  // namespace
 
 TenantQuotas::TenantQuotas(const Context& context, const Fleet& fleet, const OverloadDetector& overload)
@@ -29,14 +29,14 @@
   tokens_ = std::move(tokens);
 }
 
-bool TenantQuotas::take(std::size_t tenant) {
+bool TenantQuotas::take_token(std::size_t tenant) {
   if (tenant >= tokens_.size()) return true;
   if (tokens_[tenant] < 1) return false;
   tokens_[tenant] -= 1;
   return true;
 }
 
-void TenantQuotas::give_back(std::size_t tenant) {
+void TenantQuotas::return_token(std::size_t tenant) {
   if (tenant < tokens_.size()) tokens_[tenant] += 1;
 }
 
@@ -47,7 +47,7 @@
   }
 }
 
-// A burst of one tenant must not raise its own quota: the rate grows slowly, and not under overload.
+// The rate grows slowly, and not under overload, so that a burst of one tenant does not raise its own quota.
 void TenantQuotas::measure_arrival_rate(double elapsed_seconds) {
   const double rate = arrivals_ / elapsed_seconds;
   measured_seconds_ = std::min(measured_seconds_ + elapsed_seconds, kRateWindowSeconds);
@@ -62,7 +62,7 @@
 double TenantQuotas::refill_rate(std::size_t tenant) const {
   const auto& settings = context_.settings.tenants[tenant];
   const double share = settings.quota_fraction * arrival_rate_;
-  // Of few queries, clumps would pass for more than a quota.
+  // With few queries, an ordinary burst would exceed a quota measured from the arrivals.
   if (fleet_.has_small_pool())
     return kQuotaSlack * std::max(share, settings.quota_per_s / context_.settings.brokers);
   return (overload_.is_overloaded() ? 1 : kQuotaSlack) * share;
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,4 +1,4 @@
-// Quotas of tenants: token buckets filled by each tenant's share of the arrivals.
+// Tenant quotas: token buckets that are refilled by each tenant's share of the arrivals.
 #pragma once
 
 #include <vector>
@@ -14,17 +14,17 @@
  public:
   TenantQuotas(const Context& context, const Fleet& fleet, const OverloadDetector& overload);
 
-  /// The settings have changed: a tenant in the same place under the same name keeps its tokens, up to its
-  /// new bucket's size; any other starts with a burst.
+  /// Applies settings that have changed from `previous`. A tenant with the same index and name keeps its
+  /// tokens, up to the size of its new bucket; any other starts with one burst.
   void reconfigure(const std::vector<TenantSettings>& previous);
 
-  /// A request of any tenant has arrived.
+  /// Counts a request of any tenant.
   void record_arrival() { arrivals_ += 1; }
 
   /// Takes a token; false if the tenant has none left.
-  [[nodiscard]] bool take(std::size_t tenant);
-  /// Returns the token of a request that was withdrawn before it was sent.
-  void give_back(std::size_t tenant);
+  [[nodiscard]] bool take_token(std::size_t tenant);
+  /// Returns the token of a request that was cancelled before it was sent.
+  void return_token(std::size_t tenant);
   void refill(double elapsed_seconds);
 
   /// Measures the rate of arrivals, once in each control period.
--- a/src/policy/thread_budget_controller.cpp
+++ b/src/policy/thread_budget_controller.cpp
@@ -7,9 +7,9 @@
 namespace bellstair::policy {
 namespace {
 constexpr double kGain = -0.80;             // tenths of the pool, for an error of one wait objective
-constexpr double kGainPoolFraction = 0.10;  // the gain's unit, so that it fits a fleet of any size
-constexpr double kZero = 0.30;              // r of the equation: how much of the last error is taken back
-constexpr double kWaitFraction = 0.30;      // of the latency objective; the rest is for running
+constexpr double kGainPoolFraction = 0.10;  // unit of the gain, which scales it with the fleet
+constexpr double kZero = 0.30;              // r of the equation: the part of the last error subtracted
+constexpr double kWaitFraction = 0.30;      // of the latency objective; the rest is left for running
 constexpr double kMaxError = 3.0;           // wait objectives
 }  // namespace
 
@@ -47,7 +47,8 @@
   for (const auto cls : classes_.by_rank()) update(cls, saturated);
 }
 
-// Includes the queries that still wait: a class whose queries are not sent at all must show.
+// Includes queries that are still queued, so that the wait of a class is seen even if none of its queries are
+// sent.
 double ThreadBudgetController::mean_wait_seconds(ClassIndex cls) const {
   const auto& controller = controllers_[cls];
   const auto& queue = classes_[cls].queue;
@@ -57,7 +58,7 @@
   return count > 0 ? sum / count : 0;
 }
 
-// Anti-windup: while the classes want more than the pool holds, the next output starts from what was given.
+// Anti-windup: while the outputs exceed the pool, the next output starts from the budget that was granted.
 void ThreadBudgetController::update(ClassIndex cls, bool saturated) {
   auto& controller = controllers_[cls];
   const auto& settings = context_.settings.classes[cls];
--- a/src/policy/thread_budget_controller.hpp
+++ b/src/policy/thread_budget_controller.hpp
@@ -10,8 +10,8 @@
 
 namespace bellstair::policy {
 
-/// A PI controller for each class (PAPER, section III.D, equation 1): it raises a class's threads while its
-/// queries wait longer than their objective, and the pool is filled by rank.
+/// A PI controller for each class (PAPER, section III.D, equation 1). It raises a class's thread budget while
+/// its queries wait longer than their objective. The pool is divided in order of rank.
 class ThreadBudgetController {
  public:
   ThreadBudgetController(const Context& context, const Fleet& fleet, const ClassTable& classes,
@@ -20,18 +20,18 @@
   /// A queued request has been sent.
   void record_dequeued(const Request& request);
 
-  /// Divides the pool as it is now by the controllers' last outputs.
+  /// Divides the current pool by the controllers' last outputs.
   void divide_pool();
   /// Computes the controllers' outputs, once in each control period.
   void sample();
 
-  /// Threads that a class may use before it takes what others leave.
+  /// Threads that a class may use before it takes threads that other classes leave free.
   [[nodiscard]] double budget(ClassIndex cls) const { return controllers_[cls].budget; }
 
  private:
   struct ClassController {
     double output = 0;        // threads
-    double budget = 0;        // threads; what the division by rank has left of the output
+    double budget = 0;        // threads; the part of the output granted by the division by rank
     double last_error = 0;    // in wait objectives
     double wait_seconds = 0;  // of the queries sent in this period
     double sent = 0;          // queries in this period
--- a/tests/net/shapes_test.cpp
+++ b/tests/net/shapes_test.cpp
@@ -142,7 +142,7 @@
     std::vector<json> taken, refused;
   };
   const std::vector<Field> fields{
-      {"/settings/balancers", "gateways", {1, 1024}, {0}},
+      {"/settings/balancers", "balancers", {1, 1024}, {0}},
       {"/settings/balancers", "balancers", {}, {-1, "3", 0.5e300}},
       {"/settings/tenants", "tenants", {nullptr, json::array()}, {1, json{"acme"}}},
       {"/settings/tenants/0/portion", "portion", {nullptr, 0, 1}, {"x"}},
@@ -172,11 +172,11 @@
       {"/settings/family-info/tells-cost", "tells-cost", {nullptr, true, false}, {"no"}},
       {"/settings/family-info", "family-info", {}, {nullptr}},
       {"/settings/safety", "safety", {}, {nullptr}},
-      {"/settings/safety/cold-from", "cold_from", {1, 0.01}, {0, 1.5}},
+      {"/settings/safety/cold-from", "cold-from", {1, 0.01}, {0, 1.5}},
       {"/settings/safety/turn-gap", "turn-gap", {nullptr, 0}, {-1}},
       {"/settings/safety/tip-multiple", "tip-multiple", {nullptr, 0}, {"x"}},
       {"/settings/ceilings", "ceilings", {}, {nullptr}},
-      {"/settings/ceilings/max-attempts", "max_attempts", {nullptr, 1}, {0}},
+      {"/settings/ceilings/max-attempts", "max-attempts", {nullptr, 1}, {0}},
       {"/settings/ceilings/max-attempts", "max-attempts", {}, {-1, "4"}},
       {"/settings/ceilings/may-tell", "may-tell", {nullptr, true, false}, {1}},
       {"/settings/ceilings/dial-timeout", "dial-timeout", {nullptr, 1}, {-1, "x"}},
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -186,9 +186,9 @@
   EXPECT_NE(with([](auto& s) { s.classes[2].deduplication_window = 1ms; }).find("semantics"),
             std::string::npos);
   EXPECT_NE(with([](auto& s) { s.classes[2].name = "x"; }).find("classes[].name"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.classes[2].ordered_by_key = true; }).find("in_order"), std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.classes[2].ordered_by_key = true; }).find("in-order"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.kinds.pop_back(); }).find("kinds"), std::string::npos);
-  EXPECT_NE(with([](auto& s) { s.brokers = 2; }).find("gateways"), std::string::npos);
+  EXPECT_NE(with([](auto& s) { s.brokers = 2; }).find("balancers"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.zone = 2; }).find("zones"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.max_attempts = 9; }).find("can't change"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.retry_budget.emplace().window = 1s; }).find("can't change"),
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -398,7 +398,7 @@
     Scheduler g(s, 1);
     FAIL();
   } catch (const std::invalid_argument& error) {
-    EXPECT_NE(std::string(error.what()).find("gateways"), std::string::npos);
+    EXPECT_NE(std::string(error.what()).find("balancers"), std::string::npos);
   }
   s = plain_settings();
   s.classes[0].latency_objective = 0s;
