--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -1,5 +1,6 @@
-// The control loop, against sequences worked out by hand from U(m) = U(m-1) + g (E(m) - r E(m-1)), with
-// g = -0.80 in tenths of the pool, r = 0.30, E in wait aims, and a wait aim of 0.30 of the latency aim.
+// The thread budget controller, against sequences computed from U(m) = U(m-1) + g (E(m) - r E(m-1)), with
+// g = -0.80 in tenths of the pool, r = 0.30, E in wait objectives, and a wait objective of 0.30 of the
+// latency objective.
 #include <gtest/gtest.h>
 
 #include "bench.hpp"
@@ -7,19 +8,19 @@
 namespace bellstair::policy::test {
 namespace {
 
-Settings loop_settings() {
+Settings controller_settings() {
   Settings s = plain_settings();
-  s.kinds = {{"one", 10, 0}};  // pool of one engine and one gateway: 20 threads
+  s.kinds = {{"one", 10, 0}};  // pool of one engine and one broker: 20 threads
   s.classes.resize(1);
-  s.classes[0].latency_objective = 100s;  // wait aim 30 s
-  s.classes[0].objective_stretch = 10;    // nothing is given up while the loop is watched
+  s.classes[0].latency_objective = 100s;  // wait objective 30 s
+  s.classes[0].objective_stretch = 10;    // no request is rejected during the test
   s.classes[0].client_timeout = 1000s;
   s.max_attempts = 1;
   return s;
 }
 
-TEST(ControlLoop, AClassThatDoesNotWaitFallsToOneQuerysThreads) {
-  Settings s = loop_settings();
+TEST(ThreadBudgetController, LowersBudgetOfIdleClassToOneQuery) {
+  Settings s = controller_settings();
   s.classes[0].threads = 2;
   Drive d(s);
   d.list({engine(7)});
@@ -28,84 +29,85 @@
   EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
 }
 
-TEST(ControlLoop, QueriesStillWaitingShowInTheMeasure) {
-  Drive d(loop_settings());
+TEST(ThreadBudgetController, KeepsMinimumBudgetWithoutReadyEngine) {
+  Drive d(controller_settings());
   d.list({engine(7)});
   d.list({with_state(engine(7), EngineState::draining)}, EndpointListKind::delta);
   d.ask(1, 0, 500s);
   d.until(d.now + 60s);
-  // Nothing is ready: the pool is 0, budgets stay at the least. Then the engine comes back with 20 threads,
-  // and a query taken long ago has waited past the aim.
+  // No engine is ready: the pool is 0 instead of 20 threads, and the budget stays at its minimum although a
+  // query has waited past the objective.
   EXPECT_DOUBLE_EQ(d.gateway.class_status(0).budget, 1);
   EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 0);
 }
 
-TEST(ControlLoop, FollowsTheFormula) {
-  Settings s = loop_settings();
+TEST(ThreadBudgetController, FollowsControlEquation) {
+  Settings s = controller_settings();
   s.kinds[0].cores = 10;
   Drive d(s);
-  // One engine whose every slot is taken by this class, with more queries held behind: E falls below 0.
+  // This class uses all threads of the one engine and has another query queued, so E falls below 0.
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.class_status(0).queued, 1U) << "20 threads of the pool, and one held";
-  // Period m ends at 2 s x m; one query is held since 0 s, so its wait is 2m seconds.
-  // Period 1 also holds the 20 that went at once: mean wait 2 / 21.
+  ASSERT_EQ(d.gateway.class_status(0).queued, 1U) << "20 run on the threads of the pool, and one is queued";
+  // Period m ends at 2 s x m; one query is queued since 0 s, so its wait is 2m seconds.
+  // Period 1 also counts the 20 that were sent at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
-  double u = 1, before = 0;
+  double output = 1, last_error = 0;
   for (int m = 1; m <= 25; ++m) {
-    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill,
-                                 1}});  // a word, so that the engine is not taken for silent
+    // Progress, so that the engine does not count as silent.
+    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
-    u = std::clamp(u + gain * (error - 0.3 * before), 1.0, pool);
-    before = error;
-    EXPECT_NEAR(d.gateway.class_status(0).budget, u, 1e-6) << "period " << m;
+    output = std::clamp(output + gain * (error - 0.3 * last_error), 1.0, pool);
+    last_error = error;
+    EXPECT_NEAR(d.gateway.class_status(0).budget, output, 1e-6) << "period " << m;
   }
-  EXPECT_GT(u, 1.0) << "the sequence must leave the lower bound";
+  EXPECT_GT(output, 1.0) << "the sequence must leave the lower bound";
 }
 
-// Two classes, both waiting: the first takes what it asks for, the second what is left; once the sum passed
-// the pool, each starts from what it got, not from what it asked for.
-TEST(ControlLoop, BudgetsFillByRankAndSaturationStartsFromWhatAClassGot) {
-  Settings s = loop_settings();
+// Two classes with queued queries: the first in rank is granted its output, the second the rest of the pool.
+// Once the outputs exceed the pool, the next ones start from the budgets granted, not from the last outputs.
+TEST(ThreadBudgetController, DividesPoolByRankAndLimitsWindup) {
+  Settings s = controller_settings();
   s.classes.push_back(s.classes[0]);
-  s.classes[1].latency_objective = 101s;  // ranks second; wait aim 30.3 s
+  s.classes[1].latency_objective = 101s;  // ranks second; wait objective 30.3 s
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
   d.ask(22, 1, 900s);
-  const double pool = 20, gain = -1.6, aims[] = {30, 30.3};
-  double u[] = {1, 1}, got[] = {1, 1}, before[] = {0, 0};
+  const double pool = 20, gain = -1.6, objectives[] = {30, 30.3};
+  double output[] = {1, 1}, granted[] = {1, 1}, last_error[] = {0, 0};
   bool saturated_once = false;
   for (int m = 1; m <= 36; ++m) {
     d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
-    const bool saturated = u[0] + u[1] > pool;
+    const bool saturated = output[0] + output[1] > pool;
     saturated_once = saturated_once || saturated;
     for (int c = 0; c < 2; ++c) {
       const double wait = m == 1 && c == 0 ? 2.0 / 21 : 2.0 * m;
-      const double error = (aims[c] - wait) / aims[c];
-      u[c] = std::clamp((saturated ? got[c] : u[c]) + gain * (error - 0.3 * before[c]), 1.0, pool);
-      before[c] = error;
+      const double error = (objectives[c] - wait) / objectives[c];
+      output[c] =
+          std::clamp((saturated ? granted[c] : output[c]) + gain * (error - 0.3 * last_error[c]), 1.0, pool);
+      last_error[c] = error;
     }
-    got[0] = std::min(u[0], pool);
-    got[1] = std::max(1.0, std::min(u[1], pool - got[0]));
+    granted[0] = std::min(output[0], pool);
+    granted[1] = std::max(1.0, std::min(output[1], pool - granted[0]));
     for (ClassIndex c = 0; c < 2; ++c)
-      EXPECT_NEAR(d.gateway.class_status(c).budget, got[c], 1e-6) << "period " << m << " class " << c;
+      EXPECT_NEAR(d.gateway.class_status(c).budget, granted[c], 1e-6) << "period " << m << " class " << c;
   }
   EXPECT_TRUE(saturated_once);
 }
 
-TEST(ControlLoop, ALostEngineChangesThePoolAtOnce) {
-  Drive d(loop_settings());
+TEST(ThreadBudgetController, RemovedEngineShrinksPoolAtOnce) {
+  Drive d(controller_settings());
   d.list({engine(7), engine(8)});
   EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 40);
   d.list({with_state(engine(8), EngineState::gone)}, EndpointListKind::delta);
   EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
 }
 
-TEST(Release, TheShorterObjectiveGoesFirstAndThenTheWeight) {
+TEST(Scheduler, SendsShortestObjectiveFirstThenHighestWeight) {
   Settings s = plain_settings();
   s.kinds = {{"one", 0.5, 0}};  // one thread
   s.classes.resize(3);
@@ -129,7 +131,7 @@
   EXPECT_EQ(d.sends[filled].request, 12U);
 }
 
-TEST(Determinism, SameEventsSameActions) {
+TEST(Scheduler, SameEventsGiveSameActions) {
   const auto run = [] {
     Drive d(plain_settings(), 99);
     d.list({engine(3), engine(4), engine(5)});
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -1,4 +1,5 @@
-// A running broker takes up a whole new configuration in one event: the overlay, the module, the core.
+// A running broker applies a whole new configuration in one event: the overlay of a version on the settings,
+// the scheduler, the reducer and the hooks.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -16,7 +17,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-Overlay started() {
+Overlay initial_overlay() {
   Overlay out;
   out.settings = test::small_settings();
   out.settings.classes.push_back(out.settings.classes[0]);
@@ -37,14 +38,14 @@
   return out;
 }
 
-bool nothing(std::uint32_t) { return false; }
+bool none_referenced(std::uint32_t) { return false; }
 
-TEST(Overlay, DependsOnOneVersionAlone) {
-  const auto start = started();
+TEST(Overlay, DependsOnLatestVersionOnly) {
+  const auto start = initial_overlay();
   Document first = document({"second", "third"});
   first.changelog = "127.0.0.1:2";
   first.classes = {{"report", {}, 1s, 7s, 2.0, 0.1}};
-  const auto one = overlay(start, start, first, nothing);
+  const auto one = overlay(start, start, first, none_referenced);
   EXPECT_EQ(one.changelog, "127.0.0.1:2");
   EXPECT_EQ(one.settings.classes[1].latency_objective, 1s);
   EXPECT_EQ(one.settings.classes[1].client_timeout, 7s);
@@ -54,11 +55,11 @@
   EXPECT_EQ(one.settings.tenants,
             (std::vector<policy::TenantSettings>{{"first", 0, 0}, {"second", 0.5, 5}, {"third", 0.5, 5}}));
   EXPECT_FALSE(one.names.tenants.contains("first"));
-  EXPECT_NE(one.names.no_tenant, 0U) << "who names no tenant is not the one that was removed";
+  EXPECT_NE(one.names.no_tenant, 0U) << "requests without a tenant do not belong to the removed tenant";
 
   Document second;
   second.classes = {{"lookup", {}, {}, {}, 3.0, {}}};
-  const auto two = overlay(start, one, second, nothing);
+  const auto two = overlay(start, one, second, none_referenced);
   EXPECT_EQ(two.changelog, start.changelog);
   EXPECT_EQ(two.settings.classes[1], start.settings.classes[1]);
   EXPECT_EQ(two.settings.classes[0].priority_weight, 3);
@@ -67,61 +68,62 @@
   EXPECT_EQ(two.names.no_tenant, 0U);
   EXPECT_EQ(two.settings.tenants[0], start.settings.tenants[0]);
   EXPECT_EQ(two.settings.tenants[1], start.settings.tenants[1]);
-  // What follows from a document is the same whatever came before it, but for the slots' order.
-  const auto again = overlay(start, two, first, nothing);
+  // A document gives the same result whatever version came before it, except for the order of the slots.
+  const auto again = overlay(start, two, first, none_referenced);
   for (const auto& [name, slot] : again.names.tenants)
     EXPECT_EQ(again.settings.tenants[slot], one.settings.tenants[one.names.tenants.at(name)]);
   EXPECT_EQ(again.names.tenants.size(), one.names.tenants.size());
 }
 
-TEST(Overlay, ASlotIsUsedAgainOnlyWhenNothingRefersToIt) {
-  const auto start = started();
-  auto now = overlay(start, start, document({"first", "a", "b"}), nothing);
+TEST(Overlay, ReusesSlotOnlyWhenUnreferenced) {
+  const auto start = initial_overlay();
+  auto now = overlay(start, start, document({"first", "a", "b"}), none_referenced);
   ASSERT_EQ(now.names.tenants.at("a"), 2U);
   ASSERT_EQ(now.names.tenants.at("b"), 3U);
-  const auto held = [](std::uint32_t slot) { return slot == 2; };
-  now = overlay(start, now, document({"first", "b", "c"}), nothing);
-  EXPECT_EQ(now.names.tenants.at("c"), 4U) << "requests of \"a\" may still be on their way in";
+  const auto is_referenced = [](std::uint32_t slot) { return slot == 2; };
+  now = overlay(start, now, document({"first", "b", "c"}), none_referenced);
+  EXPECT_EQ(now.names.tenants.at("c"), 4U) << "requests of \"a\" may still arrive";
   EXPECT_EQ(now.settings.tenants[2], (policy::TenantSettings{"a", 0, 0}));
-  now = overlay(start, now, document({"first", "b", "c", "d"}), held);
+  now = overlay(start, now, document({"first", "b", "c", "d"}), is_referenced);
   EXPECT_EQ(now.names.tenants.at("d"), 5U);
-  now = overlay(start, now, document({"first", "a", "b", "c", "d"}), held);
-  EXPECT_EQ(now.names.tenants.at("a"), 2U) << "the name has come back";
-  now = overlay(start, now, document({"first", "b", "c", "d"}), held);
-  now = overlay(start, now, document({"first", "b", "c", "d", "e"}), nothing);
-  EXPECT_EQ(now.names.tenants.at("e"), 2U) << "nothing refers to \"a\" any more";
-  EXPECT_EQ(now.settings.tenants[1].name, "second") << "the platform's own stay where they are";
+  now = overlay(start, now, document({"first", "a", "b", "c", "d"}), is_referenced);
+  EXPECT_EQ(now.names.tenants.at("a"), 2U) << "the name is used again";
+  now = overlay(start, now, document({"first", "b", "c", "d"}), is_referenced);
+  now = overlay(start, now, document({"first", "b", "c", "d", "e"}), none_referenced);
+  EXPECT_EQ(now.names.tenants.at("e"), 2U) << "\"a\" is no longer referenced";
+  EXPECT_EQ(now.settings.tenants[1].name, "second") << "the platform's own tenants keep their slots";
 }
 
-TEST(Overlay, AHundredThousandChangesStayBounded) {
-  const auto start = started();
+TEST(Overlay, SlotCountStaysBoundedOverManyChanges) {
+  const auto start = initial_overlay();
   auto now = start;
   std::mt19937_64 random(7);
-  std::size_t most = 0;
-  std::map<std::uint32_t, std::string> held;  // what requests refer to
+  std::size_t max_slots = 0;
+  std::map<std::uint32_t, std::string> referenced;  // slots that requests refer to
   for (int change = 0; change < 100'000; ++change) {
     std::vector<std::string> names;
     std::set<std::string> seen;
     for (auto n = random() % 5; n > 0; --n) {
-      // Half of them are new for ever.
+      // Half of the names are unique to this change.
       auto name = random() % 2 == 0 ? "t" + std::to_string(change) + "-" + std::to_string(n)
                                     : "u" + std::to_string(random() % 12);
       if (seen.insert(name).second) names.push_back(std::move(name));
     }
-    now = overlay(start, now, document(names), [&](std::uint32_t slot) { return held.contains(slot); });
+    now = overlay(start, now, document(names), [&](std::uint32_t slot) { return referenced.contains(slot); });
     ASSERT_EQ(now.names.tenants.size(), names.size());
     for (const auto& [name, slot] : now.names.tenants) ASSERT_EQ(now.settings.tenants.at(slot).name, name);
-    for (const auto& [slot, name] : held) ASSERT_EQ(now.settings.tenants.at(slot).name, name);
-    if (held.size() >= 6) held.erase(held.begin());
-    if (!names.empty()) held[now.names.tenants.at(names[0])] = names[0];
-    most = std::max(most, now.settings.tenants.size());
+    for (const auto& [slot, name] : referenced) ASSERT_EQ(now.settings.tenants.at(slot).name, name);
+    if (referenced.size() >= 6) referenced.erase(referenced.begin());
+    if (!names.empty()) referenced[now.names.tenants.at(names[0])] = names[0];
+    max_slots = std::max(max_slots, now.settings.tenants.size());
   }
-  EXPECT_LE(most, 2U + 4 + 4 + 6) << "the platform's, two versions' and what is held";
+  EXPECT_LE(max_slots, 2U + 4 + 4 + 6)
+      << "the platform's tenants, those of two versions and the referenced ones";
 }
 
-TEST(Names, RequestsWithoutATenantAreNotChargedToWhoeverTookItsPlace) {
-  const auto start = started();
-  const auto now = overlay(start, start, document({"second"}), nothing);
+TEST(Overlay, RequestsWithoutTenantAreNotChargedToAnother) {
+  const auto start = initial_overlay();
+  const auto now = overlay(start, start, document({"second"}), none_referenced);
   const auto parse = [&](const std::string& team) {
     return platform::parse_rpc(
         R"({"jsonrpc":"2.0","id":1,"method":"lookup","params":{"txn":"9b1f03aa5c7e2d41",)"
@@ -139,19 +141,19 @@
 }  // namespace
 }  // namespace bellstair::config
 
-// ---- the module
+// ---- the scheduler
 
 namespace bellstair::policy::test {
 namespace {
 
-Settings shared() {
+Settings two_tenant_settings() {
   auto s = plain_settings();
   s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
   return s;
 }
 
-RequestId ask_for(Drive& d, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
+RequestId submit(Drive& d, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
   RequestArrival a;
   a.request = id;
   a.cls = cls;
@@ -161,23 +163,23 @@
   return id;
 }
 
-std::string refusal(Scheduler& gateway, const Settings& settings) {
+std::string reconfigure_error(Scheduler& scheduler, const Settings& settings) {
   try {
-    gateway.reconfigure(settings);
+    scheduler.reconfigure(settings);
   } catch (const std::invalid_argument& error) {
     return error.what();
   }
   return "";
 }
 
-TEST(Reconfigure, WhatCannotChangeIsNamedAndNothingHasChanged) {
-  const auto base = shared();
+TEST(SchedulerReconfigure, NamesFixedFieldAndChangesNothing) {
+  const auto base = two_tenant_settings();
   Drive d(base);
   const auto with = [&](auto change) {
     auto s = base;
-    s.classes[0].latency_objective = 9s;  // would be taken up otherwise
+    s.classes[0].latency_objective = 9s;  // would apply if the rest were valid
     change(s);
-    return refusal(d.gateway, s);
+    return reconfigure_error(d.gateway, s);
   };
   EXPECT_NE(with([](auto& s) { s.classes.pop_back(); }).find("the number of classes"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.classes[2].threads = 2; }).find("classes[].threads"), std::string::npos);
@@ -197,7 +199,7 @@
             std::string::npos);
   EXPECT_NE(with([](auto& s) { s.tenants[1].quota_fraction = -1; }).find("must not be below 0"),
             std::string::npos);
-  // Class 0 is still the first in rank: of two that wait, it goes first.
+  // Class 0 still has the highest rank: of two queued requests, its request is sent first.
   d.ask(1, 1);
   d.ask(2, 0);
   d.list({engine(7)});
@@ -212,38 +214,38 @@
     if (const auto* send = std::get_if<SendAttempt>(&action))
       out += std::to_string(send->request) + '>' + std::to_string(send->engine) + '@' +
              std::to_string(send->give_up_at.count());
-    if (const auto* refuse = std::get_if<Reject>(&action)) out += std::to_string(refuse->request);
+    if (const auto* reject = std::get_if<Reject>(&action)) out += std::to_string(reject->request);
     if (const auto* fail = std::get_if<Fail>(&action)) out += std::to_string(fail->request);
-    if (const auto* off = std::get_if<CancelAttempt>(&action)) out += std::to_string(off->request);
-    if (const auto* tell = std::get_if<SendGossip>(&action)) out += tell->bytes;
+    if (const auto* cancel = std::get_if<CancelAttempt>(&action)) out += std::to_string(cancel->request);
+    if (const auto* gossip = std::get_if<SendGossip>(&action)) out += gossip->bytes;
     out += ' ';
   }
   return out;
 }
 
-// Twenty crowded seconds, all that was done in them as text. `at`: called every 100 ms.
-std::string crowded_day(const std::function<void(Scheduler&, int)>& at) {
-  auto s = shared();
+// Runs 20 seconds under overload and returns all actions as text. Calls `each_100_ms` every 100 ms.
+std::string run_overloaded(const std::function<void(Scheduler&, int)>& each_100_ms) {
+  auto s = two_tenant_settings();
   s.brokers = 2;
   s.may_gossip = true;
   Drive d(s, 5);
   d.list({engine(7), engine(8), engine(9)});
   std::mt19937_64 random(11);
-  std::multimap<Time, std::pair<SendAttempt, ClassIndex>> out;
+  std::multimap<Time, std::pair<SendAttempt, ClassIndex>> in_flight;
   std::map<RequestId, ClassIndex> classes;
-  std::map<RequestId, AttemptIndex> tries;
+  std::map<RequestId, AttemptIndex> attempts;
   std::string text;
   RequestId id = 0;
-  std::size_t seen = 0;
+  std::size_t handled_sends = 0;
   for (int step = 0; step < 2000; ++step) {
     const Time now = d.now + 10ms;
     std::vector<Event> events;
     if (d.wake <= now) events.emplace_back(TimerFired{});
-    for (; !out.empty() && out.begin()->first <= now; out.erase(out.begin())) {
-      const auto& send = out.begin()->second.first;
+    for (; !in_flight.empty() && in_flight.begin()->first <= now; in_flight.erase(in_flight.begin())) {
+      const auto& send = in_flight.begin()->second.first;
       AttemptOutcome o;
       o.request = send.request;
-      o.attempt = tries[send.request]++;
+      o.attempt = attempts[send.request]++;
       o.engine = send.engine;
       o.result = random() % 40 == 0 ? AttemptResult::error : AttemptResult::served;
       o.latency = 200ms;
@@ -258,32 +260,35 @@
       a.time_left = 3s;
       events.emplace_back(a);
     }
-    if (step % 10 == 0) at(d.gateway, step / 10);
+    if (step % 10 == 0) each_100_ms(d.gateway, step / 10);
     text += text_of(d.at(now, events));
-    for (; seen < d.sends.size(); ++seen)
-      out.insert({now + 100ms + std::chrono::milliseconds(random() % 300), {d.sends[seen], 0}});
+    for (; handled_sends < d.sends.size(); ++handled_sends)
+      in_flight.insert(
+          {now + 100ms + std::chrono::milliseconds(random() % 300), {d.sends[handled_sends], 0}});
   }
   return text;
 }
 
-// Queues, attempts, the control loop's state, paces, rates, tokens, the sequence of chance: all of it carries
-// on.
-TEST(Reconfigure, TheSameSettingsAgainChangeNothing) {
-  auto s = shared();
+// Queues, attempts, the control loop's state, latency ratios, rates, tokens and the random sequence must all
+// stay as they are.
+TEST(SchedulerReconfigure, SameSettingsChangeNothing) {
+  auto s = two_tenant_settings();
   s.brokers = 2;
   s.may_gossip = true;
-  const auto left_alone = crowded_day([](Scheduler&, int) {});
-  const auto told_again = crowded_day([&](Scheduler& gateway, int) { gateway.reconfigure(s); });
-  EXPECT_GT(left_alone.size(), 20'000U);
-  EXPECT_NE(left_alone.find("2:"), std::string::npos) << "some are refused";
-  EXPECT_TRUE(left_alone == told_again);
-  auto dearer = s;
-  dearer.classes[2].latency_objective = 100ms;
-  const auto changed = crowded_day([&](Scheduler& gateway, int) { gateway.reconfigure(dearer); });
-  EXPECT_FALSE(left_alone == changed) << "the day tells such things apart";
+  const auto without_change = run_overloaded([](Scheduler&, int) {});
+  const auto with_same_settings =
+      run_overloaded([&](Scheduler& scheduler, int) { scheduler.reconfigure(s); });
+  EXPECT_GT(without_change.size(), 20'000U);
+  EXPECT_NE(without_change.find("2:"), std::string::npos) << "some requests are rejected";
+  EXPECT_TRUE(without_change == with_same_settings);
+  auto shorter_objective = s;
+  shorter_objective.classes[2].latency_objective = 100ms;
+  const auto changed =
+      run_overloaded([&](Scheduler& scheduler, int) { scheduler.reconfigure(shorter_objective); });
+  EXPECT_FALSE(without_change == changed) << "the run must depend on the settings";
 }
 
-TEST(Reconfigure, RanksAreMadeAnewForWhatWaits) {
+TEST(SchedulerReconfigure, RecomputesRanksForQueuedRequests) {
   auto s = plain_settings();
   Drive d(s);
   d.ask(1, 0);
@@ -295,19 +300,20 @@
   EXPECT_EQ(d.sends[0].request, 2U);
 }
 
-// The formula of the control loop, by its own state and error: a version at every sample does not disturb it.
-TEST(Reconfigure, TheControlLoopGoesOnFromItsState) {
+// The control loop follows its equation from its own last output and error, although new settings are applied
+// before every sample.
+TEST(SchedulerReconfigure, ControlLoopKeepsItsState) {
   Settings s;
   s.kinds = {{"one", 10, 0}};
   s.classes.resize(1);
-  s.classes[0].latency_objective = 100s;  // wait aim 30 s
-  s.classes[0].objective_stretch = 10;    // nothing is given up meanwhile
+  s.classes[0].latency_objective = 100s;  // wait objective 30 s
+  s.classes[0].objective_stretch = 10;    // no request is rejected during the test
   s.classes[0].client_timeout = 1000s;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
   ASSERT_EQ(d.gateway.class_status(0).queued, 1U);
-  double u = 1, before = 0;
+  double output = 1, last_error = 0;
   for (int m = 1; m <= 25; ++m) {
     s.classes[0].priority_weight = m;
     s.tenants = {{"t" + std::to_string(m), 1, 10}};
@@ -315,50 +321,50 @@
     d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double error = (30 - (m == 1 ? 2.0 / 21 : 2.0 * m)) / 30;
-    u = std::clamp(u - 0.8 * 2 * (error - 0.3 * before), 1.0, 20.0);
-    before = error;
-    EXPECT_NEAR(d.gateway.class_status(0).budget, u, 1e-6) << "period " << m;
+    output = std::clamp(output - 0.8 * 2 * (error - 0.3 * last_error), 1.0, 20.0);
+    last_error = error;
+    EXPECT_NEAR(d.gateway.class_status(0).budget, output, 1e-6) << "period " << m;
   }
-  EXPECT_GT(u, 1.0);
+  EXPECT_GT(output, 1.0);
 }
 
-TEST(Reconfigure, BucketsCarryOverAndNewOnesBeginAsAtTheStart) {
-  auto s = shared();
+TEST(SchedulerReconfigure, KeepsTokensAndFillsNewBuckets) {
+  auto s = two_tenant_settings();
   Drive d(s);
   d.list({});
   RequestId id = 0;
-  const auto until_refused = [&](std::uint32_t tenant) {
-    int taken = 0;
-    while (taken < 1000 && d.refused[ask_for(d, ++id, tenant)] == 0) ++taken;
-    return taken;
+  const auto admitted_before_rejection = [&](std::uint32_t tenant) {
+    int admitted = 0;
+    while (admitted < 1000 && d.refused[submit(d, ++id, tenant)] == 0) ++admitted;
+    return admitted;
   };
-  ask_for(d, ++id, 0);  // one waits: from here on what is past its share is refused
-  const int at_start = until_refused(1);
+  submit(d, ++id, 0);  // one is queued: from now on requests over quota are rejected
+  const int at_start = admitted_before_rejection(1);
   EXPECT_GT(at_start, 10);
-  // The bucket is empty, and stays empty though its tenant's share grows.
+  // The bucket is empty, and stays empty although its tenant's quota grows.
   s.tenants[1].quota_fraction = 0.9;
   s.tenants.push_back({"new", 0.5, 20});
   d.gateway.reconfigure(s);
-  EXPECT_EQ(until_refused(1), 0);
-  EXPECT_EQ(until_refused(2), at_start) << "as its share has it, whoever else is there";
-  // A full bucket is cut to what its tenant's new share lets it hold: 2 s of it, and 3 on top.
+  EXPECT_EQ(admitted_before_rejection(1), 0);
+  EXPECT_EQ(admitted_before_rejection(2), at_start) << "its burst depends only on its own quota";
+  // A full bucket is cut to its size under its tenant's new quota: 2 s of refill and 3 more tokens.
   s.tenants[0] = {"calm", 0.01, 0.1};
   d.gateway.reconfigure(s);
-  EXPECT_LE(until_refused(0), 4);
-  // Another name in the same place is another tenant.
+  EXPECT_LE(admitted_before_rejection(0), 4);
+  // Another name at the same index is another tenant.
   s.tenants[1] = {"other", 0.5, 20};
   d.gateway.reconfigure(s);
-  EXPECT_EQ(until_refused(1), at_start);
-  // Removed, it keeps what it has, and gets nothing more.
+  EXPECT_EQ(admitted_before_rejection(1), at_start);
+  // A removed tenant keeps its tokens and receives no more.
   s.tenants[2].quota_fraction = s.tenants[2].quota_per_s = 0;
   d.gateway.reconfigure(s);
   d.until(d.now + 5s);
-  EXPECT_LE(until_refused(2), 3);
+  EXPECT_LE(admitted_before_rejection(2), 3);
 }
 
-// With a shorter limit nothing has waited longer: after an absence of the gateway fresh queries are not taken
-// for old ones.
-TEST(Reconfigure, AShorterLimitIsNotTakenForWaiting) {
+// After client_timeout was reduced, the shorter time left of a new request must not be mistaken for a wait
+// during a stall of the broker.
+TEST(SchedulerReconfigure, ReducedTimeoutDoesNotCountAsWaiting) {
   auto s = plain_settings();
   Drive d(s);
   d.list({engine(7)});
@@ -369,7 +375,7 @@
   RequestArrival fresh;
   fresh.request = 2;
   fresh.time_left = 2s;
-  d.at(d.now + 3s, {fresh});  // away for so long
+  d.at(d.now + 3s, {fresh});  // after a stall
   EXPECT_EQ(d.answers(2), 0);
   EXPECT_EQ(d.sends_of(2), 1);
 }
@@ -377,15 +383,15 @@
 }  // namespace
 }  // namespace bellstair::policy::test
 
-// ---- the core
+// ---- the reducer
 
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
 
-policy::Settings settings(Time give_up) {
+policy::Settings two_class_settings(Time client_timeout) {
   auto s = test::small_settings();
-  s.classes[0].client_timeout = give_up;
+  s.classes[0].client_timeout = client_timeout;
   auto report = s.classes[0];
   report.name = "report";
   report.latency_objective = 2s;
@@ -397,268 +403,272 @@
   return s;
 }
 
-class Running {
+class ReducerDriver {
  public:
-  explicit Running(hooks::Set set = {}, Time give_up = 3s)
-      : with(settings(give_up)), reducer(with, 1, std::size_t{64} << 20, std::move(set), "127.0.0.1:1") {
-    at(0ms, ListenersReady{});
-    at(0ms, EndpointUpdate{true, {test::member(7)}, true});
-    at(0ms, Tick{});
+  explicit ReducerDriver(hooks::Set set = {}, Time client_timeout = 3s)
+      : settings(two_class_settings(client_timeout)),
+        reducer(settings, 1, std::size_t{64} << 20, std::move(set), "127.0.0.1:1") {
+    reduce(0ms, ListenersReady{});
+    reduce(0ms, EndpointUpdate{true, {test::member(7)}, true});
+    reduce(0ms, Tick{});
   }
-  void at(Time after, Event event) {
-    now += after;
+  void reduce(Time delay, Event event) {
+    now += delay;
     reducer.reduce(now, std::move(event), effects);
   }
-  void pass(Time time) {
-    for (const Time end = now + time; now < end;) at(std::min<Time>(5ms, end - now), Tick{});
+  void run_for(Time time) {
+    for (const Time end = now + time; now < end;) reduce(std::min<Time>(5ms, end - now), Tick{});
   }
-  void ask(ClientHandle client, ClassIndex cls = 0, std::uint32_t tenant = 0, Time limit = 2s) {
-    Submission asked;
-    asked.client = client;
-    asked.cls = cls;
-    asked.tenant = tenant;
-    asked.time_limit = limit;
-    asked.body = "SELECT 1";
-    at(10ms, RequestReceived{asked});
+  void submit(ClientHandle client, ClassIndex cls = 0, std::uint32_t tenant = 0, Time limit = 2s) {
+    Submission submission;
+    submission.client = client;
+    submission.cls = cls;
+    submission.tenant = tenant;
+    submission.time_limit = limit;
+    submission.body = "SELECT 1";
+    reduce(10ms, RequestReceived{submission});
   }
-  void offer(std::uint64_t number, std::string changelog = {}) {
-    at(0ms, SettingsOffered{3, number, with, std::move(changelog), std::make_shared<const int>(7)});
+  void offer_settings(std::uint64_t number, std::string changelog = {}) {
+    reduce(0ms, SettingsOffered{3, number, settings, std::move(changelog), std::make_shared<const int>(7)});
   }
-  void finish(AttemptId id, AttemptEnd how, std::string body = {}) {
+  void end_attempt(AttemptId id, AttemptEnd end, std::string body = {}) {
     AttemptEnded ended;
     ended.id = id;
-    ended.end = how;
+    ended.end = end;
     ended.body = std::move(body);
-    at(10ms, ended);
+    reduce(10ms, ended);
   }
   template <class T>
   std::vector<T> all() const {
     return test::all_of<T>(effects);
   }
-  bool said(const std::string& text) const {
+  bool logged(const std::string& text) const {
     for (const auto& line : all<Log>()) {
       if (line.text.find(text) != std::string::npos) return true;
     }
     return false;
   }
-  policy::Settings with;  // for the next offer
+  policy::Settings settings;  // for the next offer_settings()
   Time now = 1'700'000'000s;
   Effects effects;
   Reducer reducer;
 };
 
-TEST(Reconfigured, OneEventTakesAllOfItUp) {
-  Running r;
-  r.with.classes[1].latency_objective = 100ms;
+TEST(ReducerReconfigure, AppliesAllSettingsInOneEvent) {
+  ReducerDriver r;
+  r.settings.classes[1].latency_objective = 100ms;
   r.effects.clear();
-  r.offer(17, "127.0.0.1:2");
-  const auto in_force = r.all<SettingsApplied>();
-  ASSERT_EQ(in_force.size(), 1U);
-  EXPECT_EQ(in_force[0].epoch, 3U);
-  EXPECT_EQ(in_force[0].number, 17U);
-  EXPECT_EQ(in_force[0].settings, r.with);
-  EXPECT_EQ(in_force[0].changelog, "127.0.0.1:2");
-  EXPECT_EQ(*static_cast<const int*>(in_force[0].names.get()), 7);
-  EXPECT_TRUE(r.said("settings of version 3.17 are in force"));
+  r.offer_settings(17, "127.0.0.1:2");
+  const auto applied = r.all<SettingsApplied>();
+  ASSERT_EQ(applied.size(), 1U);
+  EXPECT_EQ(applied[0].epoch, 3U);
+  EXPECT_EQ(applied[0].number, 17U);
+  EXPECT_EQ(applied[0].settings, r.settings);
+  EXPECT_EQ(applied[0].changelog, "127.0.0.1:2");
+  EXPECT_EQ(*static_cast<const int*>(applied[0].names.get()), 7);
+  EXPECT_TRUE(r.logged("settings of version 3.17 are in force"));
   EXPECT_TRUE(r.all<SettingsRejected>().empty());
 }
 
-// Without an event in between: whichever comes next finds the module and the reducer with the same settings.
-TEST(Reconfigured, NoMomentHasSettingsOfTwoVersions) {
-  Running r;
-  r.at(0ms, EndpointUpdate{true, {}, true});
-  r.ask(1, 0);
-  r.ask(2, 1);
-  r.with.classes[1].latency_objective = 100ms;  // now the first in rank
-  r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = 400ms;
+// The scheduler and the reducer change in the same event: the next event finds both with the new settings.
+TEST(ReducerReconfigure, SchedulerAndReducerChangeTogether) {
+  ReducerDriver r;
+  r.reduce(0ms, EndpointUpdate{true, {}, true});
+  r.submit(1, 0);
+  r.submit(2, 1);
+  r.settings.classes[1].latency_objective = 100ms;  // now the highest rank
+  r.settings.classes[0].client_timeout = r.settings.classes[1].client_timeout = 400ms;
   r.effects.clear();
-  r.offer(1);
-  r.at(10ms, EndpointUpdate{true, {test::member(7)}, true});  // the module is called with this alone
+  r.offer_settings(1);
+  r.reduce(10ms, EndpointUpdate{true, {test::member(7)}, true});  // the scheduler receives only this event
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 2U);
   EXPECT_EQ(starts[0].id.request, 2U) << "by the new ranks";
   for (const auto& start : starts) {
-    r.at(0ms, AttemptConnected{start.id});
-    r.finish(start.id, AttemptEnd::served);
+    r.reduce(0ms, AttemptConnected{start.id});
+    r.end_attempt(start.id, AttemptEnd::served);
   }
-  // And the reducer's: with deadlines of 0.4 s the program ends its drain at its least, 0.8 s.
-  Running s;
-  s.with.classes[0].client_timeout = s.with.classes[1].client_timeout = 400ms;
-  s.offer(1);
-  s.ask(1, 0, 0, 400ms);
-  s.at(0ms, ShutdownRequested{});
-  s.ask(2, 0, 0, 20s);
-  s.pass(780ms);
+  // The reducer has the new settings, too: with deadlines of 0.4 s its drain ends at the minimum of 0.8 s.
+  ReducerDriver s;
+  s.settings.classes[0].client_timeout = s.settings.classes[1].client_timeout = 400ms;
+  s.offer_settings(1);
+  s.submit(1, 0, 0, 400ms);
+  s.reduce(0ms, ShutdownRequested{});
+  s.submit(2, 0, 0, 20s);
+  s.run_for(780ms);
   EXPECT_EQ(s.reducer.unanswered_requests(), 1U);
-  s.pass(15ms);
+  s.run_for(15ms);
   EXPECT_EQ(s.reducer.unanswered_requests(), 0U);
 }
 
-TEST(Reconfigured, ASenselessOneLeavesEverythingAsItWas) {
-  Running r;
-  r.offer(16, "127.0.0.1:2");
-  r.at(0ms, EndpointUpdate{true, {}, true});
-  r.ask(1, 0);
-  r.ask(2, 1);
-  const auto good = r.with;
-  r.with.classes[1].latency_objective = 100ms;
-  r.with.classes[0].threads = 3;
+TEST(ReducerReconfigure, InvalidSettingsChangeNothing) {
+  ReducerDriver r;
+  r.offer_settings(16, "127.0.0.1:2");
+  r.reduce(0ms, EndpointUpdate{true, {}, true});
+  r.submit(1, 0);
+  r.submit(2, 1);
+  const auto good = r.settings;
+  r.settings.classes[1].latency_objective = 100ms;
+  r.settings.classes[0].threads = 3;
   r.effects.clear();
-  r.offer(17, "127.0.0.1:3");
+  r.offer_settings(17, "127.0.0.1:3");
   ASSERT_EQ(r.all<SettingsRejected>().size(), 1U);
   EXPECT_EQ(r.all<SettingsRejected>()[0].number, 17U);
   EXPECT_NE(r.all<SettingsRejected>()[0].problem.find("threads"), std::string::npos);
   EXPECT_TRUE(r.all<SettingsApplied>().empty());
-  EXPECT_TRUE(r.said("the old ones stay"));
-  r.at(0ms, ConfigurationRead{{}, "127.0.0.1:4", {}, {}});
+  EXPECT_TRUE(r.logged("the old ones stay"));
+  r.reduce(0ms, ConfigurationRead{{}, "127.0.0.1:4", {}, {}});
   ASSERT_EQ(r.all<FollowChangeLog>().size(), 1U);
   EXPECT_EQ(r.all<FollowChangeLog>()[0].address, "127.0.0.1:2");
-  r.at(10ms, EndpointUpdate{true, {test::member(7)}, true});
+  r.reduce(10ms, EndpointUpdate{true, {test::member(7)}, true});
   ASSERT_EQ(r.all<StartAttempt>().size(), 2U);
   EXPECT_EQ(r.all<StartAttempt>()[0].id.request, 1U);
-  r.with = good;
-  r.offer(18);
+  r.settings = good;
+  r.offer_settings(18);
   EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
 }
 
-// A SIGHUP does not undo a version; a version that names no change log goes back to what was read last.
-TEST(Reconfigured, AVersionsChangeLogWinsOverThatOfTheFile) {
-  Running r;
-  const auto read = [&](const char* address) { r.at(0ms, ConfigurationRead{{}, address, {}, {}}); };
+// A reload by SIGHUP does not replace a version's change log. A version without one returns to the address
+// that was read last.
+TEST(ReducerReconfigure, VersionOverridesChangeLogOfFile) {
+  ReducerDriver r;
+  const auto read = [&](const char* address) { r.reduce(0ms, ConfigurationRead{{}, address, {}, {}}); };
   const auto followed = [&] { return r.all<FollowChangeLog>().back().address; };
   read("127.0.0.1:2");
   EXPECT_EQ(followed(), "127.0.0.1:2");
-  r.offer(1, "127.0.0.1:3");
+  r.offer_settings(1, "127.0.0.1:3");
   EXPECT_EQ(r.all<SettingsApplied>().back().changelog, "127.0.0.1:3");
   read("127.0.0.1:4");
   EXPECT_EQ(followed(), "127.0.0.1:3");
-  EXPECT_TRUE(r.said("the change log stays at 127.0.0.1:3"));
-  r.offer(2);
+  EXPECT_TRUE(r.logged("the change log stays at 127.0.0.1:3"));
+  r.offer_settings(2);
   EXPECT_EQ(r.all<SettingsApplied>().back().changelog, "127.0.0.1:4");
   read("127.0.0.1:5");
   EXPECT_EQ(followed(), "127.0.0.1:5");
 }
 
-TEST(Reconfigured, RequestsKeepTheDeadlineTheyWereTakenWith) {
-  Running r;
-  r.ask(1, 0, 0, 2s);
+TEST(ReducerReconfigure, RequestsKeepTheirDeadline) {
+  ReducerDriver r;
+  r.submit(1, 0, 0, 2s);
   const auto id = r.all<StartAttempt>().at(0).id;
-  r.at(0ms, AttemptConnected{id});
-  r.with.classes[0].client_timeout = 100ms;
-  r.offer(1);
-  r.pass(1900ms);
+  r.reduce(0ms, AttemptConnected{id});
+  r.settings.classes[0].client_timeout = 100ms;
+  r.offer_settings(1);
+  r.run_for(1900ms);
   EXPECT_TRUE(r.all<Answer>().empty());
-  r.finish(id, AttemptEnd::served, "rows");
+  r.end_attempt(id, AttemptEnd::served, "rows");
   ASSERT_EQ(r.all<Answer>().size(), 1U);
   EXPECT_EQ(r.all<Answer>()[0].kind, AnswerKind::served);
 }
 
-// Queued, at an engine, and inside a hook: each has its one answer.
-TEST(Reconfigured, ATenantIsRemovedWhileItsRequestsAreOnTheirWay) {
+// Requests that are queued, at an engine or in a hook are each answered once.
+TEST(ReducerReconfigure, AnswersOpenRequestsOfRemovedTenant) {
   hooks::Spec spec;
   spec.id = 1;
   spec.name = "h";
   spec.phases = {true, false, false};
   spec.wait_timeout = spec.cpu_limit = 10s;
   spec.match.classes = {1};
-  Running r({{}, {spec}});
-  r.ask(1, 0, 1);
-  const auto out = r.all<StartAttempt>().at(0).id;
-  r.at(0ms, AttemptConnected{out});
-  r.ask(2, 1, 1);
+  ReducerDriver r({{}, {spec}});
+  r.submit(1, 0, 1);
+  const auto in_flight = r.all<StartAttempt>().at(0).id;
+  r.reduce(0ms, AttemptConnected{in_flight});
+  r.submit(2, 1, 1);
   ASSERT_EQ(r.all<RunHook>().size(), 1U);
-  r.at(0ms, EndpointUpdate{false, {test::member(7, policy::EngineState::draining)}, true});
-  r.ask(3, 0, 1);
+  r.reduce(0ms, EndpointUpdate{false, {test::member(7, policy::EngineState::draining)}, true});
+  r.submit(3, 0, 1);
   EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{1}));
-  r.with.tenants[1].quota_fraction = r.with.tenants[1].quota_per_s = 0;
-  r.offer(1);
+  r.settings.tenants[1].quota_fraction = r.settings.tenants[1].quota_per_s = 0;
+  r.offer_settings(1);
   EXPECT_TRUE(r.all<Answer>().empty());
-  hooks::SliceResult ran;
-  ran.job = r.all<RunHook>()[0].job;
-  ran.hook = 1;
-  ran.outcome = hooks::SliceResult::Outcome::done;
-  ran.verdict.tags = {"seen"};
-  r.at(0ms, HookRan{ran});
-  r.at(10ms, EndpointUpdate{false, {test::member(7)}, true});
-  r.finish(out, AttemptEnd::served);
+  hooks::SliceResult result;
+  result.job = r.all<RunHook>()[0].job;
+  result.hook = 1;
+  result.outcome = hooks::SliceResult::Outcome::done;
+  result.verdict.tags = {"seen"};
+  r.reduce(0ms, HookRan{result});
+  r.reduce(10ms, EndpointUpdate{false, {test::member(7)}, true});
+  r.end_attempt(in_flight, AttemptEnd::served);
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 3U);
   for (std::size_t n = 1; n < 3; ++n) {
-    r.at(0ms, AttemptConnected{starts[n].id});
-    r.finish(starts[n].id, AttemptEnd::served);
+    r.reduce(0ms, AttemptConnected{starts[n].id});
+    r.end_attempt(starts[n].id, AttemptEnd::served);
   }
-  r.pass(3s);
+  r.run_for(3s);
   std::set<ClientHandle> answered;
   for (const auto& answer : r.all<Answer>()) {
     EXPECT_EQ(answer.kind, AnswerKind::served);
     EXPECT_TRUE(answered.insert(answer.client).second);
   }
   EXPECT_EQ(answered.size(), 3U);
-  EXPECT_TRUE(r.said("tenant=second")) << "what is said of it names it still";
+  EXPECT_TRUE(r.logged("tenant=second")) << "log lines still name the tenant";
   EXPECT_TRUE(r.reducer.referenced_tenants().empty());
 }
 
-TEST(Reconfigured, HooksAndTheirCallsHoldTenants) {
+TEST(ReducerReconfigure, HooksAndTheirCallsReferenceTenants) {
   hooks::Spec spec;
   spec.id = 1;
   spec.name = "h";
   spec.phases = {false, true, false};
   spec.wait_timeout = 10s;
-  Running r({{}, {spec}});
-  r.ask(1, 0, 1, 100ms);
-  r.pass(200ms);
+  ReducerDriver r({{}, {spec}});
+  r.submit(1, 0, 1, 100ms);
+  r.run_for(200ms);
   ASSERT_EQ(r.all<Answer>().size(), 1U);
   ASSERT_EQ(r.reducer.open_requests(), 0U);
-  ASSERT_EQ(r.all<RunHook>().size(), 1U) << "it hears of the end";
+  ASSERT_EQ(r.all<RunHook>().size(), 1U) << "it is called with the answer";
   EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{1}));
   spec.id = 2;
   spec.match.tenants = {0};
-  r.at(0ms, ConfigurationRead{{}, "127.0.0.1:1", {}, hooks::Set{{}, {spec}}});
-  EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{0, 1})) << "the call is out";
-  hooks::SliceResult ran;
-  ran.job = r.all<RunHook>()[0].job;
-  ran.hook = 1;
-  ran.outcome = hooks::SliceResult::Outcome::done;
-  r.at(0ms, HookRan{ran});
+  r.reduce(0ms, ConfigurationRead{{}, "127.0.0.1:1", {}, hooks::Set{{}, {spec}}});
+  EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{0, 1}))
+      << "the call is still running";
+  hooks::SliceResult result;
+  result.job = r.all<RunHook>()[0].job;
+  result.hook = 1;
+  result.outcome = hooks::SliceResult::Outcome::done;
+  r.reduce(0ms, HookRan{result});
   EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{0}));
 }
 
-// A program that ends takes versions up as any other; the moment at which it gives up what is left stays.
-TEST(Reconfigured, AVersionDoesNotMoveTheEndOfADrain) {
-  for (const Time give_up : {Time(200ms), Time(10s)}) {
-    Running r;
-    r.ask(1, 0, 0, 20s);
-    r.at(0ms, ShutdownRequested{});
-    r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = give_up;
-    r.offer(1);
+// A draining broker applies new versions, but they don't change when it ends the remaining requests.
+TEST(ReducerReconfigure, VersionDoesNotMoveEndOfDrain) {
+  for (const Time client_timeout : {Time(200ms), Time(10s)}) {
+    ReducerDriver r;
+    r.submit(1, 0, 0, 20s);
+    r.reduce(0ms, ShutdownRequested{});
+    r.settings.classes[0].client_timeout = r.settings.classes[1].client_timeout = client_timeout;
+    r.offer_settings(1);
     EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
-    r.pass(3290ms);
+    r.run_for(3290ms);
     EXPECT_EQ(r.reducer.unanswered_requests(), 1U);
-    r.pass(15ms);
-    EXPECT_EQ(r.reducer.unanswered_requests(), 0U) << "the longest deadline, 3 s, and 0.3 s";
+    r.run_for(15ms);
+    EXPECT_EQ(r.reducer.unanswered_requests(), 0U) << "the longest deadline of 3 s and 0.3 s more";
     r.effects.clear();
-    r.at(0ms, SettingsOffered{3, 2, r.with, {}, {}});  // while it stops
+    r.reduce(0ms, SettingsOffered{3, 2, r.settings, {}, {}});  // while it stops
     EXPECT_EQ(r.all<SettingsApplied>().size(), 1U);
   }
 }
 
-// A version before the end: it can make the drain shorter, but for what was taken before; never longer.
-TEST(Reconfigured, TheDrainFollowsTheLongestDeadlineThatCounts) {
-  const auto ends_after = [](Time give_up, Time limit, Time at_start = 3s) {
-    Running r({}, at_start);
-    r.ask(1, 0, 0, limit);
-    r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = give_up;
-    r.offer(1);
-    r.at(0ms, ShutdownRequested{});
-    r.ask(2, 0, 0, 20s);
+// A version applied before the drain can shorten it, though not for requests accepted earlier. It never makes
+// it longer.
+TEST(ReducerReconfigure, DrainFollowsLongestApplicableDeadline) {
+  const auto drain_duration = [](Time client_timeout, Time limit, Time initial_timeout = 3s) {
+    ReducerDriver r({}, initial_timeout);
+    r.submit(1, 0, 0, limit);
+    r.settings.classes[0].client_timeout = r.settings.classes[1].client_timeout = client_timeout;
+    r.offer_settings(1);
+    r.reduce(0ms, ShutdownRequested{});
+    r.submit(2, 0, 0, 20s);
     const Time from = r.now;
-    while (r.reducer.unanswered_requests() > 0) r.pass(5ms);
+    while (r.reducer.unanswered_requests() > 0) r.run_for(5ms);
     return r.now - from;
   };
-  EXPECT_NEAR(std::chrono::duration<double>(ends_after(200ms, 1s)).count(), 1.3, 0.03);
-  EXPECT_NEAR(std::chrono::duration<double>(ends_after(200ms, 100ms)).count(), 0.8, 0.03);
-  EXPECT_NEAR(std::chrono::duration<double>(ends_after(30s, 1s)).count(), 3.3, 0.03);
-  EXPECT_NEAR(std::chrono::duration<double>(ends_after(2s, 1s, 1s)).count(), 1.3, 0.03);
+  EXPECT_NEAR(std::chrono::duration<double>(drain_duration(200ms, 1s)).count(), 1.3, 0.03);
+  EXPECT_NEAR(std::chrono::duration<double>(drain_duration(200ms, 100ms)).count(), 0.8, 0.03);
+  EXPECT_NEAR(std::chrono::duration<double>(drain_duration(30s, 1s)).count(), 3.3, 0.03);
+  EXPECT_NEAR(std::chrono::duration<double>(drain_duration(2s, 1s, 1s)).count(), 1.3, 0.03);
 }
 
 }  // namespace
@@ -669,7 +679,7 @@
 namespace bellstair::hooks {
 namespace {
 
-TEST(Reconfigured, ScriptsSeeTheNamesInForce) {
+TEST(MachineReconfigure, ScriptsSeeActiveNames) {
   Spec spec;
   spec.id = 1;
   spec.phases = {true, false, false};
@@ -685,8 +695,8 @@
     run.slice = std::chrono::milliseconds(100);
     run.subject.tenant = 1;
     run.subject.statement = std::make_shared<const std::string>("x");
-    const auto ran = machine->run(run);
-    return ran.verdict.tags.empty() ? ran.text : ran.verdict.tags[0];
+    const auto result = machine->run(run);
+    return result.verdict.tags.empty() ? result.text : result.verdict.tags[0];
   };
   EXPECT_EQ(tag(1), "nobody");
   machine->set_names(
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,7 +11,7 @@
 
 // ---- one final answer, before the deadline --------------------------------------------------------------
 
-TEST(FinalAnswer, AQueuedRequestIsShedAtOnceWhenItsObjectiveIsLost) {
+TEST(Scheduler, RejectsQueuedRequestThatMissesItsObjective) {
   Drive d(plain_settings());
   d.list({});
   d.ask(1, kQuick);
@@ -21,15 +21,15 @@
   EXPECT_EQ(d.answers(1), 1);
 }
 
-TEST(FinalAnswer, AShortDeadlineIsKeptWithNothingSent) {
+TEST(Scheduler, RejectsUnsentRequestBeforeShortDeadline) {
   Drive d(plain_settings());
   d.list({});
   d.ask(1, kOnce, 200ms);
   d.until(d.now + 200ms);
-  EXPECT_EQ(d.refused[1], 1) << "nothing ran, so an unsafe request may be refused";
+  EXPECT_EQ(d.refused[1], 1) << "no attempt ran, so even a non-idempotent request may be rejected";
 }
 
-TEST(FinalAnswer, WithANonIdempotentAttemptOutItFailsBeforeTheDeadline) {
+TEST(Scheduler, FailsNonIdempotentRequestInFlightBeforeDeadline) {
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, kOnce, 1s);
@@ -44,13 +44,13 @@
   EXPECT_EQ(d.sends_of(1), 1);
 }
 
-TEST(FinalAnswer, ALateOutcomeOfAClosedRequestIsOnlyBookedOut) {
+TEST(Scheduler, FreesThreadsOnLateOutcomeOfClosedRequest) {
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, kQuick);
   ASSERT_EQ(d.gateway.class_status(kQuick).running, 1U);
   d.at(d.now, {RequestCancelled{1}});
-  EXPECT_EQ(d.gateway.class_status(kQuick).running, 1U) << "the engine may still work on it";
+  EXPECT_EQ(d.gateway.class_status(kQuick).running, 1U) << "the engine may still be running it";
   d.ends(1, 0, 7, AttemptResult::error);
   d.ends(1, 0, 7, AttemptResult::error);
   EXPECT_EQ(d.gateway.class_status(kQuick).running, 0U);
@@ -58,31 +58,31 @@
   EXPECT_EQ(d.sends_of(1), 1);
 }
 
-TEST(FinalAnswer, AClassThatIsNotInTheSettingsIsRejected) {
+TEST(Scheduler, RejectsRequestOfUnknownClass) {
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, 99);
   EXPECT_EQ(d.refused[1], 1);
 }
 
-// ---- no effect twice ------------------------------------------------------------------------------------
+// ---- retries without duplicate effects --------------------------------------------------------------------
 
-class AfterOutcome : public ::testing::TestWithParam<std::pair<AttemptResult, bool>> {};
+class RetryAfterOutcome : public ::testing::TestWithParam<std::pair<AttemptResult, bool>> {};
 
-TEST_P(AfterOutcome, ANonIdempotentRequestIsSentAgainOnlyIfItNeverRan) {
-  const auto [result, again] = GetParam();
+TEST_P(RetryAfterOutcome, RetriesNonIdempotentRequestOnlyIfItNeverRan) {
+  const auto [result, retried] = GetParam();
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
   d.ask(1, kOnce);
   ASSERT_EQ(d.sends_of(1), 1);
   d.ends(1, 0, d.sends[0].engine, result);
   d.until(d.now + 300ms);
-  EXPECT_EQ(d.sends_of(1), again ? 2 : 1);
-  EXPECT_EQ(d.failed[1], again ? 0 : 1);
+  EXPECT_EQ(d.sends_of(1), retried ? 2 : 1);
+  EXPECT_EQ(d.failed[1], retried ? 0 : 1);
   EXPECT_EQ(d.refused[1], 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(AllOutcomes, AfterOutcome,
+INSTANTIATE_TEST_SUITE_P(AllOutcomes, RetryAfterOutcome,
                          ::testing::Values(std::pair{AttemptResult::rejected, true},
                                            std::pair{AttemptResult::connect_failed, true},
                                            std::pair{AttemptResult::not_started, true},
@@ -91,7 +91,7 @@
                                            std::pair{AttemptResult::reset, false},
                                            std::pair{AttemptResult::cancelled, false}));
 
-TEST(Repeats, AKeyedRequestThatMayHaveRunStaysInItsZone) {
+TEST(RetryRules, RetriesKeyedRequestThatMayHaveRunInItsZoneOnly) {
   Drive d(plain_settings());
   d.list({engine(7, 0)});
   d.ask(1, kKeyed);
@@ -102,7 +102,7 @@
   EXPECT_EQ(d.sends.back().engine, 7U);
 }
 
-TEST(Repeats, AKeyedRequestIsNotSentAgainAfterItsWindow) {
+TEST(RetryRules, DoesNotRetryKeyedRequestAfterItsWindow) {
   for (const bool late : {false, true}) {
     Drive d(plain_settings());
     d.list({engine(7, 0)});
@@ -110,25 +110,25 @@
     d.until(d.now + (late ? 2000ms : 1900ms));
     d.ends(1, 0, 7, AttemptResult::error);
     EXPECT_EQ(d.sends_of(1), late ? 1 : 2);
-    EXPECT_EQ(d.failed[1], late ? 1 : 0) << "a refusal would promise too much";
+    EXPECT_EQ(d.failed[1], late ? 1 : 0) << "a rejection would promise that a retry is safe";
   }
 }
 
-TEST(Repeats, NeverTwoAttemptsOut) {
+TEST(RetryRules, RetriesOnlyAfterCancellationIsConfirmed) {
   Settings s = plain_settings();
   s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, kQuick);
   ASSERT_EQ(d.sends_of(1), 1);
-  d.until(d.now + 3s);  // silent: called off, but no word of that yet
+  d.until(d.now + 3s);  // without progress it is cancelled, but no outcome arrives yet
   ASSERT_FALSE(d.called_off.empty());
   EXPECT_EQ(d.sends_of(1), 1);
   d.ends(1, 0, d.sends[0].engine, AttemptResult::cancelled);
   EXPECT_EQ(d.sends_of(1), 2);
 }
 
-TEST(Repeats, NoMoreAttemptsThanAllowed) {
+TEST(RetryRules, StopsAtMaxAttempts) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   d.ask(1, kQuick);
@@ -140,9 +140,9 @@
   EXPECT_EQ(d.refused[1], 1);
 }
 
-// ---- drains ---------------------------------------------------------------------------------------------
+// ---- draining -------------------------------------------------------------------------------------------
 
-TEST(Draining, NothingGoesToAnEngineToldDrainingGoneOrLeftOutOfAFullList) {
+TEST(SendRules, SendsNothingToDrainingGoneOrUnlistedEngines) {
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   d.list({with_state(engine(7), EngineState::draining), with_state(engine(8), EngineState::gone)},
@@ -156,7 +156,7 @@
   EXPECT_EQ(d.sends_to(9), 5);
 }
 
-TEST(Draining, AnEngineThatIsListedAgainGetsWork) {
+TEST(SendRules, SendsToEngineThatIsListedAgain) {
   Drive d(plain_settings());
   d.list({engine(7)}, EndpointListKind::cached);
   d.list({with_state(engine(7), EngineState::gone)}, EndpointListKind::delta);
@@ -166,28 +166,28 @@
   EXPECT_EQ(d.sends_of(1), 1);
 }
 
-// ---- cold engines ---------------------------------------------------------------------------------------
+// ---- slow start -----------------------------------------------------------------------------------------
 
-// Many gateways with different seeds, busy and quiet ones mixed, and one engine that has just started.
+// Many brokers with different seeds and request rates, and one engine that has just started.
 struct SlowStartByManyBrokers : ::testing::TestWithParam<unsigned> {
-  static constexpr double kWork = 0.5;  // core-s of a query, by the module's first estimate: half the aim
-  // Core-s sent to it at each moment.
-  static std::map<Time, double> play(unsigned count, std::uint64_t seed) {
+  static constexpr double kWork = 0.5;  // core-seconds of a query by the initial estimate: half the objective
+  // Runs the brokers. Returns the core-seconds sent to the new engine, by time.
+  static std::map<Time, double> run_brokers(unsigned count, std::uint64_t seed) {
     Settings s = plain_settings();
     s.brokers = count;
-    std::vector<Drive> gateways;
+    std::vector<Drive> brokers;
     for (unsigned i = 0; i < s.brokers; ++i) {
       s.broker_index = i;
-      gateways.emplace_back(s, seed + i);
-      auto cold = engine(7);
-      cold.started_at = gateways.back().now - 1s;
-      gateways.back().list({cold});
+      brokers.emplace_back(s, seed + i);
+      auto new_engine = engine(7);
+      new_engine.started_at = brokers.back().now - 1s;
+      brokers.back().list({new_engine});
     }
     std::map<Time, double> work;
     RequestId id = 0;
     for (int step = 0; step < 300; ++step) {
       for (unsigned i = 0; i < s.brokers; ++i) {
-        auto& d = gateways[i];
+        auto& d = brokers[i];
         if (step % (1 + i % 7) == 0) {
           d.ask(++id, kQuick);
           const bool sent = d.sends_of(id) > 0;
@@ -207,29 +207,29 @@
     return out;
   }
   static double budget(Time from) {
-    const double warm = 0.4 + 0.6 * std::chrono::duration<double>(from + 1s - 100s).count() / 10;
-    return 2.5 * warm * 0.85 * 4 * 2;
+    const double capacity = 0.4 + 0.6 * std::chrono::duration<double>(from + 1s - 100s).count() / 10;
+    return 2.5 * capacity * 0.85 * 4 * 2;
   }
 };
 
-TEST_P(SlowStartByManyBrokers, AllTogetherStayUnderTheTippingLoadAndTheEngineGetsWork) {
-  const auto work = play(GetParam(), 1000);
-  double all = 0;
+TEST_P(SlowStartByManyBrokers, SendsSomeWorkButNotMoreThanTheBudget) {
+  const auto work = run_brokers(GetParam(), 1000);
+  double total = 0;
   for (const auto& [from, w] : work) {
     EXPECT_LE(sum(work, from), budget(from));
-    all += w;
+    total += w;
   }
-  EXPECT_GT(all, 2) << "it is not kept idle either";
+  EXPECT_GT(total, 2) << "the engine must not stay idle";
 }
 
 INSTANTIATE_TEST_SUITE_P(FewAndMany, SlowStartByManyBrokers, ::testing::Values(3U, 60U));
 
-// Beyond a budget of N queries only twice the root of N and two are put down to chance, whatever the number
-// of processes and their seeds.
-TEST(SlowStartLimits, WhatTwentyOrThirtyBrokersSendStaysWithinWhatIsPutDownToChance) {
+// The brokers may exceed a budget of N queries only by a tolerance for chance of 2 sqrt(N) + 2, whatever
+// their number and seeds.
+TEST(SlowStart, StaysWithinToleranceForTwentyAndThirtyBrokers) {
   for (const unsigned count : {20U, 30U}) {
     for (std::uint64_t seed = 1000; seed < 9000; seed += 1000) {
-      const auto work = SlowStartByManyBrokers::play(count, seed);
+      const auto work = SlowStartByManyBrokers::run_brokers(count, seed);
       for (const auto& [from, unused] : work) {
         const double n = SlowStartByManyBrokers::budget(from) / SlowStartByManyBrokers::kWork;
         EXPECT_LE(SlowStartByManyBrokers::sum(work, from) / SlowStartByManyBrokers::kWork,
@@ -240,7 +240,7 @@
   }
 }
 
-TEST(SlowStartLimits, AWarmEngineIsNotHeldBack) {
+TEST(SlowStart, DoesNotLimitEngineAfterWarmUp) {
   Settings s = plain_settings();
   Drive d(s);
   auto warm = engine(7);
@@ -250,10 +250,9 @@
   EXPECT_EQ(d.sends_to(7), 8);
 }
 
-// ---- order, placement, attempt budget
-// -----------------------------------------------------------------------
+// ---- order, placement, retry budget ---------------------------------------------------------------------
 
-TEST(Order, OneAtATimeByKeyAndABlockAfterATimeOut) {
+TEST(OrderingKeys, SendsOneRequestPerKeyAndBlocksKeyAfterTimeout) {
   Settings s = plain_settings();
   s.classes[kQuick].ordered_by_key = true;
   s.ordering_key_hold = 300ms;
@@ -268,19 +267,19 @@
   EXPECT_EQ(d.sends_of(2), 0);
   EXPECT_EQ(d.sends_of(3), 1);
   EXPECT_EQ(d.sends_of(4), 1);
-  const Time over = d.now;
+  const Time ended_at = d.now;
   d.ends(1, 0, d.sends[0].engine, AttemptResult::timed_out);
-  d.until(over + 280ms);
+  d.until(ended_at + 280ms);
   EXPECT_EQ(d.sends_of(2), 0);
-  d.until(over + 320ms);
+  d.until(ended_at + 320ms);
   EXPECT_EQ(d.sends_of(2), 1);
 }
 
-// What an attempt's driver could not prove to be over rests its key for longer than the settings ask.
-TEST(Order, AKeyIsBlockedWhileAnAttemptMayLingerAtItsEngine) {
+// An attempt that may still run at its engine blocks its ordering key for longer than the settings require.
+TEST(OrderingKeys, BlocksKeyWhileAttemptMayStillRun) {
   Settings s = plain_settings();
   s.classes[kQuick].ordered_by_key = true;
-  s.classes[kQuick].latency_objective = 20s;  // so that it is held for long
+  s.classes[kQuick].latency_objective = 20s;  // allows a long time in the queue
   for (const auto result : {AttemptResult::cancelled, AttemptResult::error}) {
     Drive d(s);
     d.list({engine(7), engine(8)});
@@ -292,23 +291,23 @@
     o.engine = d.sends[0].engine;
     o.result = result;
     o.may_run_for = 2s;
-    const Time over = d.now;
+    const Time ended_at = d.now;
     d.at(d.now, {o});
-    d.until(over + 1980ms);
+    d.until(ended_at + 1980ms);
     EXPECT_EQ(d.sends_of(2), 0);
-    d.until(over + 2020ms);
+    d.until(ended_at + 2020ms);
     EXPECT_EQ(d.sends_of(2), 1);
   }
 }
 
-// On Laval's split+mass a statement whose connection was reset went to a second engine while it ran on at the
-// first, for 2.3 s as its driver told: a second copy, which those settings do not allow.
-TEST(Hedging, WhatNothingProvesOverHasNoAttemptBesideItWhereHedgesAreNotAllowed) {
+// Without hedging, a statement must not run at two engines. After a connection was reset, a statement was
+// sent to a second engine while it still ran at the first, for the 2.3 s that its outcome had reported.
+TEST(SendRules, WaitsForAttemptThatMayStillRunWithoutHedging) {
   Settings s = plain_settings();
-  for (const bool copies : {true, false}) {
-    for (const bool patient : {true, false}) {
-      s.hedging = copies;
-      s.classes[kQuick].latency_objective = patient ? 20s : 1s;  // how long it may be held
+  for (const bool hedging : {true, false}) {
+    for (const bool long_objective : {true, false}) {
+      s.hedging = hedging;
+      s.classes[kQuick].latency_objective = long_objective ? 20s : 1s;  // limits its time in the queue
       Drive d(s);
       d.list({engine(7), engine(8)});
       d.ask(1, kQuick, 60s);
@@ -318,21 +317,22 @@
       o.engine = d.sends[0].engine;
       o.result = AttemptResult::reset;
       o.may_run_for = 2s;
-      const Time over = d.now;
+      const Time ended_at = d.now;
       d.at(d.now, {o});
-      EXPECT_EQ(d.sends_of(1), copies ? 2 : 1);
-      EXPECT_EQ(d.answers(1), copies || patient ? 0 : 1) << "what can't wait is told so at once";
+      EXPECT_EQ(d.sends_of(1), hedging ? 2 : 1);
+      EXPECT_EQ(d.answers(1), hedging || long_objective ? 0 : 1)
+          << "a request that can't wait is rejected at once";
       d.ask(3, kQuick, 60s);
-      EXPECT_EQ(d.sends_of(3), 1) << "those behind it do not wait";
-      d.until(over + 1980ms);
-      EXPECT_EQ(d.sends_of(1), copies ? 2 : 1);
-      d.until(over + 2020ms);
-      EXPECT_EQ(d.sends_of(1), copies || patient ? 2 : 1);
+      EXPECT_EQ(d.sends_of(3), 1) << "requests queued behind it do not wait";
+      d.until(ended_at + 1980ms);
+      EXPECT_EQ(d.sends_of(1), hedging ? 2 : 1);
+      d.until(ended_at + 2020ms);
+      EXPECT_EQ(d.sends_of(1), hedging || long_objective ? 2 : 1);
     }
   }
 }
 
-TEST(Order, AnEarlierOneThatClosedWithItsAttemptOutStillHoldsTheKey) {
+TEST(OrderingKeys, ClosedRequestBlocksKeyWhileAttemptIsInFlight) {
   Settings s = plain_settings();
   s.classes[kQuick].ordered_by_key = true;
   Drive d(s);
@@ -345,7 +345,7 @@
   EXPECT_EQ(d.sends_of(2), 1);
 }
 
-TEST(Placement, HoldsAtEveryAttemptAndWhenAllAllowedAreGone) {
+TEST(SendRules, AppliesPlacementToRetriesAndWithoutAllowedEngines) {
   Settings s = plain_settings();
   s.classes[kQuick].zones = {{1}};
   s.classes[kQuick].kinds = {{1}};
@@ -363,7 +363,7 @@
   EXPECT_EQ(d.answers(2), 1);
 }
 
-TEST(RetryBudgets, CountsRetriesAgainstRequestsInTheWindow) {
+TEST(RetryBudgetLimiter, CountsRetriesAgainstRequestsInWindow) {
   Settings s = plain_settings();
   s.retry_budget = RetryBudget{10s, 1, 0.2};
   Drive d(s);
@@ -375,9 +375,9 @@
     const auto before = d.sends.size();
     d.ends(id, 0, first.engine, AttemptResult::rejected);
     d.until(d.now + 400ms);
-    const bool again = d.sends.size() > before;
-    if (again) d.ends(id, 1, d.sends.back().engine, AttemptResult::served);
-    return again;
+    const bool sent_again = d.sends.size() > before;
+    if (sent_again) d.ends(id, 1, d.sends.back().engine, AttemptResult::served);
+    return sent_again;
   };
   EXPECT_TRUE(retried(1));   // 1 <= 1 + 0.2
   EXPECT_FALSE(retried(2));  // 2 >  1 + 0.4
@@ -391,11 +391,11 @@
 
 // ---- settings -------------------------------------------------------------------------------------------
 
-TEST(InvalidSettings, AreNamed) {
+TEST(SettingsCheck, NamesInvalidField) {
   Settings s = plain_settings();
   s.brokers = 0;
   try {
-    Scheduler g(s, 1);
+    Scheduler scheduler(s, 1);
     FAIL();
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("balancers"), std::string::npos);
@@ -408,14 +408,14 @@
   EXPECT_THROW(Scheduler(s, 1), std::invalid_argument);
 }
 
-TEST(ZeroSettings, OptionalOnesMayBeAbsent) {
+TEST(SettingsCheck, AllowsMissingOptionalSettings) {
   Settings s;
   s.classes = {plain_settings().classes[0]};
   s.kinds = {{"one", 1, 0}};
   Drive d(s);
-  auto cold = engine(7);
-  cold.started_at = d.now;
-  d.list({cold});
+  auto new_engine = engine(7);
+  new_engine.started_at = d.now;
+  d.list({new_engine});
   d.ask(1, 0);
   EXPECT_EQ(d.sends_of(1), 1);
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,5 +1,5 @@
-// Slow start: what all brokers together send to an engine that has just begun stays within its budget, for
-// any number of brokers, mix of classes and state of demand.
+// Slow start: the work that all brokers together send to an engine that has just started stays within its
+// budget, for any number of brokers, mix of classes and demand.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,7 +12,7 @@
 namespace bellstair::policy::test {
 namespace {
 
-constexpr EngineId kCold = 9;
+constexpr EngineId kNewEngine = 9;
 constexpr Time kStep = 20ms;
 
 struct Mix {
@@ -20,25 +20,26 @@
   std::vector<double> shares;  // of the requests, by class
 };
 
-// Lookups, reports and loads, as a school's query engines see them.
-Settings school_settings(unsigned gateways, double cold_from) {
+// Settings with a class of lookups, one of reports and one of loads.
+Settings three_class_settings(unsigned brokers, double initial_capacity) {
   Settings s = plain_settings();
-  s.brokers = gateways;
+  s.brokers = brokers;
   s.kinds = {{"std-8", 8, 16384}};
   s.classes.clear();
-  const auto add = [&s](const char* name, Time aim, Time give_up, unsigned threads, double worth) {
+  const auto add = [&s](const char* name, Time latency_objective, Time client_timeout, unsigned threads,
+                        double priority_weight) {
     ClassSettings cls;
     cls.name = name;
-    cls.latency_objective = aim;
-    cls.client_timeout = give_up;
+    cls.latency_objective = latency_objective;
+    cls.client_timeout = client_timeout;
     cls.threads = threads;
-    cls.priority_weight = worth;
+    cls.priority_weight = priority_weight;
     s.classes.push_back(cls);
   };
   add("lookup", 400ms, 2s, 1, 1);
   add("report", 2s, 20s, 4, 15);
   add("load", 3s, 25s, 2, 20);
-  s.slow_start_capacity = cold_from;
+  s.slow_start_capacity = initial_capacity;
   s.slow_start_duration = 15s;
   s.slow_start_overload_factor = 2.5;
   s.slow_start_overload_window = 1s;
@@ -46,8 +47,8 @@
   return s;
 }
 
-// Brokers that share one list and clock, with more demand than the warm engines take.
-class School {
+// Brokers that share one endpoint list and clock, with more demand than the warm engines can serve.
+class BrokerGroup {
  public:
   static constexpr double kWork[] = {0.07, 3.0, 3.8};  // core-seconds of a query, by class
   struct Sent {
@@ -55,37 +56,38 @@
     double work = 0;
   };
 
-  School(unsigned gateways, double cold_from, const Mix& mix, std::uint64_t seed)
-      : mix_(mix), random_(seed), settings_(school_settings(gateways, cold_from)) {
-    for (unsigned i = 0; i < gateways; ++i) {
+  BrokerGroup(unsigned brokers, double initial_capacity, const Mix& mix, std::uint64_t seed)
+      : mix_(mix), random_(seed), settings_(three_class_settings(brokers, initial_capacity)) {
+    for (unsigned i = 0; i < brokers; ++i) {
       settings_.broker_index = i;
       brokers_.push_back(std::make_unique<Drive>(settings_, seed * 1000 + i));
       brokers_.back()->list({engine(1), engine(2), engine(3)});
-      ends_.emplace_back();
-      taken_.push_back(0);
+      pending_outcomes_.emplace_back();
+      handled_sends_.push_back(0);
     }
   }
 
   void run(Time time, double rate) {
     for (const Time end = now_ + time; now_ < end;) step(rate);
   }
-  void start_cold_engine() {
-    cold_ = engine(kCold);
-    cold_.started_at = began_ = now_;
-    for (auto& broker : brokers_) broker->list({cold_}, EndpointListKind::delta);
+  void start_new_engine() {
+    new_engine_ = engine(kNewEngine);
+    new_engine_.started_at = new_engine_started_at_ = now_;
+    for (auto& broker : brokers_) broker->list({new_engine_}, EndpointListKind::delta);
   }
-  // A broker's process is killed, and the next one knows nothing of what that one has sent. Engines run on.
+  // Replaces a broker whose process was killed by one without any of its state. The engines keep running.
   void restart(std::size_t broker) {
     settings_.broker_index = static_cast<unsigned>(broker);
     auto& next = brokers_[broker] = std::make_unique<Drive>(settings_, random_());
     next->now = now_;
-    next->list({engine(1), engine(2), engine(3), cold_}, EndpointListKind::cached);
-    ends_[broker].clear();
-    taken_[broker] = 0;
+    next->list({engine(1), engine(2), engine(3), new_engine_}, EndpointListKind::cached);
+    pending_outcomes_[broker].clear();
+    handled_sends_[broker] = 0;
   }
 
-  // The most that any window held of its budget of N queries, as a share of what chance allows on top.
-  [[nodiscard]] double worst() const {
+  // The largest work sent in any window, as a fraction of the limit: the budget of N queries and the
+  // tolerance for chance.
+  [[nodiscard]] double max_window_fraction() const {
     const double mean = mean_work();
     double out = 0;
     for (std::size_t first = 0; first < sent_.size(); ++first) {
@@ -93,14 +95,14 @@
       for (auto i = first;
            i < sent_.size() && sent_[i].at < sent_[first].at + settings_.slow_start_overload_window; ++i)
         work += sent_[i].work;
-      const double age =
-          std::chrono::duration<double>(sent_[first].at - began_) / settings_.slow_start_duration;
-      const double warmth =
+      const double age = std::chrono::duration<double>(sent_[first].at - new_engine_started_at_) /
+                         settings_.slow_start_duration;
+      const double capacity =
           std::min(1.0, settings_.slow_start_capacity + (1 - settings_.slow_start_capacity) * age);
       const double window = std::chrono::duration<double>(settings_.slow_start_overload_window).count();
-      const double n = settings_.slow_start_overload_factor * warmth * 0.85 * 8 * window / mean;
-      const double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
-      out = std::max(out, work / mean / most);
+      const double n = settings_.slow_start_overload_factor * capacity * 0.85 * 8 * window / mean;
+      const double limit = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
+      out = std::max(out, work / mean / limit);
     }
     return out;
   }
@@ -116,13 +118,13 @@
   }
 
  private:
-  struct End {
+  struct PendingOutcome {
     Time at{};
     RequestId request = 0;
     AttemptIndex attempt = 0;
     EngineId engine = 0;
     ClassIndex cls = 0;
-    Time took{};
+    Time latency{};
   };
 
   void step(double rate) {
@@ -133,133 +135,138 @@
                                            static_cast<double>(brokers_.size()));
       std::discrete_distribution<int> classes(mix_.shares.begin(), mix_.shares.end());
       broker.until(now_);
-      finish(i);
+      deliver_outcomes(i);
       for (int n = count(random_); n > 0; --n) {
         const auto cls = static_cast<ClassIndex>(classes(random_));
-        class_of_[++last_] = cls;
-        broker.ask(last_, cls, settings_.classes[cls].client_timeout);
+        class_of_[++last_request_] = cls;
+        broker.ask(last_request_, cls, settings_.classes[cls].client_timeout);
       }
-      for (; taken_[i] < broker.sends.size(); ++taken_[i]) take(i, broker.sends[taken_[i]]);
+      for (; handled_sends_[i] < broker.sends.size(); ++handled_sends_[i])
+        start_attempt(i, broker.sends[handled_sends_[i]]);
     }
   }
 
-  void take(std::size_t broker, const SendAttempt& send) {
+  void start_attempt(std::size_t broker, const SendAttempt& send) {
     const auto cls = class_of_.at(send.request);
-    if (send.engine == kCold) sent_.push_back({now_, kWork[cls]});
-    const Time took(static_cast<std::int64_t>(1.2e9 * kWork[cls] / settings_.classes[cls].threads));
-    ends_[broker].push_back({now_ + took, send.request, attempts_[send.request]++, send.engine, cls, took});
+    if (send.engine == kNewEngine) sent_.push_back({now_, kWork[cls]});
+    const Time latency(static_cast<std::int64_t>(1.2e9 * kWork[cls] / settings_.classes[cls].threads));
+    pending_outcomes_[broker].push_back(
+        {now_ + latency, send.request, attempts_[send.request]++, send.engine, cls, latency});
   }
 
-  void finish(std::size_t broker) {
-    std::vector<Event> over;
-    std::erase_if(ends_[broker], [&](const End& end) {
-      if (end.at > now_) return false;
+  void deliver_outcomes(std::size_t broker) {
+    std::vector<Event> events;
+    std::erase_if(pending_outcomes_[broker], [&](const PendingOutcome& pending) {
+      if (pending.at > now_) return false;
       AttemptOutcome o;
-      o.request = end.request;
-      o.attempt = end.attempt;
-      o.engine = end.engine;
+      o.request = pending.request;
+      o.attempt = pending.attempt;
+      o.engine = pending.engine;
       o.result = AttemptResult::served;
-      o.latency = end.took;
+      o.latency = pending.latency;
       o.request_closed = true;
-      o.work = Time(static_cast<std::int64_t>(kWork[end.cls] * 1e9));
-      over.emplace_back(o);
+      o.work = Time(static_cast<std::int64_t>(kWork[pending.cls] * 1e9));
+      events.emplace_back(o);
       return true;
     });
-    if (!over.empty()) brokers_[broker]->at(now_, over);
+    if (!events.empty()) brokers_[broker]->at(now_, events);
   }
 
   Mix mix_;
   std::mt19937_64 random_;
   Settings settings_;
   std::vector<std::unique_ptr<Drive>> brokers_;
-  std::vector<std::vector<End>> ends_;
-  std::vector<std::size_t> taken_;  // sends of each broker, heeded so far
+  std::vector<std::vector<PendingOutcome>> pending_outcomes_;
+  std::vector<std::size_t> handled_sends_;  // by broker: sends handled so far
   std::map<RequestId, ClassIndex> class_of_;
   std::map<RequestId, AttemptIndex> attempts_;
   std::vector<Sent> sent_;
-  Endpoint cold_;
-  RequestId last_ = 0;
-  Time now_{100s}, began_{};
+  Endpoint new_engine_;
+  RequestId last_request_ = 0;
+  Time now_{100s}, new_engine_started_at_{};
 };
 
 const Mix kUsual{"usual", {0.80, 0.14, 0.06}};
 const Mix kHeavy{"heavy", {0.30, 0.40, 0.30}};
 const Mix kLight{"light", {0.99, 0.005, 0.005}};
 
-class SlowStart : public ::testing::TestWithParam<unsigned> {};
+class SlowStartByBrokerCount : public ::testing::TestWithParam<unsigned> {};
 
-// Plays of one mix at `demand` times what the three warm engines do: the windows' worst use of what the rule
-// allows, and the work sent to the cold engine in the mean.
+// Runs one mix at `demand` times the capacity of the three warm engines. The result is the largest work of
+// any window, as a fraction of the limit, and the mean work sent to the new engine.
 struct Result {
-  double worst = 0, work = 0;
+  double max_window_fraction = 0, work = 0;
 };
-Result play(unsigned gateways, const Mix& mix, double demand) {
+Result run_mix(unsigned brokers, const Mix& mix, double demand) {
   Result out;
-  int plays = 0;
-  for (const double cold_from : {0.33, 0.15}) {
-    for (std::uint64_t seed = 1; seed <= (gateways > 8 ? 1 : 6); ++seed) {
-      School school(gateways, cold_from, mix, seed);
-      const double rate = demand * 3 * 8 * 0.85 / school.mean_work();
-      school.run(4s, rate);
-      school.start_cold_engine();
-      school.run(15s, rate);
-      ++plays;
-      out.worst = std::max(out.worst, school.worst());
-      out.work += school.sent_work();
+  int runs = 0;
+  for (const double initial_capacity : {0.33, 0.15}) {
+    for (std::uint64_t seed = 1; seed <= (brokers > 8 ? 1 : 6); ++seed) {
+      BrokerGroup group(brokers, initial_capacity, mix, seed);
+      const double rate = demand * 3 * 8 * 0.85 / group.mean_work();
+      group.run(4s, rate);
+      group.start_new_engine();
+      group.run(15s, rate);
+      ++runs;
+      out.max_window_fraction = std::max(out.max_window_fraction, group.max_window_fraction());
+      out.work += group.sent_work();
     }
   }
-  out.work /= plays;
+  out.work /= runs;
   return out;
 }
 
-// The requests that the engine is sent in any window of the settings' length, in requests of mean work, stay
-// under N + 2 root N + 2, or N + 3 root N + 3 where N lies under 30.
-TEST_P(SlowStart, StaysWithinItsBudgetInEveryWindow) {
-  double all = 0;
+// The work sent to the engine in any window of the settings' length, in requests of mean work, stays within
+// N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 if N is below 30.
+TEST_P(SlowStartByBrokerCount, StaysWithinBudgetInEveryWindow) {
+  double total_work = 0;
   for (const auto& mix : {kUsual, kHeavy}) {
-    const auto result = play(GetParam(), mix, 1.3);
-    all += result.work;
-    EXPECT_LE(result.worst, 1) << mix.name << ", of what the rule allows";
+    const auto result = run_mix(GetParam(), mix, 1.3);
+    total_work += result.work;
+    EXPECT_LE(result.max_window_fraction, 1) << mix.name << ", as a fraction of the limit";
     if (GetParam() <= 20) {
-      EXPECT_GT(result.work, 0.1) << mix.name << ": it is not kept idle either";
+      EXPECT_GT(result.work, 0.1) << mix.name << ": the engine must not stay idle";
     }
   }
-  EXPECT_GT(all, 0) << "it is not kept idle, by however many";
+  EXPECT_GT(total_work, 0) << "the engine must not stay idle";
 }
 
-// A rush of light queries: N lies far above 30, and chance allows little on top.
-TEST(SlowStartInABurst, OfLightQueriesStaysWithinItsBudgetToo) {
-  for (const unsigned gateways : {1U, 2U, 3U, 5U, 8U, 20U}) {
+// In a burst of light queries, N is far above 30 and the tolerance for chance is small.
+TEST(SlowStart, StaysWithinBudgetInBurstOfLightQueries) {
+  for (const unsigned brokers : {1U, 2U, 3U, 5U, 8U, 20U}) {
     for (const double demand : {2.0, 4.0}) {
-      const auto result = play(gateways, kLight, demand);
-      EXPECT_LE(result.worst, 1) << gateways << " gateways at " << demand << " times the capacity";
-      EXPECT_GT(result.work, gateways <= 8 ? 10 : 1) << gateways << ": it is not kept idle either";
+      const auto result = run_mix(brokers, kLight, demand);
+      EXPECT_LE(result.max_window_fraction, 1)
+          << brokers << " brokers at " << demand << " times the capacity";
+      EXPECT_GT(result.work, brokers <= 8 ? 10 : 1) << brokers << ": the engine must not stay idle";
     }
   }
 }
 
-// The budget is that of all processes: one that takes another's place goes on where that one stopped.
-TEST(SlowStartOverRestarts, StaysWithinItsBudgetInEveryWindow) {
-  for (const unsigned gateways : {1U, 2U, 5U}) {
+// All processes share the budget: a broker that replaces another must not start with a fresh one.
+TEST(SlowStart, StaysWithinBudgetAcrossBrokerRestarts) {
+  for (const unsigned brokers : {1U, 2U, 5U}) {
     for (const auto& mix : {kUsual, kLight}) {
-      double worst = 0;
+      double max_window_fraction = 0;
       for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        School school(gateways, 0.33, mix, seed);
-        const double rate = 4 * 3 * 8 * 0.85 / school.mean_work();
-        school.run(4s, rate);
-        school.start_cold_engine();
+        BrokerGroup group(brokers, 0.33, mix, seed);
+        const double rate = 4 * 3 * 8 * 0.85 / group.mean_work();
+        group.run(4s, rate);
+        group.start_new_engine();
         for (unsigned n = 0; n < 24; ++n) {
-          school.run(300ms, rate);
-          school.restart(n % gateways);
+          group.run(300ms, rate);
+          group.restart(n % brokers);
         }
-        worst = std::max(worst, school.worst());
+        max_window_fraction = std::max(max_window_fraction, group.max_window_fraction());
       }
-      EXPECT_LE(worst, 1) << gateways << " gateways, " << mix.name << ", of what the rule allows";
+      EXPECT_LE(max_window_fraction, 1)
+          << brokers << " brokers, " << mix.name << ", as a fraction of the limit";
     }
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(AnyNumberOfBrokers, SlowStart, ::testing::Values(1U, 2U, 3U, 5U, 8U, 20U, 60U));
+INSTANTIATE_TEST_SUITE_P(BrokerCounts, SlowStartByBrokerCount,
+                         ::testing::Values(1U, 2U, 3U, 5U, 8U, 20U, 60U));
 
 }  // namespace
 }  // namespace bellstair::policy::test
