--- a/tests/replay/deployments.hpp
+++ b/tests/replay/deployments.hpp
@@ -1,5 +1,5 @@
-// Settings of three kinds of deployment that the replays run on: between them each feature of the decision
-// module is on in one and off in another.
+// Settings of the kinds of deployment that the replays run. Each feature of the policy module is on in one of
+// them and off in another.
 #pragma once
 
 #include <string>
@@ -8,24 +8,24 @@
 
 namespace bellstair::test {
 
-enum class Deployment { peers_and_probes, reports_in_answers, hedged, paces_only };
+enum class Deployment { gossip_and_health_checks, reports_in_answers, hedged, latency_gossip_only };
 
-inline policy::ClassSettings class_settings(const std::string& name, policy::Time aim, policy::Time give_up,
-                                            double worth) {
+inline policy::ClassSettings class_settings(const std::string& name, policy::Time latency_objective,
+                                            policy::Time client_timeout, double priority_weight) {
   policy::ClassSettings out;
   out.name = name;
-  out.latency_objective = aim;
-  out.client_timeout = give_up;
-  out.priority_weight = worth;
+  out.latency_objective = latency_objective;
+  out.client_timeout = client_timeout;
+  out.priority_weight = priority_weight;
   out.late_weight = 0.2;
   return out;
 }
 
-// Brokers that talk to each other and probe engines; loads in order by key; grants and priorities.
-inline policy::Settings peers_and_probes(unsigned gateways) {
+// Brokers with gossip and health checks; loads ordered by key; memory grants and priorities.
+inline policy::Settings gossip_and_health_checks(unsigned brokers) {
   using namespace std::chrono_literals;
   policy::Settings s;
-  s.brokers = gateways;
+  s.brokers = brokers;
   auto lookup = class_settings("lookup", 400ms, 2s, 1);
   lookup.waits_for_data_group = true;
   auto report = class_settings("report", 2s, 8s, 3);
@@ -57,12 +57,12 @@
   return s;
 }
 
-// No talk between brokers; load comes with answers; two zones at a price; one class that may never be
-// repeated; a budget of retries.
-inline policy::Settings reports_in_answers(unsigned gateways) {
+// No gossip; load reports in answers; two zones with a cross-zone cost; a class that is not idempotent; a
+// retry budget.
+inline policy::Settings reports_in_answers(unsigned brokers) {
   using namespace std::chrono_literals;
   policy::Settings s;
-  s.brokers = gateways;
+  s.brokers = brokers;
   s.zones = 2;
   s.cross_zone_cost = 0.05;
   auto lookup = class_settings("lookup", 500ms, 3s, 1);
@@ -90,12 +90,12 @@
   return s;
 }
 
-// Hedged requests, notes of progress, classes bound to zones and kinds, repeats dropped by zone or cell, a
-// list that has to be asked for.
-inline policy::Settings hedged(unsigned gateways) {
+// Hedging, progress events, classes limited to zones and kinds, deduplication by zone or cell, and an
+// endpoint list that must be polled.
+inline policy::Settings hedged(unsigned brokers) {
   using namespace std::chrono_literals;
   policy::Settings s;
-  s.brokers = gateways;
+  s.brokers = brokers;
   s.zones = 2;
   auto lookup = class_settings("lookup", 300ms, 3s, 1);
   auto write = class_settings("write", 800ms, 4s, 2);
@@ -125,24 +125,24 @@
   return s;
 }
 
-// No report tells any load: brokers tell each other the pace of answers in its place.
-inline policy::Settings paces_only(unsigned gateways) {
-  auto s = peers_and_probes(gateways);
+// Reports do not contain the load: brokers exchange latency ratios of answers in its place.
+inline policy::Settings latency_gossip_only(unsigned brokers) {
+  auto s = gossip_and_health_checks(brokers);
   s.load_report_fields = {policy::LoadReportField::queue, policy::LoadReportField::memory_share};
   s.answers_report_cost = s.memory_grants = s.priorities = false;
   return s;
 }
 
-inline policy::Settings settings_of(Deployment deployment, unsigned gateways) {
+inline policy::Settings settings_of(Deployment deployment, unsigned brokers) {
   switch (deployment) {
-    case Deployment::peers_and_probes:
-      return peers_and_probes(gateways);
+    case Deployment::gossip_and_health_checks:
+      return gossip_and_health_checks(brokers);
     case Deployment::reports_in_answers:
-      return reports_in_answers(gateways);
+      return reports_in_answers(brokers);
     case Deployment::hedged:
-      return hedged(gateways);
-    case Deployment::paces_only:
-      return paces_only(gateways);
+      return hedged(brokers);
+    case Deployment::latency_gossip_only:
+      return latency_gossip_only(brokers);
   }
   return {};
 }
--- a/tests/replay/digest.hpp
+++ b/tests/replay/digest.hpp
@@ -1,5 +1,5 @@
-// A digest of what a replay has decided, and the random numbers that replays draw their events from. Both are
-// defined here to the bit, so that no library's choice of algorithm can change a recorded digest.
+// A digest of the decisions of a replay, and the random numbers from which replays generate their events.
+// Both are defined here to the bit, so that no library's choice of algorithm can change a recorded digest.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
     }
   }
   void add(std::int64_t value) { add(std::to_string(value) + ' '); }
-  // To six digits: the last bits of exp() and pow() may differ between processors.
+  // Rounds to six digits, as the last bits of exp() and pow() may differ between processors.
   void add_rounded(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.6g ", value);
--- a/tests/replay/stored_forms_test.cpp
+++ b/tests/replay/stored_forms_test.cpp
@@ -1,6 +1,6 @@
-// The forms that other versions of the program read: each message of the control protocol, a frame of its
+// The formats that other versions of the program read: each message of the control protocol, a frame of its
 // streams, a broker's file of the last version, a node's database. tests/data holds them as the first version
-// wrote them. Guards against a version that no longer understands its peers or its own files.
+// wrote them. Guards against a program that cannot read messages of its peers or its own older files.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -37,14 +37,14 @@
 const std::string kDocument = "tenant \"beta\" {\n  share = 0.5\n}\n";
 
 std::vector<Message> messages() {
-  const Version good = version(3, 17, kDocument);
+  const Version newest = version(3, 17, kDocument);
   Hello broker;
   broker.fleet = "schools";
   broker.name = "b7";
   broker.region = "north";
   broker.term = {3, "c1"};
   broker.current = {3, 16};
-  broker.digest = good.digest;
+  broker.digest = newest.digest;
   Hello node = broker;
   node.role = Role::node;
   Hello tool = broker;
@@ -60,15 +60,15 @@
   status.term = {3, "c1"};
   status.is_leader = true;
   status.committed = {3, 17};
-  status.digest = good.digest;
-  status.brokers = {{"b7", "north", {3, 17}, {3, 16}, good.digest, "line 2: no", true, 1500ms}};
+  status.digest = newest.digest;
+  status.brokers = {{"b7", "north", {3, 17}, {3, 16}, newest.digest, "line 2: no", true, 1500ms}};
   return {broker,
           node,
           tool,
           welcome,
           GoAway{"another fleet"},
-          VersionUpdate{good},
-          BrokerReport{{3, 16}, good.digest, {3, 17}, "line 2, column 3: no"},
+          VersionUpdate{newest},
+          BrokerReport{{3, 16}, newest.digest, {3, 17}, "line 2, column 3: no"},
           Ping{},
           Pong{{3, "c1"}},
           Publish{kDocument},
@@ -78,7 +78,7 @@
           status};
 }
 
-TEST(StoredForms, EachMessageOfTheControlProtocolHasTheRecordedBytes) {
+TEST(StoredFormats, ControlMessagesHaveRecordedBytes) {
   std::istringstream recorded(content(kData / "control_messages.jsonl"));
   for (const auto& message : messages()) {
     std::string line;
@@ -90,13 +90,13 @@
   EXPECT_FALSE(std::getline(recorded, rest)) << rest;
 }
 
-TEST(StoredForms, AFrameHasTheRecordedBytes) {
+TEST(StoredFormats, FrameHasRecordedBytes) {
   const std::string body = R"({"kind":"ping"})";
   EXPECT_EQ(link::encode_frame(body),
             std::string("\0\0\0\x0f", 4) + content(kData / "ping_frame_checksum.bin") + body);
 }
 
-TEST(StoredForms, TheFileOfTheLastVersionHasTheRecordedBytesAndIsRead) {
+TEST(StoredFormats, LastVersionFileHasRecordedBytesAndIsRead) {
   const app::LastVersionFile recorded((kData / "last_version").string(), "schools");
   const auto loaded = recorded.load();
   EXPECT_FALSE(loaded.error.has_value());
@@ -110,7 +110,7 @@
   std::filesystem::remove(path);
 }
 
-TEST(StoredForms, ANodesDatabaseOfTheFirstVersionIsReadAndCarriedOn) {
+TEST(StoredFormats, ReadsAndExtendsDatabaseOfFirstVersion) {
   const auto path = std::filesystem::path(testing::TempDir()) / "stored_forms_node.sqlite";
   std::filesystem::copy_file(kData / "node.sqlite", path, std::filesystem::copy_options::overwrite_existing);
   {
@@ -122,9 +122,9 @@
     EXPECT_FALSE(store.persist(version(3, 18, kDocument)).has_value());
     EXPECT_FALSE(store.persist(LeaderTerm{4, "c2"}).has_value());
   }
-  Store again(path.string(), "schools");
-  EXPECT_EQ(again.persisted().term, (LeaderTerm{4, "c2"}));
-  EXPECT_EQ(again.persisted().committed->id, (VersionId{3, 18}));
+  Store reopened(path.string(), "schools");
+  EXPECT_EQ(reopened.persisted().term, (LeaderTerm{4, "c2"}));
+  EXPECT_EQ(reopened.persisted().committed->id, (VersionId{3, 18}));
   std::filesystem::remove(path);
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,4 @@
-// The small form of 'make scale': counts, bytes and growth of hollow fleets on a driven clock, never times.
+// The small form of 'make scale': checks counts, bytes and growth of fleets on a manual clock, but no times.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -10,7 +10,7 @@
 namespace bellstair::scale {
 namespace {
 
-// With seeds of its own for each size, as the measurements have them.
+// Uses a seed of its own for each size, as the measurements do.
 HollowFleet fleet_of(unsigned brokers, unsigned databases, double rate = 40) {
   Shape shape;
   shape.brokers = brokers;
@@ -18,24 +18,25 @@
   return {shape, brokers, rate, rate, brokers * 1000ULL + databases};
 }
 
-struct Use {
-  double messages = 0, bytes = 0, heard = 0;  // a broker and second
+struct Traffic {
+  double messages = 0, bytes = 0, received = 0;  // per broker and second
 };
-Use use_of(HollowFleet& fleet, Time span) {
+Traffic measure_traffic(HollowFleet& fleet, Time span) {
   const auto before = fleet.all();
   fleet.run(span);
   const auto after = fleet.all();
-  const auto each = [&](std::uint64_t to, std::uint64_t from) {
+  const auto per_broker_second = [&](std::uint64_t to, std::uint64_t from) {
     return static_cast<double>(to - from) / static_cast<double>(fleet.brokers.size()) /
            std::chrono::duration<double>(span).count();
   };
-  return {each(after.messages_sent, before.messages_sent), each(after.bytes_sent, before.bytes_sent),
-          each(after.messages_heard, before.messages_heard)};
+  return {per_broker_second(after.messages_sent, before.messages_sent),
+          per_broker_second(after.bytes_sent, before.bytes_sent),
+          per_broker_second(after.messages_heard, before.messages_heard)};
 }
 
-// Datagrams are paid for by queries, 250 bytes for each with its heads counted; a few queries' worth may be
-// saved from before.
-TEST(Scale, DatagramsStayWithinTheBytesThatQueriesPayFor) {
+// Each query adds 250 bytes to the budget of datagrams, with headers counted. The budget of a few queries may
+// be left from before.
+TEST(Scale, DatagramBytesStayWithinBudgetOfQueries) {
   constexpr unsigned kBrokers = 20;
   for (const double rate : {2.0, 10.0, 40.0}) {
     auto fleet = fleet_of(kBrokers, 80, rate);
@@ -45,14 +46,15 @@
     const auto after = fleet.all();
     const auto statements = static_cast<double>(after.statements - before.statements);
     const auto bytes = static_cast<double>(after.bytes_sent - before.bytes_sent);
-    constexpr double kSaved = 4;  // queries' worth, of each broker
+    constexpr double kSavedQueries = 4;  // budget that each broker may have left
     EXPECT_GT(after.messages_sent, before.messages_sent) << rate;
-    EXPECT_LE(bytes, (250 + 28) * (statements + kSaved * kBrokers)) << rate;
+    EXPECT_LE(bytes, (250 + 28) * (statements + kSavedQueries * kBrokers)) << rate;
   }
 }
 
-// However many queries there are: this is what a broker's share of control has to hold at the planned rate.
-TEST(Scale, DatagramsAreBoundedWhateverTheTraffic) {
+// The bytes of datagrams are limited at any query rate. A broker's bandwidth for control traffic must suffice
+// for them at the planned rate.
+TEST(Scale, DatagramBytesAreBoundedAtAnyQueryRate) {
   Shape shape;
   shape.brokers = 12;
   shape.databases = 80;
@@ -63,59 +65,62 @@
     const auto before = fleet.measured();
     fleet.run(400ms);
     const auto after = fleet.measured();
-    EXPECT_GE(static_cast<double>(after.statements - before.statements), 0.79 * rate) << "as asked for";
+    EXPECT_GE(static_cast<double>(after.statements - before.statements), 0.79 * rate)
+        << "the requested rate must be reached";
     bytes.push_back(static_cast<double>(after.bytes_sent - before.bytes_sent) / 2 / 0.4);
   }
   EXPECT_GT(bytes[0], 0);
   EXPECT_LE(bytes[1], 1.1 * bytes[0]);
-  EXPECT_LE(bytes[1], 21'000) << "bytes a second that control may take";
+  EXPECT_LE(bytes[1], 21'000) << "bytes per second allowed for control traffic";
 }
 
-TEST(Scale, MessagesOfABrokerDoNotGrowWithTheNumberOfBrokers) {
-  Use small;
+TEST(Scale, MessagesPerBrokerDoNotGrowWithBrokerCount) {
+  Traffic small;
   for (const unsigned brokers : {16U, 64U, 256U}) {
     auto fleet = fleet_of(brokers, 40, 20);
     fleet.run(500ms);
-    const auto use = use_of(fleet, 500ms);
-    if (brokers == 16) small = use;
-    EXPECT_GT(use.messages, 0) << brokers;
-    EXPECT_NEAR(use.messages, small.messages, 0.1 * small.messages) << brokers;
-    EXPECT_NEAR(use.heard, small.heard, 0.1 * small.heard) << brokers;
+    const auto traffic = measure_traffic(fleet, 500ms);
+    if (brokers == 16) small = traffic;
+    EXPECT_GT(traffic.messages, 0) << brokers;
+    EXPECT_NEAR(traffic.messages, small.messages, 0.1 * small.messages) << brokers;
+    EXPECT_NEAR(traffic.received, small.received, 0.1 * small.received) << brokers;
   }
 }
 
-// Blocks of the heap that one broker holds.
-double entries(unsigned brokers, unsigned databases) {
+// Heap blocks held by one broker.
+double heap_blocks_per_broker(unsigned brokers, unsigned databases) {
   const auto before = heap();
   auto fleet = fleet_of(brokers, databases, 10);
   fleet.run(500ms);
   return static_cast<double>(heap().blocks - before.blocks) / brokers;
 }
 
-TEST(Scale, StateGrowsWithDatabasesInALineAndNotWithBrokers) {
-  const double few = entries(10, 100), twice = entries(10, 200), four = entries(10, 400);
+TEST(Scale, StateGrowsLinearlyWithDatabasesAndNotWithBrokers) {
+  const double few = heap_blocks_per_broker(10, 100), twice = heap_blocks_per_broker(10, 200),
+               four = heap_blocks_per_broker(10, 400);
   EXPECT_LT(few, twice);
-  const double first = (twice - few) / 100, second = (four - twice) / 200;  // for each database
+  const double first = (twice - few) / 100, second = (four - twice) / 200;  // per database
   EXPECT_GT(first, 0);
   EXPECT_LE(second, 1.25 * first);
-  EXPECT_LE(second, 8) << "blocks for each database";
-  EXPECT_LE(entries(80, 100), 1.1 * few + 8);
+  EXPECT_LE(second, 8) << "blocks per database";
+  EXPECT_LE(heap_blocks_per_broker(80, 100), 1.1 * few + 8);
 }
 
-// Databases come with new ids for ever, and what is gone leaves nothing behind: one period is like the next.
-// Before, there is time for a lap of the timer wheel (5.12 s), each of whose slots keeps its room.
-TEST(Scale, NothingGrowsBetweenTwoEqualPeriods) {
+// Databases are replaced by ones with new ids again and again. Removed ones must leave no state behind, so
+// two equal periods need the same memory. Ten periods before them cover a rotation of the timer wheel
+// (5.12 s), whose slots keep their capacity.
+TEST(Scale, MemoryDoesNotGrowBetweenEqualPeriods) {
   constexpr unsigned kDatabases = 24;
   auto fleet = fleet_of(12, kDatabases, 50);
-  std::vector<std::optional<core::EngineId>> place(kDatabases);  // who has it now; none: as at the start
-  core::EngineId last = 100'000;
+  std::vector<std::optional<core::EngineId>> current_id(kDatabases);  // by place; none: as at the start
+  core::EngineId last_id = 100'000;
   const auto period = [&] {
     for (unsigned n = 0; n < kDatabases; ++n) {
       for (const auto state : {policy::EngineState::gone, policy::EngineState::ready}) {
         auto change = fleet.delta(n, state);
         auto& id = change.endpoints.front().endpoint.engine;
-        if (state == policy::EngineState::ready) place[n] = ++last;
-        id = place[n].value_or(id);
+        if (state == policy::EngineState::ready) current_id[n] = ++last_id;
+        id = current_id[n].value_or(id);
         fleet.change(change);
         fleet.run(20ms);
       }
@@ -130,8 +135,8 @@
   for (const auto& broker : fleet.brokers) EXPECT_LE(broker->reducer().open_requests(), 10U);
 }
 
-// An event of the change log reaches a broker once, and asks it to tell nobody.
-TEST(Scale, AnEventOfTheChangeLogMakesNoMessages) {
+// An event of the change log reaches each broker once and causes no messages between brokers.
+TEST(Scale, ChangeLogEventCausesNoMessages) {
   auto fleet = fleet_of(30, 60, 0);
   fleet.run(500ms);
   const auto before = fleet.all();
