--- a/src/policy/class_estimates.cpp
+++ b/src/policy/class_estimates.cpp
@@ -16,7 +16,7 @@
 constexpr double kMinLatencyRatio = 0.2;
 constexpr double kMaxLatencyRatio = 8.0;
 constexpr int kBaselineBatch = 10;  // answers
-// The baseline falls quickly and rises slowly, so that it does not soon include an overload.
+// The baseline falls quickly and rises slowly, so that an overload does not soon raise it.
 constexpr double kBaselineStepDown = 0.5;
 constexpr double kBaselineStepUp = 0.05;
 
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,7 +5,7 @@
 namespace bellstair::policy {
 namespace {
 constexpr double kQuotaSlack = 1.3;    // multiple of its quota that a tenant may use
-constexpr double kBurstSeconds = 2.0;  // of its refill rate that a tenant's bucket holds
+constexpr double kBurstSeconds = 2.0;  // of refill that the bucket of a tenant holds
 constexpr double kMinBurst = 3;        // added to the bucket: a quiet broker's requests arrive in bursts
 constexpr double kRateWindowSeconds = 20.0;  // of the moving average of arrivals
 constexpr double kMaxRateGrowth = 1.3;       // limit on the rate of one period, as a multiple of the average
