--- a/src/link/channel.cpp
+++ b/src/link/channel.cpp
@@ -18,7 +18,7 @@
           },
       .data = [this](std::string_view bytes) { on_data(bytes); },
       .ended = [this] { on_end_of_stream(); },
-      .closed = [this] { on_broken(); },
+      .closed = [this] { on_connection_failed(); },
       .drained =
           [this] {
             if (handlers_.on_drained) handlers_.on_drained();
@@ -32,28 +32,28 @@
                         "a message of " + std::to_string(body.size()) + " bytes is too long to send");
   if (stream_.write(encode_frame(body))) return std::nullopt;
   if (stream_.error() != 0) return ChannelError(ChannelFault::io, std::strerror(stream_.error()));
-  return ChannelError(ChannelFault::slow_peer, "the peer does not read what it is sent");
+  return ChannelError(ChannelFault::slow_peer,
+                      "the peer reads too slowly: the limit of unsent bytes is exceeded");
 }
 
 void Channel::on_data(std::string_view bytes) {
   const auto error = decoder_.feed(bytes, [this](std::string_view body) {
     handlers_.on_message(body);
-    return stream_.open();  // the owner may have closed it
+    return stream_.open();  // the handler may have closed the channel
   });
   if (error) fail({ChannelFault::bad_frame, error->what()});
 }
 
 void Channel::on_end_of_stream() {
   if (decoder_.is_within_frame()) {
-    fail({ChannelFault::closed_within_frame, "the peer has closed within a frame"});
+    fail({ChannelFault::closed_within_frame, "the peer closed the connection within a frame"});
   } else {
-    fail({ChannelFault::closed_by_peer, "the peer has closed"});
+    fail({ChannelFault::closed_by_peer, "the peer closed the connection"});
   }
 }
 
-void Channel::on_broken() {
-  fail(
-      {ChannelFault::io, stream_.error() != 0 ? std::strerror(stream_.error()) : "the connection is broken"});
+void Channel::on_connection_failed() {
+  fail({ChannelFault::io, stream_.error() != 0 ? std::strerror(stream_.error()) : "the connection failed"});
 }
 
 void Channel::fail(const ChannelError& error) {
--- a/src/link/channel.hpp
+++ b/src/link/channel.hpp
@@ -1,5 +1,5 @@
-// A stream of framed messages on the event loop, bounded both ways. What messages say, and when a silent peer
-// counts as gone, is its owner's business.
+// A stream of framed messages on the event loop, with limits in both directions. Its owner interprets the
+// messages and times out peers that send nothing.
 #pragma once
 
 #include <functional>
@@ -13,40 +13,40 @@
 
 namespace bellstair::link {
 
-// Why a channel has ended.
+// Why a channel was closed.
 enum class ChannelFault {
   closed_by_peer,
-  closed_within_frame,  // by the peer
+  closed_within_frame,  // by the peer, after a part of a frame
   bad_frame,
-  message_too_long,  // to be sent
-  slow_peer,         // does not read what it is sent
-  io,                // of the connection, or of making it
+  message_too_long,  // a message of the owner
+  slow_peer,         // the unsent bytes exceed their limit
+  io,                // the connection failed or could not be made
 };
 using ChannelError = CodedError<ChannelFault>;
 
 struct Limits {
-  std::size_t max_message_bytes = 0;        // of a body, either way
-  std::size_t max_first_message_bytes = 0;  // of the first one that comes
-  std::size_t max_unsent_bytes = 0;         // queued, and not taken by the system; more breaks the channel
+  std::size_t max_message_bytes = 0;        // limit of a body, sent or received
+  std::size_t max_first_message_bytes = 0;  // limit of the first body received
+  std::size_t max_unsent_bytes = 0;         // limit of bytes queued here; beyond it, send() fails
 };
 
 class Channel {
  public:
-  // All are called from the event loop.
+  // All handlers are called from the event loop.
   struct Handlers {
-    std::function<void()> on_connected;  // once, of a channel that dials
+    std::function<void()> on_connected;  // called once, on a channel that dials
     std::function<void(std::string_view body)> on_message;
-    std::function<void(const ChannelError& error)> on_closed;  // once, unless close() was called
-    std::function<void()> on_drained;                          // what had to wait has left
+    std::function<void(const ChannelError& error)> on_closed;  // called once, unless close() was called
+    std::function<void()> on_drained;                          // queued bytes have been written completely
   };
 
-  // The channel must outlive its handlers: the owner frees it in a later turn of the loop.
+  // The channel must outlive the handler that is running: the owner frees it in a later turn of the loop.
   Channel(ev::loop_ref loop, net::Fd fd, bool dialling, Limits limits);
 
   void handle(Handlers handlers);
-  // With an error the message is lost, and the owner closes the channel.
+  // After an error the message is lost, and the owner must close the channel.
   [[nodiscard]] std::optional<ChannelError> send(std::string_view body);
-  void close() { stream_.close(); }  // at once; no handler is called any more
+  void close() { stream_.close(); }  // immediately; no handler is called afterwards
   [[nodiscard]] bool is_open() const { return stream_.open(); }
   [[nodiscard]] bool is_dialling() const { return stream_.connecting(); }
   [[nodiscard]] std::size_t unsent_bytes() const { return stream_.unsent_bytes(); }
@@ -55,7 +55,7 @@
  private:
   void on_data(std::string_view bytes);
   void on_end_of_stream();
-  void on_broken();
+  void on_connection_failed();
   void fail(const ChannelError& error);
 
   Limits limits_;
--- a/src/link/channel_manager.hpp
+++ b/src/link/channel_manager.hpp
@@ -1,5 +1,6 @@
-// All channels of one process, accepted and dialled, each by a number: bounded in number, freed when no
-// handler of theirs can be running, and closed so that the peer can read what was sent last.
+// Owns all channels of one process, accepted and dialled, and identifies each by a number. It limits the
+// number of accepted channels, frees a channel only when none of its handlers can be running, and can close
+// one so that the peer still receives the last message.
 #pragma once
 
 #include <ev++.h>
@@ -20,38 +21,39 @@
 
 namespace bellstair::link {
 
-using ChannelId = std::uint64_t;  // from 1, never used again
+using ChannelId = std::uint64_t;  // starts at 1, never reused
 
 class ChannelManager {
  public:
-  // None is called from within send(), close_after_flush() or close(); all may call these.
+  // No handler is called from within send(), close_after_flush() or close(), and each handler may call these.
   struct Handlers {
     std::function<void(ChannelId)> on_accepted;
-    std::function<void(ChannelId)> on_connected;  // once, of a dialled channel
+    std::function<void(ChannelId)> on_connected;  // called once, for a dialled channel
     std::function<void(ChannelId, std::string_view body)> on_message;
-    // All that was sent has left: once after one or more send(), from settle() or the loop.
+    // Everything sent has been written: called once after one or more send(), from settle() or the loop.
     std::function<void(ChannelId)> on_drained;
-    // Once, unless its owner has closed it: the peer has closed, or the connection has failed or never came
-    // up. `address`: the peer's.
+    // Called once, unless the owner closed the channel: the peer closed the connection, or the connection
+    // failed or could not be made. `address` is the peer's.
     std::function<void(ChannelId, const ChannelError& error, const std::string& address)> on_closed;
   };
 
-  // `max_accepted`: connections from others at once; what comes beyond is closed at once.
+  // `max_accepted` limits concurrent accepted connections; further ones are closed immediately.
   ChannelManager(ev::loop_ref loop, Limits limits, std::size_t max_accepted, Handlers handlers);
 
   void listen(net::Fd fd);
-  // No time limit: that is the owner's. A malformed address and lack of descriptors are told by on_closed.
+  // Sets no timeout; the owner has to. A malformed address or a lack of descriptors is reported by on_closed.
   ChannelId dial(const std::string& address);
-  void send(ChannelId id, std::string_view body);  // dropped where the channel has gone
-  void close_after_flush(ChannelId id);            // once what was sent has left; nothing more is read
-  void close(ChannelId id);                        // at once
+  void send(ChannelId id, std::string_view body);  // ignored if the channel is closed
+  void close_after_flush(ChannelId id);  // once everything sent is written; reads no further messages
+  void close(ChannelId id);              // immediately
 
-  // To be called before the loop sleeps: calls handlers that are due.
+  // Calls the handlers that are due. Must be called before the loop waits for events.
   void settle();
   void tick(core::Time now);
 
   [[nodiscard]] std::size_t accepted_count() const { return accepted_count_; }
-  [[nodiscard]] std::size_t closing_count() const { return lingerer_.size(); }  // not all has left
+  // Channels after close_after_flush() that are not flushed yet or not closed by the peer.
+  [[nodiscard]] std::size_t closing_count() const { return lingerer_.size(); }
   [[nodiscard]] std::uint64_t rejected_count() const { return rejected_count_; }
   [[nodiscard]] std::size_t unsent_bytes() const;  // of all channels
 
@@ -60,8 +62,8 @@
     Channel channel;
     std::string peer_address;
     bool accepted = false;
-    bool drained_due = false;                   // on_drained is due once all has left
-    std::optional<ChannelError> pending_error;  // on_closed is due
+    bool drained_due = false;                   // on_drained is due once everything sent is written
+    std::optional<ChannelError> pending_error;  // on_closed is due with this error
     Entry(ev::loop_ref loop, net::Fd fd, bool dialling, Limits limits)
         : channel(loop, std::move(fd), dialling, limits) {}
   };
@@ -79,7 +81,7 @@
   std::size_t max_accepted_, accepted_count_ = 0;
   Handlers handlers_;
   Entries entries_;
-  std::vector<ChannelId> due_;  // settle() has handlers of these to call
+  std::vector<ChannelId> due_;  // channels whose handlers settle() has to call
   std::vector<std::unique_ptr<Entry>> removed_;
   net::Lingerer lingerer_;
   std::unique_ptr<net::Listener> listener_;
--- a/src/link/frame.cpp
+++ b/src/link/frame.cpp
@@ -32,12 +32,12 @@
 std::optional<FrameError> FrameDecoder::feed(std::string_view bytes, const OnFrame& on_frame) {
   while (!bytes.empty()) {
     if (header_size_ < kFrameHeaderBytes) {
-      take_header(bytes);
+      read_header(bytes);
       if (header_size_ < kFrameHeaderBytes) return std::nullopt;
       if (auto error = read_length()) return error;
     }
     std::string buffer;
-    const auto body = take_body(bytes, buffer);
+    const auto body = read_body(bytes, buffer);
     if (!body) return std::nullopt;
     header_size_ = 0;
     current_max_bytes_ = max_bytes_;
@@ -48,7 +48,7 @@
   return std::nullopt;
 }
 
-void FrameDecoder::take_header(std::string_view& bytes) {
+void FrameDecoder::read_header(std::string_view& bytes) {
   const auto size = std::min(kFrameHeaderBytes - header_size_, bytes.size());
   std::copy_n(bytes.begin(), size, header_.begin() + static_cast<std::ptrdiff_t>(header_size_));
   header_size_ += size;
@@ -60,13 +60,15 @@
   for (std::size_t i = 0; i < kLengthBytes; ++i) length_ = length_ << 8 | header_[i];
   if (length_ == 0) return FrameError(FrameFault::empty, "a frame is empty");
   if (length_ > current_max_bytes_)
-    return FrameError(FrameFault::too_long, "a frame of " + std::to_string(length_) + " bytes: at most " +
-                                                std::to_string(current_max_bytes_) + " are taken");
+    return FrameError(FrameFault::too_long, "a frame of " + std::to_string(length_) +
+                                                " bytes is too long: the limit is " +
+                                                std::to_string(current_max_bytes_) + " bytes");
   return std::nullopt;
 }
 
-// None: it is not complete yet. `buffer` holds one that came in pieces; others are not copied.
-std::optional<std::string_view> FrameDecoder::take_body(std::string_view& bytes, std::string& buffer) {
+// Returns nothing while the body is incomplete. `buffer` owns a body that arrived in several pieces; a body
+// that arrived in one piece is not copied.
+std::optional<std::string_view> FrameDecoder::read_body(std::string_view& bytes, std::string& buffer) {
   const auto piece = bytes.substr(0, length_ - body_.size());
   const bool in_one_piece = body_.empty() && piece.size() == length_;
   if (in_one_piece) {
--- a/tests/control_tool_test.cpp
+++ b/tests/control_tool_test.cpp
@@ -149,7 +149,7 @@
     noise.send(std::string(10'000, '\xee'));
     EXPECT_TRUE(noise.ended());
   }
-  writer->said("a frame of 4008636142 bytes: at most 65536 are taken");
+  writer->said("a frame of 4008636142 bytes is too long: the limit is 65536 bytes");
   EXPECT_EQ(tool("config publish " + good + " --file " + operators).first, 0);
 }
 
