--- a/src/control/broker_registry.cpp
+++ b/src/control/broker_registry.cpp
@@ -61,11 +61,11 @@
 }
 
 void BrokerRegistry::evict_one() {
-  const auto goes_first = [](const auto& a, const auto& b) {
+  const auto is_evicted_before = [](const auto& a, const auto& b) {
     const bool a_connected = a.second.peer != 0, b_connected = b.second.peer != 0;
     return a_connected != b_connected ? b_connected : a.second.last_message < b.second.last_message;
   };
-  entries_.erase(std::min_element(entries_.begin(), entries_.end(), goes_first));
+  entries_.erase(std::min_element(entries_.begin(), entries_.end(), is_evicted_before));
 }
 
 }  // namespace bellstair::control
--- a/src/control/broker_registry.hpp
+++ b/src/control/broker_registry.hpp
@@ -1,4 +1,4 @@
-// What a control node remembers of each broker, connected or gone, for the operator's status.
+// The last reported state of each broker, connected or not, for the operator's status.
 #pragma once
 
 #include <map>
@@ -9,20 +9,21 @@
 
 namespace bellstair::control {
 
-// Bounded: the connected are kept, and of the others those heard longest ago go first.
+// Bounded: at the limit, disconnected brokers are evicted before connected ones, and among them the one whose
+// last message is the oldest.
 class BrokerRegistry {
  public:
   static constexpr std::size_t kMaxBrokers = 8192;
 
   void on_hello(Time now, PeerId peer, const Hello& hello);
   void on_report(Time now, PeerId peer, const std::string& name, BrokerReport report);
-  // Any message of the connection that the broker was last seen on.
+  // Called for any message; counts only on the broker's latest connection.
   void on_message(Time now, PeerId peer, const std::string& name);
   void on_disconnected(PeerId peer, const std::string& name);
-  // Why the node does not serve the broker, which has said Hello.
+  // Records why the node rejects the broker. Must follow on_hello().
   void set_reason(const std::string& name, const std::string& reason);
 
-  // By name.
+  // Ordered by name.
   [[nodiscard]] std::vector<BrokerStatus> statuses(Time now) const;
 
  private:
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -8,7 +8,7 @@
 }  // namespace
 
 std::string describe(const LeaderTerm& term) {
-  return "epoch " + std::to_string(term.epoch) + " of " + (term.leader.empty() ? "nobody" : term.leader);
+  return "epoch " + std::to_string(term.epoch) + " of " + (term.leader.empty() ? "no leader" : term.leader);
 }
 
 Leadership::Leadership(std::string node, LeaderTerm configured, LeaderTerm persisted)
@@ -22,8 +22,9 @@
   if (term.epoch == observed_.epoch) {
     if (term.leader == observed_.leader) return TermCheck::accepted;
     log_line(out, node_,
-             "epoch " + std::to_string(term.epoch) + " has " + observed_.leader + " as its writer; " +
-                 source + " names " + term.leader + ", which is rejected: raise the epoch");
+             "the leader of epoch " + std::to_string(term.epoch) + " is " + observed_.leader + "; " + source +
+                 " names " + term.leader +
+                 ", which is rejected: to change the leader, raise the epoch in the operator's file");
     return TermCheck::conflict;
   }
   observed_ = term;
@@ -54,11 +55,11 @@
   if (observed_.leader != node_ || held.epoch != observed_.epoch || held <= committed) return;
   if (lost_version_ && *lost_version_ >= held) return;
   lost_version_ = held;
-  log_line(out, node_, peer + " has version " + to_text(held) + ", which was lost here");
+  log_line(out, node_, peer + " has version " + to_text(held) + ", which is missing from this node's disk");
 }
 
 void Leadership::persist(NodeEffects& out) {
-  if (persisting_ || is_settled()) return;
+  if (persisting_ || is_persisted()) return;
   persisting_ = observed_;
   out.emplace_back(PersistTerm{observed_});
 }
@@ -89,28 +90,28 @@
 std::optional<std::string> Leadership::why_not_leader() const {
   if (observed_.epoch == 0) return "no epoch is known";
   if (observed_.leader != node_)
-    return "the writer is " + observed_.leader + ", epoch " + std::to_string(observed_.epoch);
+    return "the leader is " + observed_.leader + ", epoch " + std::to_string(observed_.epoch);
   if (configured_ != observed_)
-    return describe(observed_) + " is known, but the operator's file here names " + describe(configured_);
-  if (!is_settled()) return "epoch " + std::to_string(observed_.epoch) + " is not on disk yet";
+    return describe(observed_) + " is known, but this node's operator's file names " + describe(configured_);
+  if (!is_persisted()) return "epoch " + std::to_string(observed_.epoch) + " is not persisted yet";
   if (lost_version_ && lost_version_->epoch == observed_.epoch)
     return "version " + to_text(*lost_version_) +
-           " of its own epoch is elsewhere and not on its disk, which must have been lost: name a writer "
-           "with a higher epoch";
+           " of its own epoch exists elsewhere but not on its disk, which must have been lost: name a leader "
+           "with a higher epoch in the operator's file";
   return std::nullopt;
 }
 
 std::string Leadership::role() const {
   const auto why_not = why_not_leader();
-  if (!why_not) return "writes, epoch " + std::to_string(persisted_.epoch);
-  if (persisted_.leader == node_) return "does not write: " + *why_not;
+  if (!why_not) return "is the leader, epoch " + std::to_string(persisted_.epoch);
+  if (persisted_.leader == node_) return "is not the leader: " + *why_not;
   if (persisted_.epoch != 0)
     return "follows " + persisted_.leader + ", epoch " + std::to_string(persisted_.epoch);
   return {};
 }
 
 void Leadership::log_role(NodeEffects& out) {
-  if (!is_settled()) return;
+  if (!is_persisted()) return;
   auto line = role();
   if (line.empty() || line == logged_role_) return;
   logged_role_ = std::move(line);
--- a/src/control/leadership.hpp
+++ b/src/control/leadership.hpp
@@ -1,4 +1,4 @@
-// Which leader a control node obeys, and whether it is the leader itself.
+// Tracks which leader a control node follows, and whether the node is the leader itself.
 #pragma once
 
 #include <optional>
@@ -9,54 +9,56 @@
 
 namespace bellstair::control {
 
-// What observing a term has shown.
+// The result of observing a term.
 enum class TermCheck {
-  accepted,  // the newest known, maybe only now
-  stale,     // a newer one is known
+  accepted,  // it is the newest known term, or has just become that
+  stale,     // a newer term is known
   conflict,  // another leader of the newest epoch is known
 };
 
-// "epoch 3 of c1", for logs and reasons.
+// "epoch 3 of c1", for log lines and reasons.
 [[nodiscard]] std::string describe(const LeaderTerm& term);
 
-// A newer term is obeyed as soon as it is observed, but told to others only once it is persisted. The node
-// leads only where the newest observed term names it, is persisted, and is that of its own operator's file.
+// A newer term takes effect as soon as it is observed, but is sent to other processes only once it is
+// persisted. The node is the leader only if the newest observed term names it, is persisted, and equals the
+// term in the node's own operator's file.
 class Leadership {
  public:
-  // Between attempts to persist a term.
+  // Delay between attempts to persist a term.
   static constexpr Time kPersistRetryInterval = std::chrono::seconds(1);
 
-  // `configured`: the term in the operator's file; observe_configured() takes it up.
+  // `configured` is the term in the operator's file; it takes effect in observe_configured().
   Leadership(std::string node, LeaderTerm configured, LeaderTerm persisted);
 
-  // `source`: who knows of the term, for the log.
+  // `source` names the origin of the term in the log.
   TermCheck observe(const LeaderTerm& term, const std::string& source, NodeEffects& out);
   TermCheck observe_configured(NodeEffects& out);
-  // The operator's file has been read again; a stale or conflicting term leaves the one before.
+  // Applies the operator's file after it was read again; a stale or conflicting term is rejected and the
+  // previous one stays.
   void reconfigure(const LeaderTerm& term, NodeEffects& out);
-  // A peer holds a version. One of this node's own epoch that is above its committed one proves that its
-  // disk was lost: it does not lead that epoch any more.
+  // Checks the version `held` by a peer. If it belongs to this node's own epoch and is newer than its
+  // committed version, this node has lost its disk, and is no longer the leader of that epoch.
   void check_lost_version(VersionId held, VersionId committed, const std::string& peer, NodeEffects& out);
 
-  // False: it is not the term whose persisting is under way. Without an error it is durable.
+  // Returns false if `term` is not the one being persisted. Without an error the term is durable.
   bool on_persisted(Time now, const LeaderTerm& term, const std::optional<PersistError>& error,
                     NodeEffects& out);
-  // Asks again to persist what has failed.
+  // Requests the persisting of a term again after a failure.
   void retry_persist(Time now, NodeEffects& out);
-  // The effect that asked for it was dropped; retry_persist() asks again.
+  // Called when the PersistTerm effect was discarded; retry_persist() then requests it again.
   void cancel_persist() { persisting_.reset(); }
   // Logs the node's role if it has changed.
   void log_role(NodeEffects& out);
 
-  // The node to follow, by name; none: no term is known, or it is this node.
+  // The name of the node to follow; none if no term is known, or if it is this node.
   [[nodiscard]] std::optional<std::string> upstream() const;
   [[nodiscard]] bool is_leader() const { return !why_not_leader(); }
-  // As operators read it; none: it leads.
+  // The reason, in words for operators; none if this node is the leader.
   [[nodiscard]] std::optional<std::string> why_not_leader() const;
   [[nodiscard]] const LeaderTerm& persisted() const { return persisted_; }
   [[nodiscard]] const LeaderTerm& observed() const { return observed_; }
   // Whether the newest observed term is durable.
-  [[nodiscard]] bool is_settled() const { return persisted_ == observed_; }
+  [[nodiscard]] bool is_persisted() const { return persisted_ == observed_; }
 
  private:
   void persist(NodeEffects& out);
@@ -68,7 +70,8 @@
   LeaderTerm observed_;
   std::optional<LeaderTerm> persisting_;
   Time retry_at_ = Time::min();
-  std::optional<VersionId> lost_version_;  // published by this node, held by a peer, not on its disk
+  // Published by this node and held by a peer, but missing from this node's disk.
+  std::optional<VersionId> lost_version_;
   std::string logged_role_;
 };
 
--- a/src/control/log_line.hpp
+++ b/src/control/log_line.hpp
@@ -1,4 +1,4 @@
-// A line for the log, as an effect of a decision.
+// The effect that writes a line to the log.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 namespace bellstair::control {
 
 struct LogLine {
-  std::string text;  // complete, without a line break
+  std::string text;  // the complete line, without a line break
 };
 
 }  // namespace bellstair::control
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -12,16 +12,17 @@
 using nlohmann::json;
 
 constexpr int kMaxNesting = 8;
-// Names and values of one message; a NodeStatus of 8,192 brokers has some 110,000 values and as many names.
+// Limit of names and values in one message; a NodeStatus of 8,192 brokers has about 110,000 values and as
+// many names.
 constexpr std::size_t kMaxValues = std::size_t{1} << 18;
 constexpr std::size_t kMaxDigestBytes = 64;  // hex digits of SHA-256
 constexpr std::size_t kMaxStatusBrokers = 16'384;
-constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();  // as SQLite holds it
-constexpr std::size_t kMaxParserErrorBytes = 160;  // it may quote all that was sent
+constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();  // SQLite's limit
+constexpr std::size_t kMaxParserErrorBytes = 160;  // the parser's error may quote the whole message
 constexpr std::uint64_t kMaxAgeMs = 1'000'000'000'000;
 constexpr std::string_view kPing = R"({"kind":"ping"})";
 
-// Encoding. The names of members are the protocol's and never change.
+// Encoding. The names of the members are part of the protocol and never change.
 
 json to_json(const VersionId& id) { return {{"epoch", id.epoch}, {"number", id.number}}; }
 json to_json(const LeaderTerm& term) {
@@ -100,7 +101,7 @@
 
 // Decoding.
 
-// Reads members of one object of a message, and throws MalformedMessage with the path of what is wrong.
+// Reads the members of one object in a message. Throws MalformedMessage with the path of an invalid member.
 class ObjectReader {
  public:
   ObjectReader(const json& value, std::string path) : value_(&value), path_(std::move(path)) {
@@ -109,38 +110,38 @@
 
   [[nodiscard]] std::string text(const char* name, std::size_t max_bytes) const {
     const json& found = member(name);
-    if (!found.is_string()) throw MalformedMessage(path(name) + ": not a text");
+    if (!found.is_string()) throw MalformedMessage(path(name) + ": not a string");
     const auto& out = found.get_ref<const std::string&>();
     if (out.size() > max_bytes)
-      throw MalformedMessage(path(name) + ": " + std::to_string(out.size()) + " bytes, at most " +
+      throw MalformedMessage(path(name) + ": " + std::to_string(out.size()) + " bytes exceed the limit of " +
                              std::to_string(max_bytes));
     return out;
   }
-  // Free of control characters: it goes into lines of logs and of the status.
+  // Rejects control characters, since names appear in log lines and in the status.
   [[nodiscard]] std::string name(const char* member_name, bool may_be_empty = false) const {
     std::string out = text(member_name, kMaxNameBytes);
     if (out.empty() && !may_be_empty) throw MalformedMessage(path(member_name) + ": empty");
     const auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7F; };
     if (std::any_of(out.begin(), out.end(), control))
-      throw MalformedMessage(path(member_name) + ": a control character");
+      throw MalformedMessage(path(member_name) + ": contains a control character");
     return out;
   }
   [[nodiscard]] std::uint64_t number(const char* name, std::uint64_t max = kMaxNumber) const {
     const json& found = member(name);
     if (!found.is_number()) throw MalformedMessage(path(name) + ": not a number");
     if (!found.is_number_unsigned() || found.get<std::uint64_t>() > max)
-      throw MalformedMessage(path(name) + ": not a whole number from 0 to " + std::to_string(max));
+      throw MalformedMessage(path(name) + ": not an integer from 0 to " + std::to_string(max));
     return found.get<std::uint64_t>();
   }
   [[nodiscard]] bool flag(const char* name) const {
     const json& found = member(name);
-    if (!found.is_boolean()) throw MalformedMessage(path(name) + ": neither true nor false");
+    if (!found.is_boolean()) throw MalformedMessage(path(name) + ": not a boolean");
     return found.get<bool>();
   }
   [[nodiscard]] ObjectReader object(const char* name) const { return {member(name), path(name)}; }
   [[nodiscard]] const json& list(const char* name, std::size_t max_entries) const {
     const json& found = member(name);
-    if (!found.is_array()) throw MalformedMessage(path(name) + ": not a list");
+    if (!found.is_array()) throw MalformedMessage(path(name) + ": not an array");
     if (found.size() > max_entries)
       throw MalformedMessage(path(name) + ": more than " + std::to_string(max_entries) + " entries");
     return found;
@@ -171,7 +172,8 @@
   std::string path_;
 };
 
-// Members other than this one may mean something else in another protocol, and are not read then.
+// The other members may have another meaning in another protocol version, so they are read only if this one
+// matches.
 unsigned read_protocol(const ObjectReader& in) {
   return static_cast<unsigned>(in.number("protocol", std::numeric_limits<unsigned>::max()));
 }
@@ -181,7 +183,7 @@
   for (const auto role : {Role::broker, Role::node, Role::tool}) {
     if (text == to_text(role)) return role;
   }
-  throw MalformedMessage(in.path("role") + ": neither broker, node nor tool");
+  throw MalformedMessage(in.path("role") + ": not one of broker, node and tool");
 }
 
 Message read_hello(const ObjectReader& in) {
@@ -212,7 +214,7 @@
   Version out;
   out.id = version.version_id("place");
   if (out.id.epoch == 0 || out.id.number == 0)
-    throw MalformedMessage(version.path("place") + ": 0 is no place");
+    throw MalformedMessage(version.path("place") + ": epoch and number must be above 0");
   out.leader = version.name("writer");
   out.digest = version.digest();
   out.text = version.text("text", kMaxDocumentBytes);
@@ -291,17 +293,17 @@
   try {
     return std::visit([](const auto& kind) { return to_json(kind).dump(); }, message);
   } catch (const json::exception&) {
-    throw MalformedMessage("text: not UTF-8");  // all but documents and leaders' names is sanitized
+    throw MalformedMessage("text: not valid UTF-8");  // documents and leaders' names, which are not sanitized
   }
 }
 
 Message decode(std::string_view text) {
   if (text.size() > kMaxMessageBytes)
-    throw MalformedMessage("message: " + std::to_string(text.size()) + " bytes, at most " +
+    throw MalformedMessage("message: " + std::to_string(text.size()) + " bytes exceed the limit of " +
                            std::to_string(kMaxMessageBytes));
   if (text == kPing) return Ping{};
   std::size_t values = 0;
-  // Called while the text is parsed, so that a hostile peer cannot make the tree large.
+  // Called during parsing, so that a malicious peer cannot make the parsed tree large.
   const auto check_bounds = [&values](int depth, json::parse_event_t, const json&) {
     if (depth > kMaxNesting)
       throw MalformedMessage("message: nested deeper than " + std::to_string(kMaxNesting));
--- a/src/control/message.hpp
+++ b/src/control/message.hpp
@@ -1,6 +1,6 @@
-// The messages between control nodes, brokers and the operator's tool: one JSON object a frame, its kind
-// under "kind". Unknown members are ignored, so that later versions can add some; a member that is missing,
-// of the wrong type or too long is an error that names it.
+// The messages between control nodes, brokers and the operator's tool: one JSON object per frame, with its
+// kind in the member "kind". Unknown members are ignored, so that later versions can add members; a member
+// that is missing, of the wrong type or too long is an error that names it.
 #pragma once
 
 #include <optional>
@@ -15,15 +15,15 @@
 namespace bellstair::control {
 
 inline constexpr unsigned kProtocolVersion = 1;
-inline constexpr std::size_t kMaxNameBytes = 128;                        // of a fleet, node, broker or region
-inline constexpr std::size_t kMaxReasonBytes = 512;                      // of why a broker rejects a version
-inline constexpr std::size_t kMaxRejectionBytes = std::size_t{1} << 16;  // of all errors in a document
+inline constexpr std::size_t kMaxNameBytes = 128;    // the name of a fleet, node, broker or region
+inline constexpr std::size_t kMaxReasonBytes = 512;  // the reason for which a broker rejects a version
+inline constexpr std::size_t kMaxRejectionBytes = std::size_t{1} << 16;  // all errors in a document
 inline constexpr std::size_t kMaxMessageBytes = std::size_t{4} << 20;
 
 enum class Role { broker, node, tool };
 [[nodiscard]] std::string_view to_text(Role role);
 
-// An epoch and its one leader. Whoever has seen a newer term rejects the leader of an older one.
+// An epoch and its only leader. A process that has observed a newer term rejects the leader of an older one.
 struct LeaderTerm {
   std::uint64_t epoch = 0;  // 0: no term is known
   std::string leader;
@@ -36,8 +36,8 @@
   std::string fleet, name, region;
   Role role = Role::broker;
   LeaderTerm term;     // the newest known
-  VersionId current;   // a node: its committed version; a broker: its active one
-  std::string digest;  // of that version; empty without one
+  VersionId current;   // of a node: its committed version; of a broker: its active one
+  std::string digest;  // of that version; empty if there is none
 };
 
 // A node's answer to Hello.
@@ -48,22 +48,22 @@
   VersionId committed;
 };
 
-// Why the sender closes the connection; its last message.
+// The last message on a connection: why the sender closes it.
 struct GoAway {
   std::string reason;
 };
 
-// Node to broker or follower.
+// From a node to a broker or follower.
 struct VersionUpdate {
   Version version;
 };
 
-// Broker to node: what has become of the versions it was sent.
+// From a broker to its node: which of the versions it received is active, and which it rejected.
 struct BrokerReport {
   VersionId active_version;
   std::string digest;          // of the active version
-  VersionId rejected_version;  // the newest that could not be applied; 0.0: none, or superseded since
-  std::string reason;          // of the rejection, with line and column
+  VersionId rejected_version;  // the newest that could not be applied; 0.0: none, or a newer one is active
+  std::string reason;          // of the rejection, with line and column of the error
 };
 
 struct Ping {};
@@ -72,7 +72,7 @@
   LeaderTerm term;
 };
 
-// Tool to leader.
+// From a tool to the leader.
 struct Publish {
   std::string text;
 };
@@ -83,7 +83,7 @@
 };
 
 struct PublishRejected {
-  std::string reason;  // lines, each with its place
+  std::string reason;  // one line per error, each with its position in the document
 };
 
 struct StatusRequest {};
@@ -93,7 +93,7 @@
   VersionId active_version, rejected_version;
   std::string digest, reason;
   bool connected = false;
-  Time age{};  // since its last message
+  Time age{};  // time since its last message
 };
 
 struct NodeStatus {
@@ -102,7 +102,7 @@
   bool is_leader = false;
   VersionId committed;
   std::string digest;                 // of the committed version
-  std::vector<BrokerStatus> brokers;  // all that are remembered, also those that are gone
+  std::vector<BrokerStatus> brokers;  // all in the node's registry, including disconnected ones
 };
 
 using Message = std::variant<Hello, Welcome, GoAway, VersionUpdate, BrokerReport, Ping, Pong, Publish,
@@ -114,11 +114,11 @@
   using Error::Error;
 };
 
-// Throws MalformedMessage where a document or its leader's name is not UTF-8; all other texts are sanitized
-// and cut to their bounds.
+// Throws MalformedMessage if a document or its leader's name is not UTF-8; all other texts are sanitized and
+// truncated to their limits.
 [[nodiscard]] std::string encode(const Message& message);
 
-// Throws MalformedMessage, and nothing else.
+// Throws no exception but MalformedMessage.
 [[nodiscard]] Message decode(std::string_view text);
 
 }  // namespace bellstair::control
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -32,14 +32,14 @@
   startup_lines_.clear();
 }
 
-// After anything that may change whom it follows.
+// Called after anything that may change which leader this node follows.
 void Node::on_leadership_changed(NodeEffects& out) {
   if (leader_session_ != 0) {
     const auto& session = sessions_.at(leader_session_);
-    const auto wanted = upstream();
-    if (!wanted || (session.identified && session.name != *wanted)) {
+    const auto leader = upstream();
+    if (!leader || (session.identified && session.name != *leader)) {
       const auto id = leader_session_;
-      forget(id);
+      remove_session(id);
       out.emplace_back(Close{id});
     }
   }
@@ -48,7 +48,7 @@
 
 void Node::on_accepted(Time now, PeerId id, NodeEffects& out) {
   if (sessions_.size() >= kMaxPeers) {
-    go_away(id, "full: " + std::to_string(kMaxPeers) + " connections", out);
+    go_away(id, "the connection limit is reached: " + std::to_string(kMaxPeers) + " connections", out);
     return;
   }
   Session session;
@@ -58,7 +58,7 @@
 }
 
 void Node::on_leader_connected(Time now, PeerId id, NodeEffects& out) {
-  if (!upstream() || leader_session_ != 0) {  // whom it follows has changed while it dialled
+  if (!upstream() || leader_session_ != 0) {  // the leader has changed during the connection attempt
     out.emplace_back(Close{id});
     return;
   }
@@ -98,7 +98,10 @@
   brokers_.on_message(now, id, session.name);
   const bool allowed = std::visit([&](auto& kind) { return handle(now, session, kind, out); }, message);
   if (allowed) return;
-  reject(id, peer, session.identified ? "a message that it may not send" : "a message before its first", out);
+  reject(id, peer,
+         session.identified ? "it sent a message that its role may not send"
+                            : "it sent a message before the handshake was complete",
+         out);
 }
 
 void Node::on_drained(Time, PeerId id, NodeEffects& out) {
@@ -111,8 +114,9 @@
 void Node::on_closed(Time, PeerId id, NodeEffects& out) {
   const auto found = sessions_.find(id);
   if (found == sessions_.end()) return;
-  if (found->second.outbound && found->second.identified) log(out, "lost " + found->second.name);
-  forget(id);
+  if (found->second.outbound && found->second.identified)
+    log(out, "lost the connection to " + found->second.name);
+  remove_session(id);
 }
 
 void Node::on_version_persisted(Time now, const Version& version, const std::optional<PersistError>& error,
@@ -120,12 +124,12 @@
   const auto finished = replica_.on_persisted(now, version, error.has_value());
   if (!finished) return;
   if (error) {
-    const std::string reason = std::string("could not be kept: ") + error->what();
+    const std::string reason = std::string("could not be persisted: ") + error->what();
     log(out, "version " + to_text(version.id) + " " + reason);
     if (finished->tool != 0) send_message(out, finished->tool, PublishRejected{reason});
     return;
   }
-  log(out, "version " + to_text(version.id) + " kept");
+  log(out, "version " + to_text(version.id) + " committed");
   if (finished->tool != 0) send_message(out, finished->tool, Published{version.id});
   for (auto& [id, session] : sessions_) send_update(session, out);
   replica_.persist_pending(out);
@@ -135,37 +139,37 @@
                              NodeEffects& out) {
   if (!leadership_.on_persisted(now, term, error, out) || error) return;
   on_leadership_changed(out);
-  if (!leadership_.is_settled()) return;
-  for (auto& [id, session] : sessions_) welcome(session, out);
+  if (!leadership_.is_persisted()) return;
+  for (auto& [id, session] : sessions_) send_welcome(session, out);
 }
 
 void Node::tick(Time now, NodeEffects& out) {
   flush_startup_lines(out);
   leadership_.retry_persist(now, out);
   replica_.retry_persist(now, out);
-  close_silent_sessions(now, out);
+  ping_leader_and_close_timed_out(now, out);
   on_leadership_changed(out);
 }
 
-// And pings the leader.
-void Node::close_silent_sessions(Time now, NodeEffects& out) {
-  std::vector<PeerId> timed_out;
+void Node::ping_leader_and_close_timed_out(Time now, NodeEffects& out) {
+  std::vector<PeerId> expired;
   for (auto& [id, session] : sessions_) {
     const bool handshake_late = !session.identified && now - session.opened_at >= kHandshakeTimeout;
-    const bool silent = now - session.last_message >= (session.outbound ? kLeaderTimeout : kPeerTimeout);
-    if (handshake_late || silent) {
-      timed_out.push_back(id);
+    const bool timed_out = now - session.last_message >= (session.outbound ? kLeaderTimeout : kPeerTimeout);
+    if (handshake_late || timed_out) {
+      expired.push_back(id);
     } else if (session.outbound && session.identified && now - session.last_ping >= kHeartbeatInterval) {
       session.last_ping = now;
       send_message(out, id, Ping{});
     }
   }
-  for (const auto id : timed_out) {
+  for (const auto id : expired) {
     const Session& session = sessions_.at(id);
     if (session.outbound)
-      log(out, "lost " + (session.name.empty() ? upstream().value_or("the writer") : session.name));
+      log(out, "lost the connection to " +
+                   (session.name.empty() ? upstream().value_or("the leader") : session.name));
     out.emplace_back(Close{id});
-    forget(id);
+    remove_session(id);
   }
 }
 
@@ -177,21 +181,22 @@
 void Node::reject(PeerId id, const std::string& peer, const std::string& reason, NodeEffects& out) {
   log(out, peer + " is rejected: " + reason);
   go_away(id, reason, out);
-  forget(id);
+  remove_session(id);
 }
 
-void Node::leave_leader(PeerId id, const std::string& leader, const std::string& reason, NodeEffects& out) {
+void Node::disconnect_from_leader(PeerId id, const std::string& leader, const std::string& reason,
+                                  NodeEffects& out) {
   log(out, "disconnects from " + leader + ": " + reason);
   go_away(id, reason, out);
-  forget(id);
+  remove_session(id);
 }
 
-void Node::forget(PeerId id) {
+void Node::remove_session(PeerId id) {
   const auto found = sessions_.find(id);
   if (found == sessions_.end()) return;
   brokers_.on_disconnected(id, found->second.name);
   if (leader_session_ == id) leader_session_ = 0;
-  replica_.forget_tool(id);
+  replica_.remove_tool(id);
   sessions_.erase(found);
 }
 
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -1,5 +1,6 @@
-// A control node's decisions: it serves committed versions to its peers, replicates them from the leader, or
-// publishes them as the leader. Free of I/O and clocks; docs/design/control.md has the rules.
+// The state machine of a control node: it serves committed versions to its peers, and either replicates them
+// from the leader or publishes them as the leader. It performs no I/O and reads no clock;
+// docs/design/control.md has the rules.
 #pragma once
 
 #include <functional>
@@ -19,7 +20,7 @@
 
 namespace bellstair::control {
 
-// Why a document is not valid: lines, each with its place.
+// Why a document is not valid: one line per error, each with its position in the document.
 class InvalidDocument : public Error {
  public:
   using Error::Error;
@@ -27,40 +28,43 @@
 
 struct NodeOptions {
   std::string fleet, name, region;
-  LeaderTerm term;  // of the operator's file
-  // Called within on_message() for each document to be published; none: it is valid.
+  LeaderTerm term;  // from the operator's file
+  // Called by on_message() for each document to publish; returns nothing if the document is valid.
   std::function<std::optional<InvalidDocument>(const std::string& text)> validate;
 };
 
-// What the node's store held at the start.
+// The content of the node's store at startup.
 struct PersistedState {
   LeaderTerm term;
   std::optional<Version> committed;
 };
 
-// Each on_...() adds to `out` what the event loop has to do, in this order. `now` is on a steady clock.
+// Each on_...() appends to `out` the effects that the event loop has to carry out, in this order. `now` is
+// read from a steady clock.
 class Node {
  public:
-  // After so long without a message a peer is closed; brokers and followers ping far more often.
+  // Without a message for this long, the connection of an accepted peer is closed; brokers and followers ping
+  // far more often.
   static constexpr Time kPeerTimeout = std::chrono::seconds(8);
   static constexpr Time kHandshakeTimeout = std::chrono::seconds(3);   // until Hello, or the leader's Welcome
-  static constexpr Time kHeartbeatInterval = std::chrono::seconds(2);  // to the leader
-  static constexpr Time kLeaderTimeout = std::chrono::seconds(5);      // without a message from it
-  static constexpr std::size_t kMaxPeers = 8192;                       // connections at once
+  static constexpr Time kHeartbeatInterval = std::chrono::seconds(2);  // between pings to the leader
+  static constexpr Time kLeaderTimeout = std::chrono::seconds(5);      // without a message from the leader
+  static constexpr std::size_t kMaxPeers = 8192;                       // concurrent connections
 
   Node(NodeOptions options, PersistedState stored);
 
-  // The operator's file has been read again. The node's name and fleet do not change.
+  // Applies the operator's file after it was read again. The node's name and fleet do not change.
   void reconfigure(Time now, NodeOptions options, NodeEffects& out);
 
   void on_accepted(Time now, PeerId peer, NodeEffects& out);
-  void on_leader_connected(Time now, PeerId peer, NodeEffects& out);  // its own connection to upstream()
+  void on_leader_connected(Time now, PeerId peer, NodeEffects& out);  // this node's connection to upstream()
   void on_message(Time now, PeerId peer, std::string_view body, NodeEffects& out);
-  // All that was sent to the peer has left, also where it left at once. It is sent no further version before.
+  // Called when everything sent to the peer has been written, even if that was immediate. Until then, the
+  // peer is sent no further version.
   void on_drained(Time now, PeerId peer, NodeEffects& out);
   void on_closed(Time now, PeerId peer, NodeEffects& out);
 
-  // Answers to PersistVersion and PersistTerm; without an error they are durable.
+  // Completions of PersistVersion and PersistTerm; without an error the data is durable.
   void on_version_persisted(Time now, const Version& version, const std::optional<PersistError>& error,
                             NodeEffects& out);
   void on_term_persisted(Time now, const LeaderTerm& term, const std::optional<PersistError>& error,
@@ -68,7 +72,7 @@
 
   void tick(Time now, NodeEffects& out);
 
-  // The node to dial, by name; none: no term is known, or this node is the leader of the newest.
+  // The name of the node to dial; none if no term is known, or if this node is the leader of the newest term.
   [[nodiscard]] std::optional<std::string> upstream() const { return leadership_.upstream(); }
   [[nodiscard]] bool is_leader() const { return leadership_.is_leader(); }
   [[nodiscard]] const std::optional<Version>& committed() const { return replica_.committed(); }
@@ -83,13 +87,14 @@
   // Sessions.
   static void go_away(PeerId id, const std::string& reason, NodeEffects& out);
   void reject(PeerId id, const std::string& peer, const std::string& reason, NodeEffects& out);
-  void leave_leader(PeerId id, const std::string& leader, const std::string& reason, NodeEffects& out);
-  void forget(PeerId id);
-  void welcome(Session& session, NodeEffects& out);
+  void disconnect_from_leader(PeerId id, const std::string& leader, const std::string& reason,
+                              NodeEffects& out);
+  void remove_session(PeerId id);
+  void send_welcome(Session& session, NodeEffects& out);
   void send_update(Session& session, NodeEffects& out);
-  void close_silent_sessions(Time now, NodeEffects& out);
+  void ping_leader_and_close_timed_out(Time now, NodeEffects& out);
 
-  // Messages. False: the peer may not send it, or not yet; nothing has changed then.
+  // Messages. Returns false, without any change of state, if the peer may not send the message, or not yet.
   bool handle(Time now, Session& session, Hello& hello, NodeEffects& out);
   bool handle(Time now, Session& session, Welcome& welcome, NodeEffects& out);
   bool handle(Time now, Session& session, GoAway& message, NodeEffects& out);
@@ -104,14 +109,15 @@
     return false;
   }
 
-  // Why a peer is not served; none: it is.
+  // Return the reason for which the peer is rejected, or nothing if it is accepted.
   [[nodiscard]] std::optional<std::string> check_hello(const Hello& hello) const;
   [[nodiscard]] std::optional<std::string> check_welcome(const Welcome& welcome, NodeEffects& out);
   [[nodiscard]] std::optional<std::string> check_update(const Session& session, const Version& version,
                                                         NodeEffects& out);
-  // Takes up what a broker or node knows; the reason where it conflicts with what is known here.
-  [[nodiscard]] std::optional<std::string> learn_from(const Hello& hello, NodeEffects& out);
-  // The next version of this leader, or why there is none.
+  // Observes the leader term and the version that a broker or node reports. Returns the reason if its term
+  // conflicts with the term observed by this node.
+  [[nodiscard]] std::optional<std::string> observe_peer(const Hello& hello, NodeEffects& out);
+  // The next version that this leader publishes, or why the document is rejected.
   [[nodiscard]] std::variant<Version, PublishRejected> make_version(std::string text) const;
 
   NodeOptions options_;
@@ -120,7 +126,7 @@
   std::map<PeerId, Session> sessions_;
   PeerId leader_session_ = 0;  // 0: none
   BrokerRegistry brokers_;
-  std::vector<std::string> startup_lines_;  // for the log, from before the first event
+  std::vector<std::string> startup_lines_;  // log lines of the constructor, emitted with the first event
 };
 
 }  // namespace bellstair::control
--- a/src/control/node_effects.hpp
+++ b/src/control/node_effects.hpp
@@ -1,4 +1,4 @@
-// What a control node's decisions ask of its event loop.
+// The effects that a control node asks its event loop to carry out.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 namespace bellstair::control {
 
-using PeerId = std::uint64_t;  // a connection of this node, accepted or dialled; from 1, never used again
+using PeerId = std::uint64_t;  // a connection of this node, accepted or dialled; starts at 1, never reused
 
-// Queue one message's body.
+// Queue the body of one message.
 struct Send {
   PeerId peer = 0;
   std::string body;
 };
 
-// Close the connection once what was sent has left. The node has forgotten it by then: Node::on_closed() may
-// follow or not.
+// Close the connection once everything sent has been written. The node has already removed its session, and
+// ignores a later Node::on_closed().
 struct Close {
   PeerId peer = 0;
 };
--- a/src/control/node_messages.cpp
+++ b/src/control/node_messages.cpp
@@ -1,4 +1,4 @@
-// How a control node answers each kind of message.
+// The handlers of a control node for each kind of message.
 #include <limits>
 #include <utility>
 
@@ -8,22 +8,24 @@
 namespace bellstair::control {
 namespace {
 
-// Of a broker's reason, where the status of all is too long for one message.
+// Limit for each broker's reason where the status of all brokers is too long for one message.
 constexpr std::size_t kShortReasonBytes = 40;
 
-std::string other_protocol(unsigned protocol) {
-  return "protocol " + std::to_string(protocol) + ", spoken here is " + std::to_string(kProtocolVersion);
+std::string protocol_mismatch(unsigned protocol) {
+  return "protocol version " + std::to_string(protocol) + " is not supported; expected version " +
+         std::to_string(kProtocolVersion);
 }
 
-std::string other_fleet(const std::string& theirs, const std::string& ours) {
-  return "fleet " + theirs + ", this one is " + ours;
+std::string fleet_mismatch(const std::string& actual, const std::string& expected) {
+  return "fleet " + actual + " does not match the expected fleet " + expected;
 }
 
-std::string stale_term(std::uint64_t epoch) { return "it knows of epoch " + std::to_string(epoch) + " only"; }
+std::string stale_term(std::uint64_t epoch) { return "its epoch " + std::to_string(epoch) + " is outdated"; }
 
-std::string two_leaders(std::uint64_t epoch) { return "epoch " + std::to_string(epoch) + " has two writers"; }
+std::string two_leaders(std::uint64_t epoch) { return "epoch " + std::to_string(epoch) + " has two leaders"; }
 
-// Thousands of brokers with long reasons: these are cut first, then brokers are left out.
+// Thousands of brokers with long reasons can exceed the message limit: reasons are truncated first, then
+// brokers are left out.
 std::string encode_bounded(NodeStatus status) {
   std::string body = encode(status);
   if (body.size() > kMaxMessageBytes) {
@@ -49,45 +51,46 @@
   session.identified = true;
   session.role = hello.role;
   session.name = hello.name;
-  session.newest_held = hello.current;
+  session.newest_peer_version = hello.current;
   session.term = hello.term;
   if (hello.role == Role::broker) brokers_.on_hello(now, session.id, hello);
-  // A tool knows the operator's file and nothing else: it cannot depose a leader.
+  // A tool's term comes from the operator's file alone, so it cannot replace a leader.
   if (hello.role != Role::tool) {
-    if (const auto conflict = learn_from(hello, out)) {
+    if (const auto conflict = observe_peer(hello, out)) {
       if (hello.role == Role::broker) brokers_.set_reason(hello.name, *conflict);
       reject(session.id, peer, *conflict, out);
       return true;
     }
     on_leadership_changed(out);
   }
-  welcome(session, out);
+  send_welcome(session, out);
   return true;
 }
 
 std::optional<std::string> Node::check_hello(const Hello& hello) const {
-  if (hello.protocol != kProtocolVersion) return other_protocol(hello.protocol);
-  if (hello.fleet != options_.fleet) return other_fleet(hello.fleet, options_.fleet);
-  if (hello.role == Role::node && hello.name == options_.name) return "two nodes are called " + options_.name;
+  if (hello.protocol != kProtocolVersion) return protocol_mismatch(hello.protocol);
+  if (hello.fleet != options_.fleet) return fleet_mismatch(hello.fleet, options_.fleet);
+  if (hello.role == Role::node && hello.name == options_.name)
+    return "two nodes have the name " + options_.name;
   return std::nullopt;
 }
 
-std::optional<std::string> Node::learn_from(const Hello& hello, NodeEffects& out) {
+std::optional<std::string> Node::observe_peer(const Hello& hello, NodeEffects& out) {
   const auto peer = describe(hello.role, hello.name);
   if (leadership_.observe(hello.term, peer, out) == TermCheck::conflict)
-    return two_leaders(hello.term.epoch) + ": " + leadership_.observed().leader + " here, " +
-           hello.term.leader + " there";
+    return two_leaders(hello.term.epoch) + ": " + leadership_.observed().leader + " at this node, " +
+           hello.term.leader + " at the peer";
   leadership_.check_lost_version(hello.current, replica_.committed_id(), peer, out);
   const auto& committed = replica_.committed();
   if (committed && hello.current == committed->id && hello.digest != committed->digest)
-    log(out, peer + " has another version " + to_text(hello.current) + " than this node");
+    log(out, peer + " has version " + to_text(hello.current) + " with a different digest than this node");
   return std::nullopt;
 }
 
-// Not before the term that it tells is on disk.
-void Node::welcome(Session& session, NodeEffects& out) {
+// Brokers and nodes are sent Welcome only once the term in it is persisted.
+void Node::send_welcome(Session& session, NodeEffects& out) {
   if (session.outbound || !session.identified || session.welcomed) return;
-  if (!leadership_.is_settled() && session.role != Role::tool) return;
+  if (!leadership_.is_persisted() && session.role != Role::tool) return;
   session.welcomed = true;
   send_message(out, session.id,
                Welcome{kProtocolVersion, options_.fleet, options_.name, leadership_.persisted(),
@@ -95,19 +98,20 @@
   send_update(session, out);
 }
 
-// One at a time, and then the newest: a slow reader holds one version here, however many are published.
+// Sends one version at a time, always the newest: for a slow reader, only one version is buffered however
+// many are published.
 void Node::send_update(Session& session, NodeEffects& out) {
   if (!session.welcomed || session.update_in_flight || session.role == Role::tool) return;
-  if (!replica_.committed() || session.newest_held >= replica_.committed_id()) return;
+  if (!replica_.committed() || session.newest_peer_version >= replica_.committed_id()) return;
   session.update_in_flight = true;
-  session.newest_held = replica_.committed_id();
+  session.newest_peer_version = replica_.committed_id();
   out.emplace_back(Send{session.id, replica_.update_body()});
 }
 
 bool Node::handle(Time, Session& session, Welcome& welcome, NodeEffects& out) {
   if (!session.outbound || session.identified) return false;
   if (const auto reason = check_welcome(welcome, out)) {
-    leave_leader(session.id, welcome.name, *reason, out);
+    disconnect_from_leader(session.id, welcome.name, *reason, out);
     return true;
   }
   session.identified = true;
@@ -118,11 +122,11 @@
 }
 
 std::optional<std::string> Node::check_welcome(const Welcome& welcome, NodeEffects& out) {
-  if (welcome.protocol != kProtocolVersion) return other_protocol(welcome.protocol);
-  if (welcome.fleet != options_.fleet) return other_fleet(welcome.fleet, options_.fleet);
-  const auto wanted = upstream();
-  if (!wanted || welcome.name != *wanted)
-    return "it is " + welcome.name + ", not " + wanted.value_or("the writer");
+  if (welcome.protocol != kProtocolVersion) return protocol_mismatch(welcome.protocol);
+  if (welcome.fleet != options_.fleet) return fleet_mismatch(welcome.fleet, options_.fleet);
+  const auto leader = upstream();
+  if (!leader || welcome.name != *leader)
+    return "the node at the leader's address is " + welcome.name + ", not " + leader.value_or("the leader");
   switch (leadership_.observe(welcome.term, welcome.name, out)) {
     case TermCheck::conflict:
       return two_leaders(welcome.term.epoch);
@@ -137,9 +141,9 @@
 bool Node::handle(Time, Session& session, GoAway& message, NodeEffects& out) {
   if (session.outbound)
     log(out,
-        "is rejected by " + (session.name.empty() ? "the writer" : session.name) + ": " + message.reason);
+        "is rejected by " + (session.name.empty() ? "the leader" : session.name) + ": " + message.reason);
   const auto id = session.id;
-  forget(id);
+  remove_session(id);
   out.emplace_back(Close{id});
   return true;
 }
@@ -148,8 +152,8 @@
   if (!session.outbound || !session.identified) return false;
   Version& version = update.version;
   if (const auto reason = check_update(session, version, out)) {
-    leave_leader(session.id, std::string(session.name), "version " + to_text(version.id) + " " + *reason,
-                 out);
+    disconnect_from_leader(session.id, std::string(session.name),
+                           "version " + to_text(version.id) + " " + *reason, out);
     return true;
   }
   replica_.replicate(std::move(version), out);
@@ -158,15 +162,16 @@
 
 std::optional<std::string> Node::check_update(const Session& session, const Version& version,
                                               NodeEffects& out) {
-  const std::string second_leader = "has a second writer of its epoch, " + version.leader;
-  if (!is_intact(version)) return "is damaged: its digest is another";
+  const std::string second_leader = "names a second leader of its epoch: " + version.leader;
+  if (!is_intact(version)) return "is damaged: its digest does not match its content";
   if (session.term.epoch < leadership_.observed().epoch)
-    return "comes from epoch " + std::to_string(session.term.epoch);
+    return "was sent by a leader of the outdated epoch " + std::to_string(session.term.epoch);
   if (version.id.epoch >= leadership_.observed().epoch) {
-    // A newer term that is first seen in a version is obeyed; the version comes again from its leader.
+    // A newer term that first appears in a version is observed; the version itself is received again from the
+    // leader of that term.
     const auto check = leadership_.observe({version.id.epoch, version.leader}, session.name, out);
     if (check == TermCheck::conflict) return second_leader;
-    if (leadership_.observed() != session.term) return "is of a newer epoch than its writer's";
+    if (leadership_.observed() != session.term) return "has a newer epoch than the leader that sent it";
   }
   const auto& committed = replica_.committed();
   if (committed && version.id.epoch == committed->id.epoch && version.leader != committed->leader)
@@ -195,32 +200,33 @@
     return true;
   }
   const auto reason = check == TermCheck::stale ? stale_term(pong.term.epoch) : two_leaders(pong.term.epoch);
-  leave_leader(session.id, std::string(session.name), reason, out);
+  disconnect_from_leader(session.id, std::string(session.name), reason, out);
   return true;
 }
 
 bool Node::handle(Time, Session& session, Publish& publish, NodeEffects& out) {
   if (!session.identified || session.outbound || session.role != Role::tool) return false;
-  auto made = make_version(std::move(publish.text));
-  if (auto* rejected = std::get_if<PublishRejected>(&made)) {
+  auto result = make_version(std::move(publish.text));
+  if (auto* rejected = std::get_if<PublishRejected>(&result)) {
     send_message(out, session.id, std::move(*rejected));
     return true;
   }
-  replica_.publish(std::move(std::get<Version>(made)), session.id, out);
+  replica_.publish(std::move(std::get<Version>(result)), session.id, out);
   return true;
 }
 
 std::variant<Version, PublishRejected> Node::make_version(std::string text) const {
   if (const auto why = leadership_.why_not_leader())
-    return PublishRejected{options_.name + " does not write: " + *why};
-  if (replica_.is_persisting()) return PublishRejected{"busy: another document is being kept"};
+    return PublishRejected{options_.name + " is not the leader: " + *why};
+  if (replica_.is_persisting())
+    return PublishRejected{"busy: another document is being persisted; retry later"};
   if (options_.validate) {
     if (const auto invalid = options_.validate(text)) return PublishRejected{invalid->what()};
   }
-  // Numbers go on across epochs, so that operators see one count.
+  // Numbers continue across epochs, so that operators see a single sequence.
   const auto last = replica_.committed_id().number;
   if (last >= static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()))
-    return PublishRejected{"no number is left after " + std::to_string(last)};
+    return PublishRejected{"no version number is left after " + std::to_string(last)};
   Version version;
   version.id = {leadership_.persisted().epoch, last + 1};
   version.leader = options_.name;
--- a/src/control/persist_error.hpp
+++ b/src/control/persist_error.hpp
@@ -1,4 +1,4 @@
-// Why the store has not written a version or a term.
+// Why the store could not persist a version or a term.
 #pragma once
 
 #include "common/error.hpp"
@@ -7,8 +7,8 @@
 
 enum class PersistFault {
   damaged,    // the version's digest does not match
-  not_newer,  // not above what the store holds
-  io,         // the disk or the database has failed
+  not_newer,  // not newer than the stored data
+  io,         // the disk or the database failed
 };
 using PersistError = CodedError<PersistFault>;
 
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -14,10 +14,10 @@
 }
 
 void Replica::replicate(Version version, NodeEffects& out) {
-  const auto is_older_than = [&version](const std::optional<Version>& held) {
-    return held && version.id <= held->id;
+  const auto is_not_newer_than = [&version](const std::optional<Version>& other) {
+    return other && version.id <= other->id;
   };
-  if (is_older_than(committed_) || is_older_than(pending_) || is_older_than(persisting_)) return;
+  if (is_not_newer_than(committed_) || is_not_newer_than(pending_) || is_not_newer_than(persisting_)) return;
   if (persisting_) {
     pending_ = std::move(version);
     return;
@@ -61,7 +61,7 @@
   if (!persisting_ && now >= retry_at_) persist_pending(out);
 }
 
-void Replica::forget_tool(PeerId tool) {
+void Replica::remove_tool(PeerId tool) {
   if (tool_ == tool) tool_ = 0;
 }
 
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -1,5 +1,5 @@
-// A control node's copy of the newest version: the committed one, the one on its way to disk, and the one
-// that waits for it.
+// A control node's copy of the newest versions: the committed one, the one being persisted, and a pending one
+// that is persisted next.
 #pragma once
 
 #include <optional>
@@ -9,34 +9,36 @@
 
 namespace bellstair::control {
 
-// Only what is committed, which is to say on disk, is served to others.
+// Only a committed version, that is one on disk, is served to other processes.
 class Replica {
  public:
-  // Between attempts to persist a version from the leader.
+  // Delay between attempts to persist a version from the leader.
   static constexpr Time kPersistRetryInterval = std::chrono::seconds(1);
 
   explicit Replica(std::optional<Version> committed);
 
-  // From the leader: persisted now or after the one under way, unless it is not newer than what is here.
+  // Persists a version from the leader, now or after the one being persisted; ignores it if it is not newer
+  // than the versions already here.
   void replicate(Version version, NodeEffects& out);
-  // By this node as leader, on behalf of a tool's connection; not while is_persisting().
+  // Persists a version that this node publishes as leader on request of a tool's connection. Must not be
+  // called while is_persisting().
   void publish(Version version, PeerId tool, NodeEffects& out);
 
-  // How a persist that was under way has ended.
+  // The completion of a persist.
   struct Finished {
-    PeerId tool = 0;  // waits for the answer; 0: none does, or it has gone
+    PeerId tool = 0;  // the connection that waits for the answer; 0: none, or it is closed
   };
-  // None: it is not the version that is being persisted. Without failure it is committed; one from the
-  // leader that has failed is kept for a retry.
+  // Returns nothing if `version` is not the one being persisted. On success the version is committed; on
+  // failure a version from the leader stays pending for a retry.
   std::optional<Finished> on_persisted(Time now, const Version& version, bool failed);
-  // The one that waited for the last is next.
+  // Persists the pending version, if there is one.
   void persist_pending(NodeEffects& out);
   void retry_persist(Time now, NodeEffects& out);
-  void forget_tool(PeerId tool);
+  void remove_tool(PeerId tool);
 
   [[nodiscard]] const std::optional<Version>& committed() const { return committed_; }
   [[nodiscard]] VersionId committed_id() const { return committed_ ? committed_->id : VersionId{}; }
-  // The committed version as a message; empty without one.
+  // The committed version as an encoded message; empty if there is none.
   [[nodiscard]] const std::string& update_body() const { return update_body_; }
   [[nodiscard]] bool is_persisting() const { return persisting_.has_value(); }
 
@@ -47,9 +49,9 @@
   std::optional<Version> committed_;
   std::string update_body_;
   std::optional<Version> persisting_;
-  PeerId tool_ = 0;                 // that waits for the one being persisted
-  bool published_here_ = false;     // the one being persisted
-  std::optional<Version> pending_;  // from the leader
+  PeerId tool_ = 0;                 // waits for the version being persisted; 0: none
+  bool published_here_ = false;     // whether this node published the version being persisted
+  std::optional<Version> pending_;  // from the leader, persisted next
   Time retry_at_ = Time::min();
 };
 
--- a/src/control/sqlite.cpp
+++ b/src/control/sqlite.cpp
@@ -5,7 +5,7 @@
 namespace bellstair::control::sqlite {
 namespace {
 
-constexpr int kMaxValueBytes = 8 << 20;  // also in a damaged file
+constexpr int kMaxValueBytes = 8 << 20;  // bounds memory if the file is damaged
 constexpr int kPrimaryCodeMask = 0xFF;   // of an extended result code
 
 [[noreturn]] void fail(sqlite3* database, int code) {
@@ -79,7 +79,7 @@
 Transaction::Transaction(sqlite3* database) : database_(database) { execute(database, "BEGIN IMMEDIATE"); }
 
 Transaction::~Transaction() {
-  // Autocommit is on where it has been committed, or SQLite has rolled it back itself.
+  // Autocommit is on after a commit, or after a rollback by SQLite itself.
   if (sqlite3_get_autocommit(database_) == 0) sqlite3_exec(database_, "ROLLBACK", nullptr, nullptr, nullptr);
 }
 
--- a/src/control/sqlite.hpp
+++ b/src/control/sqlite.hpp
@@ -1,4 +1,4 @@
-// SQLite's C interface with errors as exceptions and handles that close themselves.
+// A wrapper of SQLite's C interface that reports errors as exceptions and closes its handles.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 namespace bellstair::control::sqlite {
 
 enum class Fault {
-  locked,  // by another process
-  other,   // what() has SQLite's message and extended code
+  locked,  // the file is locked by another process
+  other,   // what() contains SQLite's message and extended code
 };
 using SqliteError = CodedError<Fault>;
 
@@ -23,14 +23,14 @@
 };
 using Database = std::unique_ptr<sqlite3, DatabaseCloser>;
 
-// Opens the file, and makes it where it is not there and `create` allows it. Each commit is synced with its
-// directory (synchronous=EXTRA), and the file is locked from the first transaction on. Throws SqliteError.
+// Opens the file; creates a missing one if `create` is set. Each commit also syncs the directory
+// (synchronous=EXTRA), and the file is locked from the first transaction on. Throws SqliteError.
 [[nodiscard]] Database open(const std::string& path, bool create);
 
-// Runs statements without results. Throws SqliteError.
+// Runs statements that return no rows. Throws SqliteError.
 void execute(sqlite3* database, const std::string& sql);
 
-// One statement with its parameters and rows. Every member throws SqliteError.
+// A prepared statement with its parameters and result rows. Every member throws SqliteError.
 class Statement {
  public:
   Statement(sqlite3* database, const char* sql);
@@ -38,10 +38,10 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  // The next parameter.
+  // Binds the next parameter.
   Statement& bind(std::uint64_t value);
   Statement& bind(const std::string& value);
-  // False: there are no more rows.
+  // Returns false if there are no more rows.
   bool step();
   // Columns of the current row, from 0.
   [[nodiscard]] std::uint64_t number(int column) const;
@@ -55,7 +55,7 @@
   int bound_ = 0;
 };
 
-// Rolls back unless commit() has returned.
+// Rolls back on destruction unless commit() has returned.
 class Transaction {
  public:
   explicit Transaction(sqlite3* database);
--- a/src/control/store.cpp
+++ b/src/control/store.cpp
@@ -18,7 +18,7 @@
 constexpr int kApplicationId = 0x42535452;  // "BSTR", in the file's header
 constexpr int kSchemaVersion = 1;
 
-// Stored names are older than the code's: reign is a LeaderTerm, writer its leader.
+// Names in the file differ from those in the code: reign is the LeaderTerm, writer is its leader.
 constexpr const char* kSchema = R"(
   CREATE TABLE fleet (name TEXT NOT NULL);
   CREATE TABLE reign (epoch INTEGER NOT NULL, writer TEXT NOT NULL, digest TEXT NOT NULL);
@@ -69,17 +69,18 @@
     if (errno != ENOENT) throw inaccessible(path_, errno);
     create(path_, fleet);
   } else if (!S_ISREG(found.st_mode)) {
-    throw StoreError(StoreFault::inaccessible, path_ + ": not a file");
+    throw StoreError(StoreFault::inaccessible, path_ + ": not a regular file");
   } else if (found.st_size == 0) {
-    throw damaged("an empty file");
+    throw damaged("the file is empty");
   }
   database_ = sqlite::open(path_, false);
-  // In exclusive locking mode the lock outlives the transaction.
+  // In exclusive locking mode the lock is held after the end of the transaction.
   sqlite::execute(database_.get(), "BEGIN EXCLUSIVE");
   sqlite::execute(database_.get(), "COMMIT");
 }
 
-// Under another name first, then linked: a file under its own name is complete from its first moment.
+// Creates the file under a temporary name and then links it, so that a file under the final name is always
+// complete.
 void Store::create(const std::string& path, const std::string& fleet) {
   const std::string temporary = path + ".new." + std::to_string(::getpid());
   ::unlink(temporary.c_str());
@@ -93,7 +94,8 @@
     Statement(database.get(), "INSERT INTO fleet VALUES (?)").bind(fleet).step();
     transaction.commit();
   }
-  const bool linked = ::link(temporary.c_str(), path.c_str()) == 0;  // never over another's
+  // Unlike rename(), link() never replaces a file that another process has created.
+  const bool linked = ::link(temporary.c_str(), path.c_str()) == 0;
   const int error = errno;
   ::unlink(temporary.c_str());
   if (!linked && error != EEXIST) throw inaccessible(path, error);
@@ -120,7 +122,8 @@
     throw foreign("not a store of a control node");
   if (const auto schema = read_pragma(database, "PRAGMA user_version");
       schema != std::to_string(kSchemaVersion))
-    throw foreign("schema " + schema + ", known is " + std::to_string(kSchemaVersion));
+    throw foreign("schema version " + schema + " is not supported; expected version " +
+                  std::to_string(kSchemaVersion));
   if (const auto mode = read_pragma(database, "PRAGMA journal_mode"); mode != "delete")
     throw foreign("journal_mode is " + mode + ", not delete");
   if (const auto result = read_pragma(database, "PRAGMA integrity_check(1)"); result != "ok")
@@ -129,16 +132,18 @@
 
 void Store::check_fleet(const std::string& fleet) const {
   Statement rows(database_.get(), "SELECT name FROM fleet");
-  if (!rows.step()) throw damaged("no fleet in it");
+  if (!rows.step()) throw damaged("its fleet table is empty");
   if (rows.text(0) != fleet)
-    throw StoreError(StoreFault::foreign, path_ + ": of fleet " + rows.text(0) + ", this one is " + fleet);
+    throw StoreError(StoreFault::foreign,
+                     path_ + ": belongs to fleet " + rows.text(0) + ", not to fleet " + fleet);
 }
 
 void Store::load_term() {
   Statement rows(database_.get(), "SELECT epoch, writer, digest FROM reign");
   if (!rows.step()) return;
   state_.term = {rows.number(0), rows.text(1)};
-  if (rows.text(2) != compute_digest(state_.term)) throw damaged("the reign's digest is another");
+  if (rows.text(2) != compute_digest(state_.term))
+    throw damaged("the digest of the leader term does not match its content");
 }
 
 void Store::load_versions() {
@@ -146,16 +151,18 @@
                  "SELECT epoch, number, writer, digest, text FROM versions ORDER BY epoch, number");
   while (rows.step()) {
     Version version{{rows.number(0), rows.number(1)}, rows.text(2), rows.text(3), rows.text(4)};
-    if (!is_intact(version)) throw damaged("version " + to_text(version.id) + ": its digest is another");
+    if (!is_intact(version))
+      throw damaged("version " + to_text(version.id) + ": its digest does not match its content");
     state_.committed = std::move(version);
   }
 }
 
 std::optional<PersistError> Store::persist(const Version& version) {
   const std::string subject = path_ + ": version " + to_text(version.id);
-  if (!is_intact(version)) return PersistError(PersistFault::damaged, subject + " is not whole");
+  if (!is_intact(version)) return PersistError(PersistFault::damaged, subject + " does not match its digest");
   if (state_.committed && version.id <= state_.committed->id)
-    return PersistError(PersistFault::not_newer, subject + " is not above " + to_text(state_.committed->id));
+    return PersistError(PersistFault::not_newer,
+                        subject + " is not newer than the stored version " + to_text(state_.committed->id));
   try {
     Transaction transaction(database_.get());
     delete_uncommitted_versions();
@@ -187,8 +194,8 @@
       .step();
 }
 
-// A commit may fail after its point of no return, as when the directory cannot be synced: its version is in
-// the file, and nobody was told that it is committed. To be called within a transaction.
+// A commit may fail after its data has reached the file, for example when the directory cannot be synced: the
+// version is then in the file although its persist() returned an error. Must be called within a transaction.
 void Store::delete_uncommitted_versions() {
   const auto committed = state_.committed ? state_.committed->id : VersionId{};
   Statement(database_.get(), "DELETE FROM versions WHERE (epoch, number) > (?, ?)")
@@ -197,7 +204,7 @@
       .step();
 }
 
-// What is to be said beside the commit's own failure: nothing where the file is as it was.
+// Returns a text to append to the commit's error: empty if the file is as it was before the commit.
 std::string Store::undo_failed_commit() {
   try {
     Transaction transaction(database_.get());
@@ -205,14 +212,17 @@
     transaction.commit();
     return {};
   } catch (const SqliteError& error) {
-    return std::string("; it may be there after a restart, unless another is kept before: ") + error.what();
+    return std::string(
+               "; the version may be present after a restart, unless another one is persisted first: ") +
+           error.what();
   }
 }
 
 std::optional<PersistError> Store::persist(const LeaderTerm& term) {
   if (term.epoch <= state_.term.epoch)
     return PersistError(PersistFault::not_newer, path_ + ": epoch " + std::to_string(term.epoch) +
-                                                     " is not above " + std::to_string(state_.term.epoch));
+                                                     " is not newer than the stored epoch " +
+                                                     std::to_string(state_.term.epoch));
   try {
     Transaction transaction(database_.get());
     sqlite::execute(database_.get(), "DELETE FROM reign");
--- a/src/control/store.hpp
+++ b/src/control/store.hpp
@@ -1,8 +1,8 @@
-// Where a control node persists its versions and the newest term: one SQLite file. What persist() has
-// accepted is on the disk, and survives a loss of power.
+// The store in which a control node persists its versions and the newest term: one SQLite file. Data for
+// which persist() returned no error is on disk and survives a power failure.
 //
-// A rollback journal, not a WAL: a damaged byte in a WAL silently ends the log there, while here the one file
-// holds everything and is checked when it is opened.
+// The database uses a rollback journal instead of a WAL: a damaged byte in a WAL silently ends the log at
+// that point, while a single file contains everything and is checked when it is opened.
 #pragma once
 
 #include <optional>
@@ -24,18 +24,19 @@
 
 class Store {
  public:
-  static constexpr std::size_t kMaxVersions = 1024;  // the newest; older ones are deleted
+  static constexpr std::size_t kMaxVersions = 1024;  // the newest are kept; older ones are deleted
 
-  // Opens the file, or makes one where there is none, and checks all of it. It is locked until the Store is
-  // destroyed. `fleet`: whose it must be. Throws StoreError; the file is left as it is then.
+  // Opens or creates the file and checks its whole content. The file is locked until the Store is destroyed,
+  // and must belong to `fleet`. Throws StoreError, and then leaves the file unchanged.
   Store(const std::string& path, const std::string& fleet, std::size_t max_versions = kMaxVersions);
 
   [[nodiscard]] const PersistedState& persisted() const { return state_; }
 
-  // Durable where they return no error. With one nothing has changed, unless its message says that the
-  // version may still be there after a restart.
-  [[nodiscard]] std::optional<PersistError> persist(const Version& version);  // above all persisted
-  [[nodiscard]] std::optional<PersistError> persist(const LeaderTerm& term);  // newer than the persisted one
+  // Both accept only what is newer than everything of its kind that is persisted. The data is durable if no
+  // error is returned. After an error nothing has changed, unless the error's text states that the version
+  // may be present after a restart.
+  [[nodiscard]] std::optional<PersistError> persist(const Version& version);
+  [[nodiscard]] std::optional<PersistError> persist(const LeaderTerm& term);
 
   [[nodiscard]] std::size_t version_count() const;
 
--- a/src/control/subscriber.cpp
+++ b/src/control/subscriber.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::uint64_t kFnvOffset = 14695981039346656037U, kFnvPrime = 1099511628211U;
-constexpr std::uint64_t kEndOfName = 0xFFU;  // no byte of UTF-8
+constexpr std::uint64_t kEndOfName = 0xFFU;  // does not occur in UTF-8
 
-// Rendezvous hashing (highest random weight): FNV-1a over both names, then the finalizer of splitmix64. A
-// node that is added or removed moves only its own brokers.
+// Rendezvous hashing (highest random weight): FNV-1a over both names, then the finalizer of splitmix64.
+// Adding or removing a node moves only the brokers of that node.
 std::uint64_t rendezvous_weight(const std::string& node, const std::string& broker) {
   std::uint64_t hash = kFnvOffset;
   const auto mix = [&hash](const std::string& text) {
@@ -34,7 +34,7 @@
       last_(std::move(last)),
       order_(options_.nodes.size()),
       random_(options_.seed),
-      logged_refusals_(options_.nodes.size()) {
+      logged_rejections_(options_.nodes.size()) {
   std::iota(order_.begin(), order_.end(), std::size_t{0});
   const auto key = [this](std::size_t i) {
     const auto& node = options_.nodes[i];
@@ -43,9 +43,8 @@
   std::sort(order_.begin(), order_.end(), [&](std::size_t a, std::size_t b) { return key(a) < key(b); });
 }
 
-Time Subscriber::draw(Time least, Time most) {
-  return least +
-         Time(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>((most - least).count())));
+Time Subscriber::random_duration(Time min, Time max) {
+  return min + Time(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>((max - min).count())));
 }
 
 std::optional<std::size_t> Subscriber::node() const {
@@ -61,8 +60,8 @@
       term_ = {version.id.epoch, version.leader};
       apply(std::move(version), out);
     } else {
-      out.emplace_back(
-          LogLine{"control: the last version, " + to_text(version.id) + ", is damaged and not used"});
+      out.emplace_back(LogLine{"control: the last active version, " + to_text(version.id) +
+                               ", is damaged and is not used"});
     }
   }
   if (options_.nodes.empty()) return;
@@ -81,7 +80,7 @@
 void Subscriber::connect_next(Time now, SubscriberEffects& out) {
   if (round_next_ == round_.size()) {
     phase_ = Phase::backing_off;
-    phase_deadline_ = now + draw(backoff_ / 2, backoff_);
+    phase_deadline_ = now + random_duration(backoff_ / 2, backoff_);
     backoff_ = std::min(2 * backoff_, kMaxBackoff);
     return;
   }
@@ -93,20 +92,21 @@
 void Subscriber::disconnect(Time now, const std::string& reason, SubscriberEffects& out) {
   if (!reason.empty()) out.emplace_back(LogLine{reason});
   out.emplace_back(Disconnect{});
-  move_on(now, out);
+  try_next_node(now, out);
 }
 
-// From a node that is of no use any more to the next.
-void Subscriber::move_on(Time now, SubscriberEffects& out) {
-  // A subscription that breaks soon after its Welcome has proved little: round and backoff go on.
+// Leaves the current node after a failure.
+void Subscriber::try_next_node(Time now, SubscriberEffects& out) {
+  // A subscription that breaks soon after its Welcome does not count as a success: the round and the backoff
+  // continue.
   if (phase_ != Phase::subscribed || now - subscribed_at_ < kMaxBackoff) {
     connect_next(now, out);
     return;
   }
   backoff_ = kMinBackoff;
   failed_node_ = current_index();
-  phase_ = Phase::backing_off;  // the other brokers of a node that died come at the same time
-  phase_deadline_ = now + draw(Time{}, kMinBackoff);
+  phase_ = Phase::backing_off;  // after a crash, all brokers of that node reconnect at the same time
+  phase_deadline_ = now + random_duration(Time{}, kMinBackoff);
 }
 
 void Subscriber::reject_node(Time now, const std::string& reason, SubscriberEffects& out) {
@@ -131,22 +131,23 @@
 
 void Subscriber::on_closed(Time now, SubscriberEffects& out) {
   if (phase_ == Phase::stopped || phase_ == Phase::backing_off) return;
-  if (phase_ == Phase::subscribed) out.emplace_back(LogLine{"control: lost " + current().name});
-  move_on(now, out);
+  if (phase_ == Phase::subscribed)
+    out.emplace_back(LogLine{"control: lost the connection to " + current().name});
+  try_next_node(now, out);
 }
 
-// Whether a node of this term may be followed; a newer term is remembered.
+// Stores a newer term. Disconnects and returns false if the node's term is outdated or names another leader.
 bool Subscriber::accept_term(Time now, const LeaderTerm& term, SubscriberEffects& out) {
   const auto epoch = std::to_string(term.epoch);
   if (term.epoch < term_.epoch) {
     disconnect(now,
-               "control: " + current().name + " knows of epoch " + epoch + " only, " +
-                   std::to_string(term_.epoch) + " was seen",
+               "control: " + current().name + " is at the outdated epoch " + epoch + "; epoch " +
+                   std::to_string(term_.epoch) + " is known",
                out);
     return false;
   }
   if (term.epoch == term_.epoch && term.leader != term_.leader) {
-    reject_node(now, "epoch " + epoch + " has " + term_.leader + " as its writer, not " + term.leader, out);
+    reject_node(now, "the leader of epoch " + epoch + " is " + term_.leader + ", not " + term.leader, out);
     return false;
   }
   term_ = term;
@@ -173,11 +174,11 @@
       return;
     }
   }
-  reject_node(now, "a message that it may not send", out);
+  reject_node(now, "it sent a message that a node may not send", out);
 }
 
 void Subscriber::on_go_away(Time now, GoAway message, SubscriberEffects& out) {
-  auto& logged = logged_refusals_[current_index()];
+  auto& logged = logged_rejections_[current_index()];
   const bool repeated = logged == message.reason;
   logged = std::move(message.reason);
   disconnect(now,
@@ -189,10 +190,11 @@
 
 std::optional<std::string> Subscriber::check_welcome(const Welcome& welcome) const {
   if (welcome.protocol != kProtocolVersion)
-    return "protocol " + std::to_string(welcome.protocol) + ", spoken here is " +
+    return "protocol version " + std::to_string(welcome.protocol) + " is not supported; expected version " +
            std::to_string(kProtocolVersion);
-  if (welcome.fleet != options_.fleet) return "fleet " + welcome.fleet + ", this one is " + options_.fleet;
-  if (welcome.name != current().name) return "it is " + welcome.name;
+  if (welcome.fleet != options_.fleet)
+    return "fleet " + welcome.fleet + " does not match the expected fleet " + options_.fleet;
+  if (welcome.name != current().name) return "the node at its address is " + welcome.name;
   return std::nullopt;
 }
 
@@ -201,20 +203,20 @@
   if (!accept_term(now, welcome.term, out)) return;
   phase_ = Phase::subscribed;
   subscribed_at_ = last_ping_ = now;
-  fail_back_at_ = now + draw(kFailBackInterval / 2, kFailBackInterval + kFailBackInterval / 2);
-  logged_refusals_[current_index()].clear();
+  fail_back_at_ = now + random_duration(kFailBackInterval / 2, kFailBackInterval + kFailBackInterval / 2);
+  logged_rejections_[current_index()].clear();
   out.emplace_back(LogLine{"control: connected to " + current().name + " (" + current().region + ")"});
   if (active_version_ != reported_version_ || rejected_version_ != VersionId{}) report(out);
 }
 
 std::optional<std::string> Subscriber::check_update(const Version& version) const {
-  if (!is_intact(version)) return "is damaged: its digest is another";
-  if (version.id.epoch > term_.epoch) return "is of an epoch that its node does not know";
+  if (!is_intact(version)) return "is damaged: its digest does not match its content";
+  if (version.id.epoch > term_.epoch) return "has a newer epoch than the node that sent it";
   const bool second_leader_of_term = version.id.epoch == term_.epoch && version.leader != term_.leader;
   const bool second_leader_of_tried =
       version.id.epoch == newest_tried_.epoch && version.leader != newest_tried_leader_;
   if (second_leader_of_term || second_leader_of_tried)
-    return "has a second writer of its epoch, " + version.leader;
+    return "names a second leader of its epoch: " + version.leader;
   return std::nullopt;
 }
 
@@ -242,7 +244,7 @@
   active_digest_ = applying_->digest;
   rejected_version_ = {};
   rejection_reason_.clear();
-  out.emplace_back(LogLine{"control: version " + to_text(active_version_) + " in force"});
+  out.emplace_back(LogLine{"control: version " + to_text(active_version_) + " is active"});
   on_apply_finished(out);
 }
 
@@ -283,7 +285,9 @@
       return;
     case Phase::subscribed:
       if (now - last_message_ >= kNodeTimeout) {
-        disconnect(now, "control: lost " + current().name + ": silent", out);
+        disconnect(now,
+                   "control: lost the connection to " + current().name + ": no message was received in time",
+                   out);
       } else if (now >= fail_back_at_ && current_index() != order_.front()) {
         out.emplace_back(Disconnect{});
         begin_round(now, out);
--- a/src/control/subscriber.hpp
+++ b/src/control/subscriber.hpp
@@ -1,5 +1,5 @@
-// A broker's subscription to the control nodes: which node it connects to and when, which versions it has its
-// settings replaced by, what it reports. Free of I/O and clocks.
+// A broker's subscription to the control nodes: which node it connects to and when, which versions it
+// applies, and what it reports. It performs no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace bellstair::control {
 
-// Close the connection there is, and connect to this one of the nodes.
+// Close the current connection, if any, and connect to this node.
 struct Connect {
   std::size_t node = 0;  // an index into SubscriberOptions::nodes
 };
@@ -26,8 +26,8 @@
   std::string body;
 };
 
-// Try to make it the broker's settings, then call Subscriber::on_version_applied() or _rejected(). Its
-// digest, term and order have been checked.
+// Try to apply the version as the broker's settings, then call Subscriber::on_version_applied() or
+// on_version_rejected(). Its digest, term and order have been checked.
 struct ApplyVersion {
   Version version;
 };
@@ -43,38 +43,40 @@
 struct SubscriberOptions {
   std::string fleet, name, region;
   std::vector<NodeAddress> nodes;
-  std::uint64_t seed = 0;  // of the jitter
+  std::uint64_t seed = 0;  // for the random delays
 };
 
-// It tries the nodes in rounds, those of its own region first, with a backoff between rounds that found none.
+// Tries the nodes in rounds, those of its own region first, with a backoff after a round without success.
 class Subscriber {
  public:
   static constexpr Time kHeartbeatInterval = std::chrono::seconds(2);
-  static constexpr Time kNodeTimeout = std::chrono::seconds(5);     // without a message from it
-  static constexpr Time kConnectTimeout = std::chrono::seconds(1);  // for a connection and its Welcome
+  static constexpr Time kNodeTimeout = std::chrono::seconds(5);     // without a message from the node
+  static constexpr Time kConnectTimeout = std::chrono::seconds(1);  // until the node's Welcome arrives
   static constexpr Time kMinBackoff = std::chrono::milliseconds(100);
   static constexpr Time kMaxBackoff = std::chrono::seconds(4);
-  // On another node than its first; drawn from half less to half more.
+  // How long it stays with a node other than its preferred one; randomized by up to half less or half more.
   static constexpr Time kFailBackInterval = std::chrono::minutes(10);
 
-  // `last`: the version that was active when the process ended, if it was persisted.
+  // `last` is the version that was active when the previous process ended, if it was persisted.
   Subscriber(SubscriberOptions options, std::optional<Version> last);
 
   void start(Time now, SubscriberEffects& out);
   void on_connected(Time now, SubscriberEffects& out);
-  // The connection of the latest Connect has failed or broken; not one that Disconnect has closed.
+  // Called when the connection of the latest Connect could not be made or has broken, but not after
+  // Disconnect.
   void on_closed(Time now, SubscriberEffects& out);
   void on_message(Time now, std::string_view body, SubscriberEffects& out);
-  // Answers to ApplyVersion, within it or later.
+  // Completions of ApplyVersion, called while it is carried out or later.
   void on_version_applied(const Version& version, SubscriberEffects& out);
   void on_version_rejected(const Version& version, const std::string& reason, SubscriberEffects& out);
-  void tick(Time now, SubscriberEffects& out);  // some ten times a second
+  void tick(Time now, SubscriberEffects& out);  // called about ten times a second
 
   [[nodiscard]] VersionId active_version() const { return active_version_; }
-  [[nodiscard]] const LeaderTerm& term() const { return term_; }  // the newest known
-  // The node that has welcomed it, an index; none: it is not connected.
+  [[nodiscard]] const LeaderTerm& term() const { return term_; }  // the newest known term
+  // The index of the node that it is subscribed to; none if it is not subscribed.
   [[nodiscard]] std::optional<std::size_t> node() const;
-  // The nodes in the order in which it prefers them: its own region's first, each set by rendezvous hashing.
+  // The nodes in order of preference: those of its own region first, each group ordered by rendezvous
+  // hashing.
   [[nodiscard]] const std::vector<std::size_t>& order() const { return order_; }
 
  private:
@@ -83,7 +85,7 @@
   void begin_round(Time now, SubscriberEffects& out);
   void connect_next(Time now, SubscriberEffects& out);
   void disconnect(Time now, const std::string& reason, SubscriberEffects& out);
-  void move_on(Time now, SubscriberEffects& out);
+  void try_next_node(Time now, SubscriberEffects& out);
   void reject_node(Time now, const std::string& reason, SubscriberEffects& out);
   bool accept_term(Time now, const LeaderTerm& term, SubscriberEffects& out);
   void on_go_away(Time now, GoAway message, SubscriberEffects& out);
@@ -94,25 +96,25 @@
   void apply(Version version, SubscriberEffects& out);
   void on_apply_finished(SubscriberEffects& out);
   void report(SubscriberEffects& out);
-  // From `least` to just below `most`.
-  Time draw(Time least, Time most);
+  // Uniform from `min` to just below `max`.
+  Time random_duration(Time min, Time max);
   [[nodiscard]] std::size_t current_index() const { return round_[round_next_ - 1]; }
   [[nodiscard]] const NodeAddress& current() const { return options_.nodes[current_index()]; }
 
   SubscriberOptions options_;
-  std::optional<Version> last_;  // until start()
+  std::optional<Version> last_;  // consumed by start()
   std::vector<std::size_t> order_;
   std::mt19937_64 random_;
 
   Phase phase_ = Phase::stopped;
   std::vector<std::size_t> round_;          // the nodes of this round, in order
-  std::size_t round_next_ = 0;              // the next of them to connect to
-  std::optional<std::size_t> failed_node_;  // its subscription broke last: the next round tries it last
-  Time phase_deadline_{};                   // of the backoff, or of connecting and Welcome together
-  Time backoff_ = kMinBackoff;              // the next one
-  Time last_message_{}, last_ping_{};       // from the node, to the node
+  std::size_t round_next_ = 0;              // index in round_ of the next node to connect to
+  std::optional<std::size_t> failed_node_;  // the node whose subscription broke; the next round tries it last
+  Time phase_deadline_{};                   // end of the backoff, or of connecting including Welcome
+  Time backoff_ = kMinBackoff;              // the next backoff
+  Time last_message_{}, last_ping_{};       // received from the node, sent to the node
   Time subscribed_at_{}, fail_back_at_{};
-  std::vector<std::string> logged_refusals_;  // by node: the reason of the last GoAway, logged once
+  std::vector<std::string> logged_rejections_;  // by node: the reason of the last GoAway, logged once
 
   LeaderTerm term_;
   VersionId active_version_;
@@ -120,10 +122,10 @@
   VersionId newest_tried_;
   std::string newest_tried_leader_;
   std::optional<Version> applying_;
-  std::optional<Version> pending_;  // the newest that came meanwhile
+  std::optional<Version> pending_;  // the newest one received while another is being applied
   VersionId rejected_version_;
   std::string rejection_reason_;
-  VersionId reported_version_;  // the active one in the last Hello or BrokerReport
+  VersionId reported_version_;  // the active version in the last Hello or BrokerReport
 };
 
 }  // namespace bellstair::control
--- a/src/control/utf8.cpp
+++ b/src/control/utf8.cpp
@@ -5,7 +5,7 @@
 namespace bellstair::control {
 namespace {
 
-// By its first byte; 0: no character begins so.
+// The length that a character's first byte announces; 0 if no character begins with it.
 std::size_t character_length(unsigned char lead) {
   if (lead < 0x80) return 1;
   if (lead >= 0xC2 && lead < 0xE0) return 2;
@@ -14,7 +14,7 @@
   return 0;
 }
 
-// Rules out overlong forms, surrogates and code points beyond U+10FFFF.
+// Rejects overlong forms, surrogates and code points beyond U+10FFFF.
 bool second_byte_fits(unsigned char lead, unsigned char second) {
   if (lead == 0xE0) return second >= 0xA0;
   if (lead == 0xED) return second <= 0x9F;
@@ -23,7 +23,7 @@
   return true;
 }
 
-// The length of the valid character at the beginning; 0: none is there.
+// The length of the valid character at the start of `text`; 0 if there is none.
 std::size_t valid_character(std::string_view text) {
   const auto lead = static_cast<unsigned char>(text[0]);
   const auto length = character_length(lead);
--- a/src/control/utf8.hpp
+++ b/src/control/utf8.hpp
@@ -1,4 +1,4 @@
-// Text of any origin as valid UTF-8.
+// Converts text of any origin to valid UTF-8.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,8 @@
 
 namespace bellstair::control {
 
-// At most `max_bytes` of the text as valid UTF-8: each invalid byte becomes '?', and no character is cut.
+// Returns at most `max_bytes` of the text as valid UTF-8: each invalid byte is replaced by '?', and no
+// character is split.
 [[nodiscard]] std::string sanitize_utf8(std::string_view text, std::size_t max_bytes);
 
 }  // namespace bellstair::control
--- a/src/control/version.cpp
+++ b/src/control/version.cpp
@@ -26,7 +26,7 @@
   return out;
 }
 
-// Over both, one after the other: documents are long, and are not copied.
+// Hashes `head` followed by `tail`; documents are long, so they are not copied into one string.
 std::string sha256_hex(std::string_view head, std::string_view tail) {
   const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(), &EVP_MD_CTX_free);
   std::array<unsigned char, EVP_MAX_MD_SIZE> sum{};
@@ -44,7 +44,8 @@
 std::string to_text(VersionId id) { return std::to_string(id.epoch) + "." + std::to_string(id.number); }
 
 std::string compute_digest(const Version& version) {
-  std::string head;  // numbers and lengths have a fixed width: no byte can pass from one part into the next
+  // Numbers and lengths have a fixed width, so that the boundaries between the parts are unambiguous.
+  std::string head;
   append_big_endian(head, version.id.epoch);
   append_big_endian(head, version.id.number);
   append_big_endian(head, version.leader.size());
--- a/tests/control_client_test.cpp
+++ b/tests/control_client_test.cpp
@@ -185,7 +185,7 @@
   until([&] { return client->unpersisted() == newest.id; }, "word that it is not kept");
   const auto said = testing::internal::GetCapturedStderr();
   EXPECT_NE(said.find("control: version 1.1 is not persisted for a restart: "), std::string::npos) << said;
-  EXPECT_NE(said.find("control: version 1.1 in force"), std::string::npos) << said;
+  EXPECT_NE(said.find("control: version 1.1 is active"), std::string::npos) << said;
   EXPECT_EQ(reports[0].active_version, newest.id);
 }
 
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1,4 +1,4 @@
-// The control plane's decisions and its store: each safety rule, hostile input, damaged files.
+// Tests of the control plane's state machines and store: each safety rule, malicious input, damaged files.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 #include <sys/resource.h>
@@ -22,26 +22,26 @@
 
 using namespace std::chrono_literals;
 
-Version version(std::uint64_t epoch, std::uint64_t number, const std::string& writer = "c1",
+Version version(std::uint64_t epoch, std::uint64_t number, const std::string& leader = "c1",
                 const std::string& text = "share = 1\n") {
-  Version out{{epoch, number}, writer, {}, text};
+  Version out{{epoch, number}, leader, {}, text};
   out.digest = compute_digest(out);
   return out;
 }
 
 template <class T, class Effects>
-std::vector<T> all_of(const Effects& effects) {
+std::vector<T> effects_of(const Effects& effects) {
   std::vector<T> out;
   for (const auto& effect : effects)
     if (const auto* found = std::get_if<T>(&effect)) out.push_back(*found);
   return out;
 }
 
-// The messages of one kind among the effects, to one peer.
+// Returns the messages of one type that the effects send to one peer.
 template <class T>
 std::vector<T> sent(const NodeEffects& effects, PeerId peer) {
   std::vector<T> out;
-  for (const auto& send : all_of<Send>(effects)) {
+  for (const auto& send : effects_of<Send>(effects)) {
     if (send.peer != peer) continue;
     const Message message = decode(send.body);
     if (const auto* found = std::get_if<T>(&message)) out.push_back(*found);
@@ -51,24 +51,26 @@
 template <class T>
 std::vector<T> sent(const SubscriberEffects& effects) {
   std::vector<T> out;
-  for (const auto& send : all_of<SendToNode>(effects)) {
+  for (const auto& send : effects_of<SendToNode>(effects)) {
     const Message message = decode(send.body);
     if (const auto* found = std::get_if<T>(&message)) out.push_back(*found);
   }
   return out;
 }
 template <class T, class Effects>
-bool says(const Effects& effects, const std::string& part) {
-  for (const auto& line : all_of<T>(effects))
+bool has_text(const Effects& effects, const std::string& part) {
+  for (const auto& line : effects_of<T>(effects))
     if (line.text.find(part) != std::string::npos) return true;
   return false;
 }
-bool logs(const NodeEffects& effects, const std::string& part) { return says<LogLine>(effects, part); }
-bool says(const SubscriberEffects& effects, const std::string& part) { return says<LogLine>(effects, part); }
+bool logs(const NodeEffects& effects, const std::string& part) { return has_text<LogLine>(effects, part); }
+bool logs(const SubscriberEffects& effects, const std::string& part) {
+  return has_text<LogLine>(effects, part);
+}
 
-std::string text_of(const std::optional<PersistError>& error) { return error ? error->what() : ""; }
+std::string error_text(const std::optional<PersistError>& error) { return error ? error->what() : ""; }
 
-std::string error_of(std::string_view text) {
+std::string decode_error(std::string_view text) {
   try {
     (void)decode(text);
   } catch (const MalformedMessage& error) {
@@ -93,7 +95,7 @@
   }
 }
 
-std::vector<Message> one_of_each() {
+std::vector<Message> sample_messages() {
   NodeStatus status{"c1", "north", {3, "c1"}, true, {3, 17}, std::string(64, 'a'), {}};
   status.brokers.push_back(
       {"b1", "north", {3, 17}, {3, 18}, "ab", "b1.hcl:3:4: \"no\"\n\xC3\xA9", true, 1500ms});
@@ -112,23 +114,23 @@
           status};
 }
 
-TEST(ControlMessage, EachKindComesBackAsItWas) {
-  for (const auto& message : one_of_each()) {
+TEST(ControlMessage, EachKindSurvivesEncodingAndDecoding) {
+  for (const auto& message : sample_messages()) {
     const auto text = encode(message);
-    const auto back = decode(text);
-    EXPECT_EQ(back.index(), message.index());
-    EXPECT_EQ(encode(back), text);
+    const auto decoded = decode(text);
+    EXPECT_EQ(decoded.index(), message.index());
+    EXPECT_EQ(encode(decoded), text);
   }
-  const auto offer = std::get<VersionUpdate>(decode(encode(VersionUpdate{version(3, 17)})));
-  EXPECT_TRUE(is_intact(offer.version));
+  const auto update = std::get<VersionUpdate>(decode(encode(VersionUpdate{version(3, 17)})));
+  EXPECT_TRUE(is_intact(update.version));
 }
 
-TEST(ControlMessage, WhatIsWrongIsNamedByItsMember) {
+TEST(ControlMessage, ErrorNamesTheInvalidMember) {
   const std::string hello =
       R"({"kind":"hello","protocol":1,"fleet":"f","name":"b","region":"","role":"broker",)"
       R"("reign":{"epoch":1,"writer":"c"},"have":{"epoch":0,"number":0},"digest":""})";
-  ASSERT_EQ(error_of(hello), "none");
-  const auto with = [&hello](const std::string& from, const std::string& to) {
+  ASSERT_EQ(decode_error(hello), "none");
+  const auto replaced = [&hello](const std::string& from, const std::string& to) {
     std::string out = hello;
     return out.replace(out.find(from), from.size(), to);
   };
@@ -136,31 +138,32 @@
       {"", "message: "},
       {"[]", "message: not an object"},
       {"{}", "message.kind: missing"},
-      {R"({"kind":7})", "message.kind: not a text"},
+      {R"({"kind":7})", "message.kind: not a string"},
       {R"({"kind":"noise"})", "message.kind: noise is unknown"},
       {hello.substr(0, 50), "message: "},
       {hello + "x", "message: "},
-      {with(R"("fleet":"f",)", ""), "hello.fleet: missing"},
-      {with(R"("f")", "7"), "hello.fleet: not a text"},
-      {with(R"("f")", R"("")"), "hello.fleet: empty"},
-      {with(R"("f")", "\"" + std::string(129, 'f') + "\""), "hello.fleet: 129 bytes, at most 128"},
-      {with(R"("f")", R"("a\nb")"), "hello.fleet: a control character"},
-      {with(R"("f")", "\"\xC3\""), "message: "},
-      {with(R"("f")", "\"\xED\xA0\x80\""), "message: "},
-      {with(R"("broker")", R"("king")"), "hello.role: neither"},
-      {with(R"("epoch":1)", R"("epoch":-1)"), "hello.reign.epoch: not a whole number"},
-      {with(R"("epoch":1)", R"("epoch":1.5)"), "hello.reign.epoch: not a whole number"},
-      {with(R"("epoch":1)", R"("epoch":9223372036854775808)"), "hello.reign.epoch: not a whole number"},
-      {with(R"("epoch":1)", R"("epoch":99999999999999999999999)"), "hello.reign.epoch: not a whole number"},
-      {with(R"("epoch":1)", R"("epoch":"1")"), "hello.reign.epoch: not a number"},
-      {with(R"("writer":"c")", R"("writer":"")"), "hello.reign.writer: empty"},
-      {with(R"({"epoch":0,"number":0})", "[0,0]"), "hello.have: not an object"},
-      {with(R"("digest":"")", "\"digest\":\"" + std::string(65, 'a') + "\""), "hello.digest: 65 bytes"},
-      {with(R"("protocol":1)", R"("protocol":null)"), "hello.protocol: not a number"},
+      {replaced(R"("fleet":"f",)", ""), "hello.fleet: missing"},
+      {replaced(R"("f")", "7"), "hello.fleet: not a string"},
+      {replaced(R"("f")", R"("")"), "hello.fleet: empty"},
+      {replaced(R"("f")", "\"" + std::string(129, 'f') + "\""),
+       "hello.fleet: 129 bytes exceed the limit of 128"},
+      {replaced(R"("f")", R"("a\nb")"), "hello.fleet: contains a control character"},
+      {replaced(R"("f")", "\"\xC3\""), "message: "},
+      {replaced(R"("f")", "\"\xED\xA0\x80\""), "message: "},
+      {replaced(R"("broker")", R"("leader")"), "hello.role: not one of"},
+      {replaced(R"("epoch":1)", R"("epoch":-1)"), "hello.reign.epoch: not an integer"},
+      {replaced(R"("epoch":1)", R"("epoch":1.5)"), "hello.reign.epoch: not an integer"},
+      {replaced(R"("epoch":1)", R"("epoch":9223372036854775808)"), "hello.reign.epoch: not an integer"},
+      {replaced(R"("epoch":1)", R"("epoch":99999999999999999999999)"), "hello.reign.epoch: not an integer"},
+      {replaced(R"("epoch":1)", R"("epoch":"1")"), "hello.reign.epoch: not a number"},
+      {replaced(R"("writer":"c")", R"("writer":"")"), "hello.reign.writer: empty"},
+      {replaced(R"({"epoch":0,"number":0})", "[0,0]"), "hello.have: not an object"},
+      {replaced(R"("digest":"")", "\"digest\":\"" + std::string(65, 'a') + "\""), "hello.digest: 65 bytes"},
+      {replaced(R"("protocol":1)", R"("protocol":null)"), "hello.protocol: not a number"},
       {R"({"kind":"offer","version":{"place":{"epoch":0,"number":1}}})",
-       "offer.version.place: 0 is no place"},
+       "offer.version.place: epoch and number must be above 0"},
       {R"({"kind":"status","node":"c","region":"","reign":{"epoch":0,"writer":""},"writes":1})",
-       "status.writes: neither"},
+       "status.writes: not a boolean"},
       {R"({"kind":"status","node":"c","region":"","reign":{"epoch":0,"writer":""},"writes":true,)"
        R"("newest":{"epoch":0,"number":0},"digest":"","brokers":[7]})",
        "status.brokers[0]: not an object"},
@@ -179,40 +182,40 @@
        "message: "},
       {std::string(kMaxMessageBytes + 1, ' '), "message: 4194305 bytes"},
   };
-  for (const auto& [text, problem] : cases) {
-    const auto error = error_of(text);
-    EXPECT_EQ(error.substr(0, problem.size()), problem) << text.substr(0, 200);
+  for (const auto& [text, error_reason] : cases) {
+    const auto error = decode_error(text);
+    EXPECT_EQ(error.substr(0, error_reason.size()), error_reason) << text.substr(0, 200);
     EXPECT_LT(error.size(), 400U);
   }
-  EXPECT_NE(error_of(cases.back().first), "none");
+  EXPECT_NE(decode_error(cases.back().first), "none");
 }
 
-TEST(ControlMessage, OfAnotherProtocolTheNumberAloneIsRead) {
+TEST(ControlMessage, OnlyTheNumberIsReadOfAnotherProtocolVersion) {
   const auto message = decode(R"({"kind":"hello","protocol":2,"fleet":[]})");
   EXPECT_EQ(std::get<Hello>(message).protocol, 2U);
-  EXPECT_EQ(error_of(R"({"kind":"hello","protocol":4294967296})").substr(0, 15), "hello.protocol:");
+  EXPECT_EQ(decode_error(R"({"kind":"hello","protocol":4294967296})").substr(0, 15), "hello.protocol:");
 }
 
-TEST(ControlMessage, TextsAreCleanedAndCutButDocumentsNever) {
+TEST(ControlMessage, TextsAreSanitizedAndTruncatedButNotDocuments) {
   EXPECT_EQ(sanitize_utf8("a\xC3\xA9z", 2), "a");
   EXPECT_EQ(sanitize_utf8("a\xFFz\xE2\x82", 9), "a?z??");
   EXPECT_EQ(sanitize_utf8("\xF0\x9F\x98\x80\xC0\xAF", 9), "\xF0\x9F\x98\x80??");
-  const std::string long_problem(2000, '\xFF');
-  EXPECT_EQ(std::get<BrokerReport>(decode(encode(BrokerReport{{}, "", {}, long_problem}))).reason.size(),
+  const std::string long_reason(2000, '\xFF');
+  EXPECT_EQ(std::get<BrokerReport>(decode(encode(BrokerReport{{}, "", {}, long_reason}))).reason.size(),
             kMaxReasonBytes);
   EXPECT_THROW((void)encode(Publish{"\xFF"}), MalformedMessage);
 }
 
-// Bytes changed, cut, doubled, and members put elsewhere: read as a message that can be written again, or
-// MalformedMessage.
-TEST(ControlMessage, MutatedMessagesAreReadOrRefused) {
+// Messages with changed, removed and duplicated bytes and replaced values are either decoded to a message
+// that can be encoded again, or rejected with MalformedMessage.
+TEST(ControlMessage, MutatedMessagesAreDecodedOrRejected) {
   std::mt19937_64 random(34);
   std::vector<std::string> seeds;
-  for (const auto& message : one_of_each()) seeds.push_back(encode(message));
+  for (const auto& message : sample_messages()) seeds.push_back(encode(message));
   const std::vector<std::string> pieces = {
       "null",    "-1",   "1e999", "\"\"", "{}",       "[]", "\xFF", "\\u0000",
       "\\ud800", "true", "\",",   "}",    "\x00\x01", "[[", "1.0",  "18446744073709551616"};
-  int read = 0, refused = 0;
+  int decoded = 0, rejected = 0;
   for (int i = 0; i < 6000; ++i) {
     std::string text = seeds[random() % seeds.size()];
     for (auto changes = 1 + random() % 3; changes > 0 && !text.empty(); --changes) {
@@ -239,15 +242,15 @@
     }
     try {
       const auto message = decode(text);
-      const auto again = encode(message);
-      EXPECT_EQ(encode(decode(again)), again);
-      ++read;
+      const auto encoded = encode(message);
+      EXPECT_EQ(encode(decode(encoded)), encoded);
+      ++decoded;
     } catch (const MalformedMessage&) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(read, 100);
-  EXPECT_GT(refused, 1000);
+  EXPECT_GT(decoded, 100);
+  EXPECT_GT(rejected, 1000);
 }
 
 // ---- node
@@ -255,27 +258,28 @@
 const PersistError kDiskFull(PersistFault::io, "disk full");
 constexpr PeerId kTool = 1, kBroker = 2, kUpstream = 3, kOther = 4;
 
-struct NodeBench {
-  explicit NodeBench(const std::string& name = "c1", LeaderTerm term = {3, "c1"},
-                     PersistedState stored = {}) {
+struct NodeHarness {
+  explicit NodeHarness(const std::string& name = "c1", LeaderTerm term = {3, "c1"},
+                       PersistedState stored = {}) {
     options.fleet = "tunis";
     options.name = name;
     options.region = "north";
     options.term = std::move(term);
     options.validate = [this](const std::string&) {
-      return problems.empty() ? std::nullopt : std::optional(InvalidDocument(problems));
+      return validation_errors.empty() ? std::nullopt : std::optional(InvalidDocument(validation_errors));
     };
     node.emplace(options, std::move(stored));
     out.clear();
     node->tick(now, out);
     persist_terms();
   }
-  // What the disk does at once where a test does not look.
+  // Completes all requested term writes without an error.
   void persist_terms() {
-    for (const auto& persist : all_of<PersistTerm>(out)) node->on_term_persisted(now, persist.term, {}, out);
+    for (const auto& persist : effects_of<PersistTerm>(out))
+      node->on_term_persisted(now, persist.term, {}, out);
   }
-  NodeEffects& say(PeerId peer, const Message& message) { return say_text(peer, encode(message)); }
-  NodeEffects& say_text(PeerId peer, const std::string& body) {
+  NodeEffects& receive(PeerId peer, const Message& message) { return receive_body(peer, encode(message)); }
+  NodeEffects& receive_body(PeerId peer, const std::string& body) {
     out.clear();
     node->on_message(now, peer, body, out);
     return out;
@@ -284,26 +288,26 @@
               std::string digest = "") {
     return {kProtocolVersion, "tunis", name, "north", role, std::move(term), current, std::move(digest)};
   }
-  NodeEffects& greet(PeerId peer, const Hello& message) {
+  NodeEffects& accept_with_hello(PeerId peer, const Hello& message) {
     out.clear();
     node->on_accepted(now, peer, out);
-    return say(peer, message);
+    return receive(peer, message);
   }
-  NodeEffects& dial(PeerId peer, const std::string& name, LeaderTerm term) {
+  NodeEffects& connect_to_leader(PeerId peer, const std::string& name, LeaderTerm term) {
     out.clear();
     node->on_leader_connected(now, peer, out);
-    return say(peer, Welcome{kProtocolVersion, "tunis", name, std::move(term), {}});
+    return receive(peer, Welcome{kProtocolVersion, "tunis", name, std::move(term), {}});
   }
-  NodeEffects& persisted(const Version& done, const std::optional<PersistError>& error = {}) {
+  NodeEffects& finish_persist(const Version& version, const std::optional<PersistError>& error = {}) {
     out.clear();
-    node->on_version_persisted(now, done, error, out);
+    node->on_version_persisted(now, version, error, out);
     return out;
   }
   NodeEffects& publish(const std::string& text) {
-    say(kTool, Publish{text});
-    if (const auto keeps = all_of<PersistVersion>(out); !keeps.empty()) {
+    receive(kTool, Publish{text});
+    if (const auto persists = effects_of<PersistVersion>(out); !persists.empty()) {
       const auto before = out;
-      persisted(keeps.front().version);
+      finish_persist(persists.front().version);
       out.insert(out.begin(), before.begin(), before.end());
     }
     return out;
@@ -316,93 +320,94 @@
   }
 
   Time now = 100s;
-  std::string problems;
+  std::string validation_errors;
   NodeOptions options;
   std::optional<Node> node;
   NodeEffects out;
 };
 
-bool refused(const NodeEffects& effects, PeerId peer, const std::string& reason) {
+bool rejects(const NodeEffects& effects, PeerId peer, const std::string& reason) {
   bool closed = false;
-  for (const auto& close : all_of<Close>(effects)) closed = closed || close.peer == peer;
-  const auto farewells = sent<GoAway>(effects, peer);
-  return closed && farewells.size() == 1 && farewells[0].reason.find(reason) != std::string::npos;
+  for (const auto& close : effects_of<Close>(effects)) closed = closed || close.peer == peer;
+  const auto go_aways = sent<GoAway>(effects, peer);
+  return closed && go_aways.size() == 1 && go_aways[0].reason.find(reason) != std::string::npos;
 }
 
-TEST(ControlNode, TellsAVersionOnlyOnceItIsOnDisk) {
-  NodeBench b;
-  EXPECT_TRUE(logs(b.out, "control node c1: writes, epoch 3"));
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.greet(kBroker, b.hello(Role::broker, "b1"));
-  b.say(kTool, Publish{"one"});
-  const auto keeps = all_of<PersistVersion>(b.out);
-  ASSERT_EQ(keeps.size(), 1U);
-  EXPECT_TRUE(is_intact(keeps[0].version));
-  EXPECT_EQ(keeps[0].version.id, (VersionId{3, 1}));
-  EXPECT_TRUE(all_of<Send>(b.out).empty());
+TEST(ControlNode, SendsAVersionOnlyOnceItIsPersisted) {
+  NodeHarness b;
+  EXPECT_TRUE(logs(b.out, "control node c1: is the leader, epoch 3"));
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
+  b.receive(kTool, Publish{"one"});
+  const auto persists = effects_of<PersistVersion>(b.out);
+  ASSERT_EQ(persists.size(), 1U);
+  EXPECT_TRUE(is_intact(persists[0].version));
+  EXPECT_EQ(persists[0].version.id, (VersionId{3, 1}));
+  EXPECT_TRUE(effects_of<Send>(b.out).empty());
   EXPECT_FALSE(b.node->committed());
-  // Nor is it told to who comes meanwhile.
-  EXPECT_TRUE(sent<VersionUpdate>(b.greet(kOther, b.hello(Role::broker, "b2")), kOther).empty());
+  // A broker that connects before that is not sent the version either.
+  EXPECT_TRUE(sent<VersionUpdate>(b.accept_with_hello(kOther, b.hello(Role::broker, "b2")), kOther).empty());
 
-  b.persisted(keeps[0].version);
+  b.finish_persist(persists[0].version);
   ASSERT_EQ(sent<Published>(b.out, kTool).size(), 1U);
   EXPECT_EQ(sent<VersionUpdate>(b.out, kBroker).size(), 1U);
   EXPECT_EQ(sent<VersionUpdate>(b.out, kOther).size(), 1U);
-  EXPECT_TRUE(logs(b.out, "control node c1: version 3.1 kept"));
+  EXPECT_TRUE(logs(b.out, "control node c1: version 3.1 committed"));
 }
 
-TEST(ControlNode, ADiskThatRefusesLeavesTheOldVersion) {
-  NodeBench b("c1", {3, "c1"}, {{3, "c1"}, version(3, 7)});
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.greet(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 7}, version(3, 7).digest));
-  b.say(kTool, Publish{"one"});
-  b.persisted(all_of<PersistVersion>(b.out).at(0).version, kDiskFull);
-  EXPECT_EQ(sent<PublishRejected>(b.out, kTool).at(0).reason, "could not be kept: disk full");
-  EXPECT_EQ(all_of<Send>(b.out).size(), 1U);
+TEST(ControlNode, FailedPersistKeepsTheOldVersion) {
+  NodeHarness b("c1", {3, "c1"}, {{3, "c1"}, version(3, 7)});
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 7}, version(3, 7).digest));
+  b.receive(kTool, Publish{"one"});
+  b.finish_persist(effects_of<PersistVersion>(b.out).at(0).version, kDiskFull);
+  EXPECT_EQ(sent<PublishRejected>(b.out, kTool).at(0).reason, "could not be persisted: disk full");
+  EXPECT_EQ(effects_of<Send>(b.out).size(), 1U);
   EXPECT_EQ(b.node->committed()->id, (VersionId{3, 7}));
   b.publish("two");
   EXPECT_EQ(sent<Published>(b.out, kTool).at(0).id, (VersionId{3, 8}));
 }
 
-TEST(ControlNode, PublishesOneDocumentAtATimeAndOnlyWhatPassesTheCheck) {
-  NodeBench b;
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.greet(kOther, b.hello(Role::tool, "other"));
-  b.problems = "doc:1:2: no\ndoc:2:1: neither";
-  EXPECT_EQ(sent<PublishRejected>(b.say(kTool, Publish{"bad"}), kTool).at(0).reason, b.problems);
-  EXPECT_TRUE(all_of<PersistVersion>(b.out).empty());
-  b.problems.clear();
-  b.say(kTool, Publish{"one"});
-  const auto keep = all_of<PersistVersion>(b.out).at(0);
-  EXPECT_EQ(sent<PublishRejected>(b.say(kOther, Publish{"two"}), kOther).at(0).reason.substr(0, 4), "busy");
-  // A tool that has gone does not undo it, and is not written to.
+TEST(ControlNode, PublishesOneValidDocumentAtATime) {
+  NodeHarness b;
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.accept_with_hello(kOther, b.hello(Role::tool, "other"));
+  b.validation_errors = "doc:1:2: no\ndoc:2:1: neither";
+  EXPECT_EQ(sent<PublishRejected>(b.receive(kTool, Publish{"bad"}), kTool).at(0).reason, b.validation_errors);
+  EXPECT_TRUE(effects_of<PersistVersion>(b.out).empty());
+  b.validation_errors.clear();
+  b.receive(kTool, Publish{"one"});
+  const auto persist = effects_of<PersistVersion>(b.out).at(0);
+  EXPECT_EQ(sent<PublishRejected>(b.receive(kOther, Publish{"two"}), kOther).at(0).reason.substr(0, 4),
+            "busy");
+  // After its tool has disconnected, the version is still committed, and nothing is sent to the tool.
   b.node->on_closed(b.now, kTool, b.out);
-  b.persisted(keep.version);
-  EXPECT_TRUE(all_of<Send>(b.out).empty());
+  b.finish_persist(persist.version);
+  EXPECT_TRUE(effects_of<Send>(b.out).empty());
   EXPECT_EQ(b.node->committed()->text, "one");
 }
 
-TEST(ControlNode, ADocumentTooLongOnTheWireIsRejected) {
-  NodeBench b;
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  const Publish publish{std::string((kMaxMessageBytes - 40) / 6, '\x01')};  // six bytes each in JSON
+TEST(ControlNode, RejectsADocumentWhoseMessageIsTooLong) {
+  NodeHarness b;
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  const Publish publish{std::string((kMaxMessageBytes - 40) / 6, '\x01')};  // six bytes per character in JSON
   ASSERT_LE(encode(publish).size(), kMaxMessageBytes);
-  const auto problem = sent<PublishRejected>(b.say(kTool, publish), kTool).at(0).reason;
-  EXPECT_EQ(problem, "the document takes more than 4194304 bytes on the wire");
-  EXPECT_TRUE(all_of<PersistVersion>(b.out).empty());
+  const auto error_reason = sent<PublishRejected>(b.receive(kTool, publish), kTool).at(0).reason;
+  EXPECT_EQ(error_reason, "the document takes more than 4194304 bytes on the wire");
+  EXPECT_TRUE(effects_of<PersistVersion>(b.out).empty());
 }
 
-TEST(ControlNode, NumbersGoOnAcrossEpochs) {
-  NodeBench b("c2", {4, "c2"}, {{3, "c1"}, version(3, 17)});
-  b.greet(kTool, b.hello(Role::tool, "tool"));
+TEST(ControlNode, VersionNumbersContinueAcrossEpochs) {
+  NodeHarness b("c2", {4, "c2"}, {{3, "c1"}, version(3, 17)});
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
   EXPECT_EQ(sent<Published>(b.publish("x"), kTool).at(0).id, (VersionId{4, 18}));
   EXPECT_EQ(b.node->committed()->leader, "c2");
 }
 
-TEST(ControlNode, SendsOneUpdateAtATimeAndThenTheNewest) {
-  NodeBench b;
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.greet(kBroker, b.hello(Role::broker, "b1"));
+TEST(ControlNode, SendsOneUpdateAtATimeAndTheNewestNext) {
+  NodeHarness b;
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
   EXPECT_EQ(sent<VersionUpdate>(b.publish("1"), kBroker).size(), 1U);
   for (const auto* text : {"2", "3", "4"}) EXPECT_TRUE(sent<VersionUpdate>(b.publish(text), kBroker).empty());
   b.out.clear();
@@ -414,97 +419,98 @@
   EXPECT_TRUE(b.out.empty());
 }
 
-TEST(ControlNode, AFollowerPersistsWhatItsLeaderSendsBeforeItServesIt) {
-  NodeBench b("c2", {3, "c1"});
+TEST(ControlNode, FollowerPersistsAVersionBeforeServingIt) {
+  NodeHarness b("c2", {3, "c1"});
   EXPECT_TRUE(logs(b.out, "control node c2: follows c1, epoch 3"));
   EXPECT_EQ(b.node->upstream(), "c1");
-  b.greet(kBroker, b.hello(Role::broker, "b1"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
   b.out.clear();
   b.node->on_leader_connected(b.now, kUpstream, b.out);
   EXPECT_EQ(sent<Hello>(b.out, kUpstream).at(0).role, Role::node);
-  b.say(kUpstream, Welcome{kProtocolVersion, "tunis", "c1", {3, "c1"}, {3, 5}});
-  b.say(kUpstream, VersionUpdate{version(3, 5)});
-  EXPECT_EQ(all_of<PersistVersion>(b.out).size(), 1U);
-  EXPECT_TRUE(all_of<Send>(b.out).empty());
-  // What comes meanwhile waits; the newest of it is next.
-  EXPECT_TRUE(b.say(kUpstream, VersionUpdate{version(3, 6)}).empty());
-  EXPECT_TRUE(b.say(kUpstream, VersionUpdate{version(3, 7)}).empty());
-  b.persisted(version(3, 5));
+  b.receive(kUpstream, Welcome{kProtocolVersion, "tunis", "c1", {3, "c1"}, {3, 5}});
+  b.receive(kUpstream, VersionUpdate{version(3, 5)});
+  EXPECT_EQ(effects_of<PersistVersion>(b.out).size(), 1U);
+  EXPECT_TRUE(effects_of<Send>(b.out).empty());
+  // Versions received during a persist wait; only the newest of them is persisted next.
+  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(3, 6)}).empty());
+  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(3, 7)}).empty());
+  b.finish_persist(version(3, 5));
   EXPECT_EQ(sent<VersionUpdate>(b.out, kBroker).at(0).version, version(3, 5));
-  EXPECT_EQ(all_of<PersistVersion>(b.out).at(0).version.id, (VersionId{3, 7}));
-  // A full disk: served is what is on it; it is tried again later.
-  b.persisted(version(3, 7), kDiskFull);
+  EXPECT_EQ(effects_of<PersistVersion>(b.out).at(0).version.id, (VersionId{3, 7}));
+  // With a full disk, the committed version is still served, and the newer one is retried later.
+  b.finish_persist(version(3, 7), kDiskFull);
   EXPECT_EQ(b.node->committed()->id, (VersionId{3, 5}));
-  EXPECT_TRUE(all_of<PersistVersion>(b.tick(500ms)).empty());
-  EXPECT_EQ(all_of<PersistVersion>(b.tick(600ms)).size(), 1U);
-  // Older ones are passed over.
-  b.persisted(version(3, 7));
-  EXPECT_TRUE(b.say(kUpstream, VersionUpdate{version(3, 6)}).empty());
-  EXPECT_TRUE(b.say(kUpstream, VersionUpdate{version(2, 99, "c9")}).empty());
+  EXPECT_TRUE(effects_of<PersistVersion>(b.tick(500ms)).empty());
+  EXPECT_EQ(effects_of<PersistVersion>(b.tick(600ms)).size(), 1U);
+  // Older versions are ignored.
+  b.finish_persist(version(3, 7));
+  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(3, 6)}).empty());
+  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(2, 99, "c9")}).empty());
 }
 
-TEST(ControlNode, AFollowerRefusesDamagedVersionsAndSecondLeaders) {
-  const auto offer = [](Version bad, const std::string& reason) {
-    NodeBench b("c2", {3, "c1"}, {{3, "c1"}, version(3, 4)});
-    b.dial(kUpstream, "c1", {3, "c1"});
-    b.say(kUpstream, VersionUpdate{std::move(bad)});
-    EXPECT_TRUE(refused(b.out, kUpstream, reason)) << reason;
-    EXPECT_TRUE(all_of<PersistVersion>(b.out).empty());
+TEST(ControlNode, FollowerRejectsDamagedVersionsAndSecondLeaders) {
+  const auto expect_rejected = [](Version invalid, const std::string& reason) {
+    NodeHarness b("c2", {3, "c1"}, {{3, "c1"}, version(3, 4)});
+    b.connect_to_leader(kUpstream, "c1", {3, "c1"});
+    b.receive(kUpstream, VersionUpdate{std::move(invalid)});
+    EXPECT_TRUE(rejects(b.out, kUpstream, reason)) << reason;
+    EXPECT_TRUE(effects_of<PersistVersion>(b.out).empty());
   };
-  Version bad = version(3, 5);
-  bad.text += " ";
-  offer(bad, "damaged");
-  offer(version(3, 5, "c9"), "second writer");
-  offer(version(4, 5, "c9"), "newer epoch");
+  Version damaged = version(3, 5);
+  damaged.text += " ";
+  expect_rejected(damaged, "damaged");
+  expect_rejected(version(3, 5, "c9"), "second leader");
+  expect_rejected(version(4, 5, "c9"), "newer epoch");
 }
 
-TEST(ControlNode, TakesVersionsFromItsLeaderAlone) {
-  NodeBench b("c2", {3, "c1"});
-  b.greet(kOther, b.hello(Role::node, "c1"));
-  EXPECT_TRUE(refused(b.say(kOther, VersionUpdate{version(3, 5)}), kOther, "may not send"));
-  b.dial(kUpstream, "c5", {3, "c1"});
-  EXPECT_TRUE(refused(b.out, kUpstream, "it is c5, not c1"));
+TEST(ControlNode, AcceptsVersionsOnlyFromItsLeader) {
+  NodeHarness b("c2", {3, "c1"});
+  b.accept_with_hello(kOther, b.hello(Role::node, "c1"));
+  EXPECT_TRUE(rejects(b.receive(kOther, VersionUpdate{version(3, 5)}), kOther, "may not send"));
+  b.connect_to_leader(kUpstream, "c5", {3, "c1"});
+  EXPECT_TRUE(rejects(b.out, kUpstream, "the node at the leader's address is c5, not c1"));
   b.out.clear();
   b.node->on_leader_connected(b.now, kUpstream + 10, b.out);
-  EXPECT_TRUE(
-      refused(b.say(kUpstream + 10, VersionUpdate{version(3, 5)}), kUpstream + 10, "before its first"));
+  EXPECT_TRUE(rejects(b.receive(kUpstream + 10, VersionUpdate{version(3, 5)}), kUpstream + 10,
+                      "before the handshake"));
 }
 
-TEST(ControlNode, ANewerTermStopsALeaderAtOnceAndIsToldOnceOnDisk) {
-  NodeBench b;
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.greet(kBroker, b.hello(Role::broker, "b1"));
-  b.greet(kOther, b.hello(Role::broker, "b2", {4, "c2"}));
-  ASSERT_EQ(all_of<PersistTerm>(b.out).size(), 1U);
-  EXPECT_TRUE(sent<Welcome>(b.out, kOther)
-                  .empty());  // it would tell of an epoch that is not on disk, or of an old one
+TEST(ControlNode, NewerTermStopsALeaderAtOnceAndIsSentOncePersisted) {
+  NodeHarness b;
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
+  b.accept_with_hello(kOther, b.hello(Role::broker, "b2", {4, "c2"}));
+  ASSERT_EQ(effects_of<PersistTerm>(b.out).size(), 1U);
+  // A Welcome would contain an epoch that is not persisted yet, or an old one.
+  EXPECT_TRUE(sent<Welcome>(b.out, kOther).empty());
   EXPECT_FALSE(b.node->is_leader());
   EXPECT_EQ(b.node->upstream(), "c2");
-  EXPECT_EQ(sent<Pong>(b.say(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{3, "c1"}));
-  EXPECT_NE(
-      sent<PublishRejected>(b.say(kTool, Publish{"x"}), kTool).at(0).reason.find("the writer is c2, epoch 4"),
-      std::string::npos);
+  EXPECT_EQ(sent<Pong>(b.receive(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{3, "c1"}));
+  EXPECT_NE(sent<PublishRejected>(b.receive(kTool, Publish{"x"}), kTool)
+                .at(0)
+                .reason.find("the leader is c2, epoch 4"),
+            std::string::npos);
   b.out.clear();
   b.node->on_term_persisted(b.now, {4, "c2"}, kDiskFull, b.out);
-  EXPECT_TRUE(all_of<Send>(b.out).empty());
-  EXPECT_EQ(all_of<PersistTerm>(b.tick(1s)).size(), 1U);
+  EXPECT_TRUE(effects_of<Send>(b.out).empty());
+  EXPECT_EQ(effects_of<PersistTerm>(b.tick(1s)).size(), 1U);
   b.out.clear();
   b.node->on_term_persisted(b.now, {4, "c2"}, {}, b.out);
   EXPECT_EQ(sent<Welcome>(b.out, kOther).at(0).term, (LeaderTerm{4, "c2"}));
-  EXPECT_EQ(sent<Pong>(b.say(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{4, "c2"}));
+  EXPECT_EQ(sent<Pong>(b.receive(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{4, "c2"}));
 }
 
-TEST(ControlNode, ARestartedLeaderOfAnOlderEpochDoesNotWrite) {
-  NodeBench b("c1", {3, "c1"}, {{4, "c2"}, version(3, 9)});
+TEST(ControlNode, RestartedLeaderOfAnOlderEpochDoesNotLead) {
+  NodeHarness b("c1", {3, "c1"}, {{4, "c2"}, version(3, 9)});
   EXPECT_FALSE(b.node->is_leader());
   EXPECT_EQ(b.node->upstream(), "c2");
   EXPECT_TRUE(logs(b.out, "the operator's file names epoch 3 of c1, but epoch 4 of c2 is known"));
-  EXPECT_TRUE(all_of<PersistTerm>(b.out).empty());
+  EXPECT_TRUE(effects_of<PersistTerm>(b.out).empty());
 }
 
-TEST(ControlNode, WritesOnlyWhereItsOwnFileNamesIt) {
-  NodeBench b("c2", {3, "c1"});
-  b.greet(kBroker, b.hello(Role::broker, "b1", {4, "c2"}));
+TEST(ControlNode, LeadsOnlyIfItsOwnFileNamesIt) {
+  NodeHarness b("c2", {3, "c1"});
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {4, "c2"}));
   b.persist_terms();
   EXPECT_FALSE(b.node->is_leader());
   auto options = b.options;
@@ -513,19 +519,20 @@
   EXPECT_TRUE(b.node->is_leader());
 }
 
-TEST(ControlNode, ASecondLeaderOfOneEpochIsRefusedAndLogged) {
-  NodeBench b;
-  b.greet(kOther, b.hello(Role::node, "c2", {3, "c2"}));
-  EXPECT_TRUE(refused(b.out, kOther, "epoch 3 has two writers: c1 here, c2 there"));
-  EXPECT_TRUE(logs(b.out, "epoch 3 has c1 as its writer; node c2 names c2"));
+TEST(ControlNode, RejectsAndLogsASecondLeaderOfAnEpoch) {
+  NodeHarness b;
+  b.accept_with_hello(kOther, b.hello(Role::node, "c2", {3, "c2"}));
+  EXPECT_TRUE(rejects(b.out, kOther, "epoch 3 has two leaders: c1 at this node, c2 at the peer"));
+  EXPECT_TRUE(logs(b.out, "the leader of epoch 3 is c1; node c2 names c2"));
   EXPECT_TRUE(b.node->is_leader());
-  b.greet(kBroker, b.hello(Role::broker, "b1", {3, "c2"}));
-  EXPECT_TRUE(refused(b.out, kBroker, "two writers"));
-  EXPECT_EQ(b.node->status(b.now).brokers.at(0).reason.substr(0, 7), "epoch 3");  // the status shows why
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {3, "c2"}));
+  EXPECT_TRUE(rejects(b.out, kBroker, "two leaders"));
+  EXPECT_EQ(b.node->status(b.now).brokers.at(0).reason.substr(0, 7),
+            "epoch 3");  // the status contains the reason
 
-  NodeBench follower("c3", {3, "c1"});
-  follower.dial(kUpstream, "c1", {3, "c2"});
-  EXPECT_TRUE(refused(follower.out, kUpstream, "two writers"));
+  NodeHarness follower("c3", {3, "c1"});
+  follower.connect_to_leader(kUpstream, "c1", {3, "c2"});
+  EXPECT_TRUE(rejects(follower.out, kUpstream, "two leaders"));
 
   auto options = follower.options;
   options.term = {3, "c3"};
@@ -535,18 +542,18 @@
   EXPECT_EQ(follower.node->upstream(), "c1");
 }
 
-TEST(ControlNode, AFollowerLeavesALeaderOfAnOlderEpoch) {
-  NodeBench b("c3", {4, "c1"});
-  b.dial(kUpstream, "c1", {3, "c1"});
-  EXPECT_TRUE(refused(b.out, kUpstream, "epoch 3 only"));
-  b.dial(kUpstream + 10, "c1", {4, "c1"});
-  EXPECT_TRUE(all_of<Close>(b.out).empty());
-  EXPECT_TRUE(refused(b.say(kUpstream + 10, Pong{{3, "c1"}}), kUpstream + 10, "epoch 3 only"));
+TEST(ControlNode, FollowerDisconnectsFromALeaderOfAnOlderEpoch) {
+  NodeHarness b("c3", {4, "c1"});
+  b.connect_to_leader(kUpstream, "c1", {3, "c1"});
+  EXPECT_TRUE(rejects(b.out, kUpstream, "epoch 3 is outdated"));
+  b.connect_to_leader(kUpstream + 10, "c1", {4, "c1"});
+  EXPECT_TRUE(effects_of<Close>(b.out).empty());
+  EXPECT_TRUE(rejects(b.receive(kUpstream + 10, Pong{{3, "c1"}}), kUpstream + 10, "epoch 3 is outdated"));
 }
 
-TEST(ControlNode, TheOperatorsFileNamesAnotherLeader) {
-  NodeBench b("c2", {3, "c1"}, {{3, "c1"}, version(3, 9)});
-  b.dial(kUpstream, "c1", {3, "c1"});
+TEST(ControlNode, OperatorsFileNamesAnotherLeader) {
+  NodeHarness b("c2", {3, "c1"}, {{3, "c1"}, version(3, 9)});
+  b.connect_to_leader(kUpstream, "c1", {3, "c1"});
   auto options = b.options;
   options.term = {2, "c2"};
   b.out.clear();
@@ -556,121 +563,121 @@
   options.term = {4, "c2"};
   b.out.clear();
   b.node->reconfigure(b.now, options, b.out);
-  EXPECT_EQ(all_of<Close>(b.out).at(0).peer, kUpstream);  // it follows nobody now
-  EXPECT_FALSE(b.node->is_leader());                      // before its epoch is on disk
+  EXPECT_EQ(effects_of<Close>(b.out).at(0).peer, kUpstream);  // it no longer follows a leader
+  EXPECT_FALSE(b.node->is_leader());                          // before its epoch is persisted
   b.persist_terms();
   EXPECT_TRUE(b.node->is_leader());
-  EXPECT_TRUE(logs(b.out, "control node c2: writes, epoch 4"));
+  EXPECT_TRUE(logs(b.out, "control node c2: is the leader, epoch 4"));
 }
 
-TEST(ControlNode, ALeaderWithoutItsDiskDoesNotWriteOverItsOwnEpoch) {
-  NodeBench b;
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.greet(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 17}, version(3, 17).digest));
+TEST(ControlNode, LeaderWhoseDiskWasLostStopsLeadingItsEpoch) {
+  NodeHarness b;
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 17}, version(3, 17).digest));
   EXPECT_FALSE(b.node->is_leader());
-  EXPECT_NE(sent<PublishRejected>(b.say(kTool, Publish{"x"}), kTool).at(0).reason.find("3.17"),
+  EXPECT_NE(sent<PublishRejected>(b.receive(kTool, Publish{"x"}), kTool).at(0).reason.find("3.17"),
             std::string::npos);
 }
 
-TEST(ControlNode, RefusesStrangersByName) {
-  NodeBench b;
+TEST(ControlNode, RejectsInvalidPeersWithAReason) {
+  NodeHarness b;
   PeerId id = 10;
-  const auto refuses = [&](const std::string& body, const std::string& reason) {
+  const auto expect_rejected = [&](const std::string& body, const std::string& reason) {
     b.out.clear();
     b.node->on_accepted(b.now, ++id, b.out);
-    EXPECT_TRUE(refused(b.say_text(id, body), id, reason)) << body.substr(0, 100);
-    EXPECT_FALSE(all_of<LogLine>(b.out).empty());
-    EXPECT_TRUE(b.say_text(id, encode(Ping{})).empty());  // forgotten
+    EXPECT_TRUE(rejects(b.receive_body(id, body), id, reason)) << body.substr(0, 100);
+    EXPECT_FALSE(effects_of<LogLine>(b.out).empty());
+    EXPECT_TRUE(b.receive_body(id, encode(Ping{})).empty());  // its session is removed
   };
   Hello hello = b.hello(Role::broker, "b1");
   hello.protocol = 2;
-  refuses(encode(hello), "protocol 2, spoken here is 1");
+  expect_rejected(encode(hello), "protocol version 2 is not supported; expected version 1");
   hello = b.hello(Role::broker, "b1");
   hello.fleet = "sfax";
-  refuses(encode(hello), "fleet sfax, this one is tunis");
-  refuses(encode(b.hello(Role::node, "c1")), "two nodes are called c1");
-  refuses("noise", "message: ");
-  refuses(R"({"kind":"hello","protocol":1,"fleet":")" + std::string(200, 'x') + "\"}",
-          "hello.fleet: 200 bytes");
-  refuses(encode(Ping{}), "before its first");
-  refuses(encode(Publish{"x"}), "before its first");
+  expect_rejected(encode(hello), "fleet sfax does not match the expected fleet tunis");
+  expect_rejected(encode(b.hello(Role::node, "c1")), "two nodes have the name c1");
+  expect_rejected("noise", "message: ");
+  expect_rejected(R"({"kind":"hello","protocol":1,"fleet":")" + std::string(200, 'x') + "\"}",
+                  "hello.fleet: 200 bytes");
+  expect_rejected(encode(Ping{}), "before the handshake");
+  expect_rejected(encode(Publish{"x"}), "before the handshake");
 }
 
-TEST(ControlNode, EachRoleMaySendItsOwnMessagesOnly) {
-  const std::vector<Message> all = one_of_each();
+TEST(ControlNode, EachRoleMaySendOnlyItsOwnMessages) {
+  const std::vector<Message> messages = sample_messages();
   for (const Role role : {Role::broker, Role::node, Role::tool}) {
-    for (const auto& message : all) {
-      NodeBench b;
-      b.greet(kOther, b.hello(role, "x"));
-      b.say(kOther, message);
+    for (const auto& message : messages) {
+      NodeHarness b;
+      b.accept_with_hello(kOther, b.hello(role, "x"));
+      b.receive(kOther, message);
       const bool allowed = std::holds_alternative<Ping>(message) || std::holds_alternative<GoAway>(message) ||
                            (role == Role::broker && std::holds_alternative<BrokerReport>(message)) ||
                            (role == Role::tool && (std::holds_alternative<Publish>(message) ||
                                                    std::holds_alternative<StatusRequest>(message)));
-      EXPECT_EQ(refused(b.out, kOther, "may not send"), !allowed) << encode(message);
+      EXPECT_EQ(rejects(b.out, kOther, "may not send"), !allowed) << encode(message);
     }
   }
 }
 
-TEST(ControlNode, DropsSilentPeersAndThoseWithoutHello) {
-  NodeBench b;
+TEST(ControlNode, ClosesTimedOutPeersAndThoseWithoutHello) {
+  NodeHarness b;
   b.node->on_accepted(b.now, kOther, b.out);
-  b.greet(kBroker, b.hello(Role::broker, "b1"));
-  EXPECT_TRUE(all_of<Close>(b.tick(Node::kHandshakeTimeout - 1ms)).empty());
-  EXPECT_EQ(all_of<Close>(b.tick(1ms)).at(0).peer, kOther);
-  EXPECT_EQ(sent<Pong>(b.say(kBroker, Ping{}), kBroker).size(), 1U);
-  EXPECT_TRUE(all_of<Close>(b.tick(Node::kPeerTimeout - 1ms)).empty());
-  EXPECT_EQ(all_of<Close>(b.tick(1ms)).at(0).peer, kBroker);
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
+  EXPECT_TRUE(effects_of<Close>(b.tick(Node::kHandshakeTimeout - 1ms)).empty());
+  EXPECT_EQ(effects_of<Close>(b.tick(1ms)).at(0).peer, kOther);
+  EXPECT_EQ(sent<Pong>(b.receive(kBroker, Ping{}), kBroker).size(), 1U);
+  EXPECT_TRUE(effects_of<Close>(b.tick(Node::kPeerTimeout - 1ms)).empty());
+  EXPECT_EQ(effects_of<Close>(b.tick(1ms)).at(0).peer, kBroker);
   EXPECT_FALSE(b.node->status(b.now).brokers.at(0).connected);
   EXPECT_EQ(b.node->status(b.now).brokers.at(0).age, Node::kPeerTimeout);
 
-  NodeBench follower("c2", {3, "c1"});
-  follower.dial(kUpstream, "c1", {3, "c1"});
+  NodeHarness follower("c2", {3, "c1"});
+  follower.connect_to_leader(kUpstream, "c1", {3, "c1"});
   EXPECT_EQ(sent<Ping>(follower.tick(Node::kHeartbeatInterval), kUpstream).size(), 1U);
-  EXPECT_EQ(all_of<Close>(follower.tick(Node::kLeaderTimeout - Node::kHeartbeatInterval)).at(0).peer,
+  EXPECT_EQ(effects_of<Close>(follower.tick(Node::kLeaderTimeout - Node::kHeartbeatInterval)).at(0).peer,
             kUpstream);
 }
 
-TEST(ControlNode, RemembersBrokersWithinBounds) {
-  NodeBench b;
+TEST(ControlNode, RegistryOfBrokersIsBounded) {
+  NodeHarness b;
   Hello hello = b.hello(Role::broker, "");
-  b.greet(kBroker, b.hello(Role::broker, "stays"));
+  b.accept_with_hello(kBroker, b.hello(Role::broker, "connected"));
   for (std::size_t i = 0; i < BrokerRegistry::kMaxBrokers + 50; ++i) {
     b.now += 1ms;
     hello.name = "b" + std::to_string(i);
-    b.greet(100 + i, hello);
+    b.accept_with_hello(100 + i, hello);
     b.node->on_closed(b.now, 100 + i, b.out);
   }
   const auto status = b.node->status(b.now);
   EXPECT_EQ(status.brokers.size(), BrokerRegistry::kMaxBrokers);
   std::set<std::string> names;
   for (const auto& broker : status.brokers) names.insert(broker.name);
-  EXPECT_TRUE(names.contains("stays"));  // it is connected
+  EXPECT_TRUE(names.contains("connected"));
   EXPECT_FALSE(names.contains("b0"));
   EXPECT_TRUE(names.contains(hello.name));
 }
 
-TEST(ControlNode, ConnectionsAreBounded) {
-  NodeBench b;
+TEST(ControlNode, NumberOfConnectionsIsBounded) {
+  NodeHarness b;
   for (PeerId id = 100; id < 100 + Node::kMaxPeers; ++id) b.node->on_accepted(b.now, id, b.out);
   b.out.clear();
   b.node->on_accepted(b.now, 50, b.out);
-  EXPECT_TRUE(refused(b.out, 50, "full"));
+  EXPECT_TRUE(rejects(b.out, 50, "the connection limit is reached"));
   b.node->on_closed(b.now, 100, b.out);
-  EXPECT_EQ(sent<Welcome>(b.greet(50, b.hello(Role::broker, "b1")), 50).size(), 1U);
+  EXPECT_EQ(sent<Welcome>(b.accept_with_hello(50, b.hello(Role::broker, "b1")), 50).size(), 1U);
 }
 
-TEST(ControlNode, TheStatusOfThousandsWithLongProblemsFitsAMessage) {
-  NodeBench b;
+TEST(ControlNode, StatusOfThousandsWithLongReasonsFitsAMessage) {
+  NodeHarness b;
   for (std::size_t i = 0; i < 4000; ++i) {
     const PeerId id = 100 + i;
-    b.greet(id, b.hello(Role::broker, std::string(100, 'b') + std::to_string(i)));
-    b.say(id, BrokerReport{{3, 1}, std::string(64, 'a'), {3, 2}, std::string(kMaxReasonBytes, '"')});
+    b.accept_with_hello(id, b.hello(Role::broker, std::string(100, 'b') + std::to_string(i)));
+    b.receive(id, BrokerReport{{3, 1}, std::string(64, 'a'), {3, 2}, std::string(kMaxReasonBytes, '"')});
     b.node->on_closed(b.now, id, b.out);
   }
-  b.greet(kTool, b.hello(Role::tool, "tool"));
-  b.say(kTool, StatusRequest{});
-  const auto sends = all_of<Send>(b.out);
+  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  b.receive(kTool, StatusRequest{});
+  const auto sends = effects_of<Send>(b.out);
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_LE(sends[0].body.size(), kMaxMessageBytes);
   const auto status = std::get<NodeStatus>(decode(sends[0].body));
@@ -680,265 +687,269 @@
 
 // ---- subscriber
 
-struct SubscriberBench {
-  explicit SubscriberBench(std::optional<Version> last = {}, std::uint64_t seed = 1) {
+struct SubscriberHarness {
+  explicit SubscriberHarness(std::optional<Version> last = {}, std::uint64_t seed = 1) {
     options.fleet = "tunis";
     options.name = "b1";
     options.region = "north";
     options.seed = seed;
     for (int i = 1; i <= 4; ++i)
       options.nodes.push_back({"c" + std::to_string(i), "", i <= 2 ? "north" : "south"});
-    it.emplace(options, std::move(last));
-    it->start(now, out);
+    subscriber.emplace(options, std::move(last));
+    subscriber->start(now, out);
   }
-  std::string dialled() {
-    const auto dials = all_of<Connect>(out);
-    return dials.empty() ? "" : options.nodes[dials.back().node].name;
+  std::string dialled_node() {
+    const auto connects = effects_of<Connect>(out);
+    return connects.empty() ? "" : options.nodes[connects.back().node].name;
   }
-  SubscriberEffects& say(const Message& message) {
+  SubscriberEffects& receive(const Message& message) {
     out.clear();
-    it->on_message(now, encode(message), out);
+    subscriber->on_message(now, encode(message), out);
     return out;
   }
-  // Connects to whatever was dialled last.
+  // Completes the connection to the node dialled last, with its Welcome.
   SubscriberEffects& connect(LeaderTerm term = {3, "c1"}) {
-    const auto name = dialled();
+    const auto name = dialled_node();
     out.clear();
-    it->on_connected(now, out);
+    subscriber->on_connected(now, out);
     const auto hello = out;
-    say(Welcome{kProtocolVersion, "tunis", name, std::move(term), {}});
+    receive(Welcome{kProtocolVersion, "tunis", name, std::move(term), {}});
     out.insert(out.begin(), hello.begin(), hello.end());
     return out;
   }
-  SubscriberEffects& applied(const Version& v, const std::string& problem = "") {
+  SubscriberEffects& finish_apply(const Version& version, const std::string& error_reason = "") {
     out.clear();
-    if (problem.empty()) {
-      it->on_version_applied(v, out);
+    if (error_reason.empty()) {
+      subscriber->on_version_applied(version, out);
     } else {
-      it->on_version_rejected(v, problem, out);
+      subscriber->on_version_rejected(version, error_reason, out);
     }
     return out;
   }
   SubscriberEffects& tick(Time span) {
     out.clear();
     now += span;
-    it->tick(now, out);
+    subscriber->tick(now, out);
     return out;
   }
 
   Time now = 50s;
   SubscriberOptions options;
-  std::optional<Subscriber> it;
+  std::optional<Subscriber> subscriber;
   SubscriberEffects out;
 };
 
-TEST(ControlSubscriber, TakesItsOwnRegionFirstAndSpreadsOverIt) {
-  SubscriberBench b;
-  std::map<std::size_t, int> firsts;
+TEST(ControlSubscriber, PrefersItsOwnRegionAndSpreadsOverItsNodes) {
+  SubscriberHarness b;
+  std::map<std::size_t, int> first_choices;
   int moved = 0;
   for (int i = 0; i < 700; ++i) {
     b.options.name = "broker-" + std::to_string(i);
     const auto order = Subscriber(b.options, {}).order();
     EXPECT_LT(order[0], 2U);
     EXPECT_LT(order[1], 2U);
-    ++firsts[order[0]];
-    auto more = b.options;
-    more.nodes.push_back({"c9", "", "north"});
-    const auto now_first = Subscriber(more, {}).order()[0];
-    if (now_first != order[0]) {
-      EXPECT_EQ(now_first, 4U);  // a new node takes its share, and moves nobody between the others
+    ++first_choices[order[0]];
+    auto extended = b.options;
+    extended.nodes.push_back({"c9", "", "north"});
+    const auto new_first = Subscriber(extended, {}).order()[0];
+    if (new_first != order[0]) {
+      EXPECT_EQ(new_first, 4U);  // a new node moves brokers only to itself, not between the other nodes
       ++moved;
     }
   }
-  EXPECT_NEAR(firsts[0], 350, 60);
+  EXPECT_NEAR(first_choices[0], 350, 60);
   EXPECT_NEAR(moved, 233, 60);
 }
 
-TEST(ControlSubscriber, AppliesItsLastVersionWithoutAnyNode) {
-  SubscriberBench b(version(3, 17));
-  ASSERT_EQ(all_of<ApplyVersion>(b.out).size(), 1U);
-  const auto dial = b.out;
-  b.applied(version(3, 17));
-  EXPECT_EQ(b.it->active_version(), (VersionId{3, 17}));
-  b.out = dial;
+TEST(ControlSubscriber, AppliesItsLastVersionWithoutAnyConnection) {
+  SubscriberHarness b(version(3, 17));
+  ASSERT_EQ(effects_of<ApplyVersion>(b.out).size(), 1U);
+  const auto start_effects = b.out;
+  b.finish_apply(version(3, 17));
+  EXPECT_EQ(b.subscriber->active_version(), (VersionId{3, 17}));
+  b.out = start_effects;
   const auto hello = sent<Hello>(b.connect()).at(0);
   EXPECT_EQ(hello.current, (VersionId{3, 17}));
   EXPECT_EQ(hello.term, (LeaderTerm{3, "c1"}));
-  EXPECT_TRUE(all_of<ApplyVersion>(b.say(VersionUpdate{version(3, 16)})).empty());
-
-  Version bad = version(3, 17);
-  bad.text += "x";
-  SubscriberBench damaged(bad);
-  EXPECT_TRUE(all_of<ApplyVersion>(damaged.out).empty());
-  EXPECT_TRUE(says(damaged.out, "damaged"));
-  EXPECT_FALSE(damaged.dialled().empty());
+  EXPECT_TRUE(effects_of<ApplyVersion>(b.receive(VersionUpdate{version(3, 16)})).empty());
+
+  Version damaged_version = version(3, 17);
+  damaged_version.text += "x";
+  SubscriberHarness damaged(damaged_version);
+  EXPECT_TRUE(effects_of<ApplyVersion>(damaged.out).empty());
+  EXPECT_TRUE(logs(damaged.out, "damaged"));
+  EXPECT_FALSE(damaged.dialled_node().empty());
 }
 
-TEST(ControlSubscriber, AppliesVersionsInRisingOrderAndReportsThem) {
-  SubscriberBench b;
-  EXPECT_TRUE(says(b.connect(), "control: connected to c"));
-  EXPECT_EQ(all_of<ApplyVersion>(b.say(VersionUpdate{version(3, 5)})).size(), 1U);
-  b.applied(version(3, 5));
-  EXPECT_TRUE(says(b.out, "control: version 3.5 in force"));
+TEST(ControlSubscriber, AppliesVersionsInAscendingOrderAndReportsThem) {
+  SubscriberHarness b;
+  EXPECT_TRUE(logs(b.connect(), "control: connected to c"));
+  EXPECT_EQ(effects_of<ApplyVersion>(b.receive(VersionUpdate{version(3, 5)})).size(), 1U);
+  b.finish_apply(version(3, 5));
+  EXPECT_TRUE(logs(b.out, "control: version 3.5 is active"));
   EXPECT_EQ(sent<BrokerReport>(b.out).at(0).active_version, (VersionId{3, 5}));
   EXPECT_EQ(sent<BrokerReport>(b.out).at(0).digest, version(3, 5).digest);
   for (const auto& old : {version(3, 5), version(3, 4), version(2, 99, "c9")})
-    EXPECT_TRUE(b.say(VersionUpdate{old}).empty()) << to_text(old.id);
-  EXPECT_EQ(all_of<ApplyVersion>(b.say(VersionUpdate{version(3, 6)})).size(), 1U);
-  // While the loop has it, the newest that comes waits.
-  EXPECT_TRUE(b.say(VersionUpdate{version(3, 8)}).empty());
-  EXPECT_TRUE(b.say(VersionUpdate{version(3, 7)}).empty());
-  b.applied(version(3, 6));
-  EXPECT_EQ(all_of<ApplyVersion>(b.out).at(0).version.id, (VersionId{3, 8}));
+    EXPECT_TRUE(b.receive(VersionUpdate{old}).empty()) << to_text(old.id);
+  EXPECT_EQ(effects_of<ApplyVersion>(b.receive(VersionUpdate{version(3, 6)})).size(), 1U);
+  // While one version is being applied, the newest one received waits.
+  EXPECT_TRUE(b.receive(VersionUpdate{version(3, 8)}).empty());
+  EXPECT_TRUE(b.receive(VersionUpdate{version(3, 7)}).empty());
+  b.finish_apply(version(3, 6));
+  EXPECT_EQ(effects_of<ApplyVersion>(b.out).at(0).version.id, (VersionId{3, 8}));
 }
 
-TEST(ControlSubscriber, RefusesDamagedVersionsOldEpochsAndSecondLeaders) {
-  const auto offer = [](Version bad, const std::string& reason) {
-    SubscriberBench b(version(3, 4));
-    const auto dial = b.out;
-    b.applied(version(3, 4));
-    b.out = dial;
-    const auto first = b.dialled();
+TEST(ControlSubscriber, RejectsDamagedVersionsOldEpochsAndSecondLeaders) {
+  const auto expect_rejected = [](Version invalid, const std::string& reason) {
+    SubscriberHarness b(version(3, 4));
+    const auto start_effects = b.out;
+    b.finish_apply(version(3, 4));
+    b.out = start_effects;
+    const auto first_node = b.dialled_node();
     b.connect();
-    b.say(VersionUpdate{std::move(bad)});
-    EXPECT_TRUE(all_of<ApplyVersion>(b.out).empty()) << reason;
-    EXPECT_TRUE(says(b.out, reason)) << reason;
-    EXPECT_NE(b.dialled(), first);  // on to another node
+    b.receive(VersionUpdate{std::move(invalid)});
+    EXPECT_TRUE(effects_of<ApplyVersion>(b.out).empty()) << reason;
+    EXPECT_TRUE(logs(b.out, reason)) << reason;
+    EXPECT_NE(b.dialled_node(), first_node);  // it tries another node
   };
-  Version bad = version(3, 5);
-  bad.text = "share = 2\n";
-  offer(bad, "damaged");
-  offer(version(3, 5, "c9"), "second writer");
-  offer(version(4, 5, "c9"), "its node does not know");
-
-  SubscriberBench b(version(3, 4));
-  EXPECT_TRUE(says(b.connect({2, "c1"}), "knows of epoch 2 only, 3 was seen"));
-  EXPECT_TRUE(says(b.connect({3, "c2"}), "epoch 3 has c1 as its writer, not c2"));
+  Version damaged = version(3, 5);
+  damaged.text = "share = 2\n";
+  expect_rejected(damaged, "damaged");
+  expect_rejected(version(3, 5, "c9"), "second leader");
+  expect_rejected(version(4, 5, "c9"), "newer epoch than the node");
+
+  SubscriberHarness b(version(3, 4));
+  EXPECT_TRUE(logs(b.connect({2, "c1"}), "is at the outdated epoch 2; epoch 3 is known"));
+  EXPECT_TRUE(logs(b.connect({3, "c2"}), "the leader of epoch 3 is c1, not c2"));
   b.connect({5, "c3"});
-  EXPECT_EQ(b.it->term(), (LeaderTerm{5, "c3"}));
-  EXPECT_TRUE(says(b.say(Pong{{4, "c1"}}), "knows of epoch 4 only"));
+  EXPECT_EQ(b.subscriber->term(), (LeaderTerm{5, "c3"}));
+  EXPECT_TRUE(logs(b.receive(Pong{{4, "c1"}}), "is at the outdated epoch 4"));
 }
 
-TEST(ControlSubscriber, ARefusedVersionStaysReportedUntilANewerOneIsInForce) {
-  SubscriberBench b;
+TEST(ControlSubscriber, ReportsARejectedVersionUntilANewerOneIsActive) {
+  SubscriberHarness b;
   b.connect();
-  b.say(VersionUpdate{version(3, 5)});
-  b.applied(version(3, 5), "doc:3:4: no such class");
-  EXPECT_TRUE(says(b.out, "control: version 3.5 rejected: doc:3:4: no such class"));
+  b.receive(VersionUpdate{version(3, 5)});
+  b.finish_apply(version(3, 5), "doc:3:4: no such class");
+  EXPECT_TRUE(logs(b.out, "control: version 3.5 rejected: doc:3:4: no such class"));
   EXPECT_EQ(sent<BrokerReport>(b.out).at(0).rejected_version, (VersionId{3, 5}));
   b.now += 10s;
   b.out.clear();
-  b.it->on_closed(b.now, b.out);
-  EXPECT_TRUE(says(b.out, "control: lost c"));
+  b.subscriber->on_closed(b.now, b.out);
+  EXPECT_TRUE(logs(b.out, "control: lost the connection to c"));
   b.tick(200ms);
   const auto report = sent<BrokerReport>(b.connect()).at(0);
   EXPECT_EQ(report.rejected_version, (VersionId{3, 5}));
   EXPECT_EQ(report.reason, "doc:3:4: no such class");
-  EXPECT_TRUE(b.say(VersionUpdate{version(3, 5)}).empty());  // not tried again
-  b.say(VersionUpdate{version(3, 6)});
-  b.applied(version(3, 6));
+  EXPECT_TRUE(b.receive(VersionUpdate{version(3, 5)}).empty());  // not applied again
+  b.receive(VersionUpdate{version(3, 6)});
+  b.finish_apply(version(3, 6));
   EXPECT_EQ(sent<BrokerReport>(b.out).at(0).rejected_version, VersionId{});
 }
 
-TEST(ControlSubscriber, MovesOnFromSilentNodesAndBacksOffBetweenRounds) {
-  SubscriberBench b;
-  std::vector<std::string> tried{b.dialled()};
+TEST(ControlSubscriber, TriesTheNextNodeAfterATimeoutAndBacksOffBetweenRounds) {
+  SubscriberHarness b;
+  std::vector<std::string> tried{b.dialled_node()};
   for (int i = 0; i < 3; ++i) {
     EXPECT_TRUE(b.tick(Subscriber::kConnectTimeout - 1ms).empty());
     b.tick(1ms);
-    tried.push_back(b.dialled());
+    tried.push_back(b.dialled_node());
   }
   EXPECT_EQ(std::set<std::string>(tried.begin(), tried.end()).size(), 4U);
-  Time span = Subscriber::kMinBackoff;
+  Time backoff = Subscriber::kMinBackoff;
   std::set<Time> waits;
   for (int round = 0; round < 8; ++round) {
     b.out.clear();
-    b.it->on_closed(b.now, b.out);
-    while (b.out.empty() || !b.dialled().empty()) {  // the rest of the round fails at once
-      if (b.dialled().empty()) break;
+    b.subscriber->on_closed(b.now, b.out);
+    while (b.out.empty() || !b.dialled_node().empty()) {  // the other nodes of the round fail immediately
+      if (b.dialled_node().empty()) break;
       b.out.clear();
-      b.it->on_closed(b.now, b.out);
+      b.subscriber->on_closed(b.now, b.out);
     }
     Time waited{};
     while (b.tick(1ms).empty()) waited += 1ms;
-    EXPECT_GE(waited + 1ms, span / 2);
-    EXPECT_LE(waited, span);
+    EXPECT_GE(waited + 1ms, backoff / 2);
+    EXPECT_LE(waited, backoff);
     waits.insert(waited);
-    span = std::min(2 * span, Subscriber::kMaxBackoff);
+    backoff = std::min(2 * backoff, Subscriber::kMaxBackoff);
   }
-  EXPECT_GE(waits.size(), 7U);  // drawn, not fixed
+  EXPECT_GE(waits.size(), 7U);  // random, not fixed
   b.connect();
-  const auto on = b.it->node();
-  ASSERT_TRUE(on);
+  const auto node = b.subscriber->node();
+  ASSERT_TRUE(node);
   EXPECT_EQ(sent<Ping>(b.tick(Subscriber::kHeartbeatInterval)).size(), 1U);
-  EXPECT_TRUE(says(b.tick(Subscriber::kNodeTimeout - Subscriber::kHeartbeatInterval), ": silent"));
-  EXPECT_EQ(all_of<Disconnect>(b.out).size(), 1U);
+  EXPECT_TRUE(logs(b.tick(Subscriber::kNodeTimeout - Subscriber::kHeartbeatInterval),
+                   ": no message was received in time"));
+  EXPECT_EQ(effects_of<Disconnect>(b.out).size(), 1U);
   b.tick(Subscriber::kMinBackoff);
-  EXPECT_NE(b.dialled(), b.options.nodes[*on].name);
+  EXPECT_NE(b.dialled_node(), b.options.nodes[*node].name);
 }
 
 TEST(ControlSubscriber, LogsAGoAwayOnce) {
-  SubscriberBench b;
-  int told = 0;
+  SubscriberHarness b;
+  int logged = 0;
   for (int i = 0; i < 40; ++i) {
-    if (!b.dialled().empty()) {
+    if (!b.dialled_node().empty()) {
       b.out.clear();
-      b.it->on_connected(b.now, b.out);
-      b.say(GoAway{"fleet tunis, this one is sfax"});
-      told += says(b.out, "rejects this broker: fleet tunis") ? 1 : 0;
+      b.subscriber->on_connected(b.now, b.out);
+      b.receive(GoAway{"fleet tunis does not match the expected fleet sfax"});
+      logged += logs(b.out, "rejects this broker: fleet tunis") ? 1 : 0;
     }
-    if (b.dialled().empty()) b.tick(4s);
+    if (b.dialled_node().empty()) b.tick(4s);
   }
-  EXPECT_EQ(told, 4);  // by each node
+  EXPECT_EQ(logged, 4);  // once per node
 }
 
-TEST(ControlSubscriber, ANodeThatBreaksSoonAfterItsWelcomeDoesNotResetTheBackOff) {
-  SubscriberBench b;
-  int dials = 0;
+TEST(ControlSubscriber, LossSoonAfterWelcomeDoesNotResetTheBackoff) {
+  SubscriberHarness b;
+  int connects = 0;
   const Time until = b.now + 60s;
   while (b.now < until) {
-    if (!b.dialled().empty()) {
-      ++dials;
+    if (!b.dialled_node().empty()) {
+      ++connects;
       b.connect();
       b.out.clear();
-      b.it->on_closed(b.now, b.out);
+      b.subscriber->on_closed(b.now, b.out);
     } else {
       b.tick(10ms);
     }
   }
-  EXPECT_LT(dials, 120);  // four a round, 60 s of waits that grow to 4 s
+  EXPECT_LT(connects, 120);  // four per round, in 60 s of delays that grow to 4 s
 }
 
-TEST(ControlSubscriber, GoesHomeAfterADrawnTime) {
-  SubscriberBench b;
-  const auto home = b.dialled();
+TEST(ControlSubscriber, FailsBackToItsPreferredNodeAfterARandomTime) {
+  SubscriberHarness b;
+  const auto preferred = b.dialled_node();
   b.out.clear();
-  b.it->on_closed(b.now, b.out);
-  EXPECT_NE(b.dialled(), home);
+  b.subscriber->on_closed(b.now, b.out);
+  EXPECT_NE(b.dialled_node(), preferred);
   b.connect();
   const Time since = b.now;
-  while (b.tick(1s).empty() || b.dialled().empty()) b.say(Pong{{3, "c1"}});
+  while (b.tick(1s).empty() || b.dialled_node().empty()) b.receive(Pong{{3, "c1"}});
   EXPECT_GE(b.now - since, Subscriber::kFailBackInterval / 2);
   EXPECT_LE(b.now - since, Subscriber::kFailBackInterval + Subscriber::kFailBackInterval / 2 + 1s);
-  EXPECT_EQ(b.dialled(), home);
+  EXPECT_EQ(b.dialled_node(), preferred);
 }
 
-TEST(ControlSubscriber, RefusesHostileNodes) {
-  const auto refuses = [](const std::string& body, const std::string& reason) {
-    SubscriberBench b;
+TEST(ControlSubscriber, RejectsInvalidMessagesOfNodes) {
+  const auto expect_rejected = [](const std::string& body, const std::string& reason) {
+    SubscriberHarness b;
     b.out.clear();
-    b.it->on_connected(b.now, b.out);
+    b.subscriber->on_connected(b.now, b.out);
     b.out.clear();
-    b.it->on_message(b.now, body, b.out);
-    EXPECT_TRUE(says(b.out, reason)) << reason;
-    EXPECT_FALSE(b.it->node());
+    b.subscriber->on_message(b.now, body, b.out);
+    EXPECT_TRUE(logs(b.out, reason)) << reason;
+    EXPECT_FALSE(b.subscriber->node());
   };
-  refuses("noise", "message: ");
-  refuses(R"({"kind":"welcome","protocol":9})", "protocol 9, spoken here is 1");
-  refuses(encode(Welcome{kProtocolVersion, "sfax", "c1", {3, "c1"}, {}}), "fleet sfax, this one is tunis");
-  refuses(encode(Welcome{kProtocolVersion, "tunis", "c9", {3, "c1"}, {}}), "it is c9");
-  refuses(encode(VersionUpdate{version(3, 5)}), "may not send");
-  refuses(encode(StatusRequest{}), "may not send");
+  expect_rejected("noise", "message: ");
+  expect_rejected(R"({"kind":"welcome","protocol":9})",
+                  "protocol version 9 is not supported; expected version 1");
+  expect_rejected(encode(Welcome{kProtocolVersion, "sfax", "c1", {3, "c1"}, {}}),
+                  "fleet sfax does not match the expected fleet tunis");
+  expect_rejected(encode(Welcome{kProtocolVersion, "tunis", "c9", {3, "c1"}, {}}),
+                  "the node at its address is c9");
+  expect_rejected(encode(VersionUpdate{version(3, 5)}), "may not send");
+  expect_rejected(encode(StatusRequest{}), "may not send");
 }
 
 // ---- store
@@ -953,7 +964,7 @@
   }
   void TearDown() override { std::filesystem::remove_all(directory_); }
 
-  [[nodiscard]] std::string unusable(const std::string& fleet = "tunis") const {
+  [[nodiscard]] std::string open_error(const std::string& fleet = "tunis") const {
     try {
       Store store(path_, fleet);
     } catch (const StoreError& error) {
@@ -962,107 +973,108 @@
     }
     return "none";
   }
-  [[nodiscard]] std::string bytes() const {
+  [[nodiscard]] std::string file_content() const {
     std::ifstream in(path_, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  void write(const std::string& content) const { std::ofstream(path_, std::ios::binary) << content; }
-  void sql(const std::string& text) const {
-    sqlite3* base = nullptr;
-    ASSERT_EQ(sqlite3_open(path_.c_str(), &base), SQLITE_OK);
-    EXPECT_EQ(sqlite3_exec(base, text.c_str(), nullptr, nullptr, nullptr), SQLITE_OK) << sqlite3_errmsg(base);
-    sqlite3_close(base);
+  void write_file(const std::string& content) const { std::ofstream(path_, std::ios::binary) << content; }
+  void execute_sql(const std::string& text) const {
+    sqlite3* database = nullptr;
+    ASSERT_EQ(sqlite3_open(path_.c_str(), &database), SQLITE_OK);
+    EXPECT_EQ(sqlite3_exec(database, text.c_str(), nullptr, nullptr, nullptr), SQLITE_OK)
+        << sqlite3_errmsg(database);
+    sqlite3_close(database);
   }
-  void fill(int versions) const {
+  void persist_versions(int versions) const {
     Store store(path_, "tunis");
-    EXPECT_EQ(text_of(store.persist(LeaderTerm{3, "c1"})), "");
+    EXPECT_EQ(error_text(store.persist(LeaderTerm{3, "c1"})), "");
     for (int i = 1; i <= versions; ++i)
-      EXPECT_EQ(
-          text_of(store.persist(version(3, static_cast<std::uint64_t>(i), "c1", std::string(40'000, 'x')))),
-          "");
+      EXPECT_EQ(error_text(
+                    store.persist(version(3, static_cast<std::uint64_t>(i), "c1", std::string(40'000, 'x')))),
+                "");
   }
 
   std::filesystem::path directory_, path_;
 };
 
-TEST_F(ControlStore, HoldsWhatItKept) {
+TEST_F(ControlStore, PersistsTermAndVersionsAcrossAReopen) {
   {
     Store store(path_, "tunis");
     EXPECT_FALSE(store.persisted().committed);
     EXPECT_EQ(store.persisted().term, LeaderTerm{});
-    EXPECT_EQ(text_of(store.persist(LeaderTerm{3, "c1"})), "");
-    EXPECT_EQ(text_of(store.persist(version(3, 1))), "");
-    EXPECT_EQ(text_of(store.persist(version(3, 2, "c1", std::string("a\0b", 3)))), "");
+    EXPECT_EQ(error_text(store.persist(LeaderTerm{3, "c1"})), "");
+    EXPECT_EQ(error_text(store.persist(version(3, 1))), "");
+    EXPECT_EQ(error_text(store.persist(version(3, 2, "c1", std::string("a\0b", 3)))), "");
   }
-  EXPECT_EQ(std::distance(std::filesystem::directory_iterator(directory_), {}),
-            1);  // nothing is left beside it
+  // No temporary file is left.
+  EXPECT_EQ(std::distance(std::filesystem::directory_iterator(directory_), {}), 1);
   Store store(path_, "tunis");
   EXPECT_EQ(store.persisted().term, (LeaderTerm{3, "c1"}));
   EXPECT_EQ(store.persisted().committed, version(3, 2, "c1", std::string("a\0b", 3)));
-  EXPECT_NE(text_of(store.persist(version(3, 2))), "");
-  EXPECT_NE(text_of(store.persist(version(2, 9))), "");
-  EXPECT_NE(text_of(store.persist(LeaderTerm{3, "c2"})), "");
-  Version bad = version(3, 3);
-  bad.text += "x";
-  EXPECT_NE(text_of(store.persist(bad)), "");
-  EXPECT_EQ(text_of(store.persist(version(4, 3))), "");
+  EXPECT_NE(error_text(store.persist(version(3, 2))), "");
+  EXPECT_NE(error_text(store.persist(version(2, 9))), "");
+  EXPECT_NE(error_text(store.persist(LeaderTerm{3, "c2"})), "");
+  Version damaged = version(3, 3);
+  damaged.text += "x";
+  EXPECT_NE(error_text(store.persist(damaged)), "");
+  EXPECT_EQ(error_text(store.persist(version(4, 3))), "");
   EXPECT_TRUE(std::filesystem::is_regular_file(path_));
 }
 
-TEST_F(ControlStore, KeepsABoundedHistory) {
+TEST_F(ControlStore, StoresABoundedNumberOfVersions) {
   {
     Store store(path_, "tunis", 3);
-    for (std::uint64_t i = 1; i <= 10; ++i) EXPECT_EQ(text_of(store.persist(version(3, i))), "");
+    for (std::uint64_t i = 1; i <= 10; ++i) EXPECT_EQ(error_text(store.persist(version(3, i))), "");
     EXPECT_EQ(store.version_count(), 3U);
   }
   EXPECT_EQ(Store(path_, "tunis").persisted().committed, version(3, 10));
 }
 
-TEST_F(ControlStore, RefusesWhatIsNotItsOwn) {
-  fill(2);
-  EXPECT_NE(unusable("sfax").find("of fleet tunis, this one is sfax"), std::string::npos);
-  sql("PRAGMA user_version=9");
-  EXPECT_NE(unusable().find("schema 9, known is 1"), std::string::npos);
-  sql("PRAGMA application_id=7");
-  EXPECT_NE(unusable().find("not a store of a control node"), std::string::npos);
-  write("not a database, but a text of some length\n" + std::string(2000, '.'));
-  EXPECT_NE(unusable().find("cannot be used"), std::string::npos);
-  write("");
-  EXPECT_NE(unusable().find("an empty file"), std::string::npos);
+TEST_F(ControlStore, RejectsForeignAndInvalidFiles) {
+  persist_versions(2);
+  EXPECT_NE(open_error("sfax").find("belongs to fleet tunis, not to fleet sfax"), std::string::npos);
+  execute_sql("PRAGMA user_version=9");
+  EXPECT_NE(open_error().find("schema version 9 is not supported; expected version 1"), std::string::npos);
+  execute_sql("PRAGMA application_id=7");
+  EXPECT_NE(open_error().find("not a store of a control node"), std::string::npos);
+  write_file("not a database, but a text of some length\n" + std::string(2000, '.'));
+  EXPECT_NE(open_error().find("cannot be used"), std::string::npos);
+  write_file("");
+  EXPECT_NE(open_error().find("the file is empty"), std::string::npos);
   path_ = directory_;
-  EXPECT_NE(unusable().find("not a file"), std::string::npos);
+  EXPECT_NE(open_error().find("not a regular file"), std::string::npos);
   path_ = directory_ / "none" / "control.db";
-  EXPECT_NE(unusable().find("cannot be used"), std::string::npos);
+  EXPECT_NE(open_error().find("cannot be used"), std::string::npos);
 }
 
-TEST_F(ControlStore, ASecondOpeningIsRefusedWhileTheFirstHoldsIt) {
+TEST_F(ControlStore, RejectsASecondOpenWhileTheFirstIsInUse) {
   {
     Store store(path_, "tunis");
-    EXPECT_NE(unusable().find("in use by another process"), std::string::npos);
-    EXPECT_EQ(text_of(store.persist(version(3, 1))), "");
+    EXPECT_NE(open_error().find("in use by another process"), std::string::npos);
+    EXPECT_EQ(error_text(store.persist(version(3, 1))), "");
   }
-  EXPECT_EQ(unusable(), "none");
+  EXPECT_EQ(open_error(), "none");
 }
 
-// A byte changed anywhere, or the end cut off: refused with the file's name and left as it is, or every
-// version is as it was kept (free space, and bytes that SQLite does not use).
-TEST_F(ControlStore, DamageIsRefusedAndLeftAsItIs) {
-  fill(8);
-  const std::string good = bytes();
-  ASSERT_GT(good.size(), 320'000U);
+// With one byte changed or the end cut off, the file is either rejected with its name and left unchanged, or
+// its content is complete (the byte is in free space or unused by SQLite).
+TEST_F(ControlStore, RejectsADamagedFileAndLeavesItUnchanged) {
+  persist_versions(8);
+  const std::string intact = file_content();
+  ASSERT_GT(intact.size(), 320'000U);
   std::mt19937_64 random(7);
-  int refusals = 0;
+  int rejections = 0;
   for (int i = 0; i < 150; ++i) {
-    std::string bad = good;
+    std::string damaged = intact;
     if (i < 140) {
-      bad[random() % bad.size()] ^= static_cast<char>(1 + random() % 255);
+      damaged[random() % damaged.size()] ^= static_cast<char>(1 + random() % 255);
     } else {
-      bad.resize(random() % bad.size());
+      damaged.resize(random() % damaged.size());
     }
-    write(bad);
-    if (const auto problem = unusable(); problem != "none") {
-      ++refusals;
-      EXPECT_EQ(bytes(), bad) << problem;
+    write_file(damaged);
+    if (const auto error_reason = open_error(); error_reason != "none") {
+      ++rejections;
+      EXPECT_EQ(file_content(), damaged) << error_reason;
     } else {
       EXPECT_LT(i, 140);
       Store store(path_, "tunis");
@@ -1070,24 +1082,26 @@
       EXPECT_EQ(store.persisted().term, (LeaderTerm{3, "c1"}));
     }
   }
-  EXPECT_GT(refusals, 120);
-  write(good);
-  sql("UPDATE versions SET text = replace(text, 'x', 'y') WHERE number = 4");
-  EXPECT_NE(unusable().find("damaged: version 3.4: its digest is another"), std::string::npos);
-  write(good);
-  sql("UPDATE reign SET epoch = 2");
-  EXPECT_NE(unusable().find("the reign's digest"), std::string::npos);
+  EXPECT_GT(rejections, 120);
+  write_file(intact);
+  execute_sql("UPDATE versions SET text = replace(text, 'x', 'y') WHERE number = 4");
+  EXPECT_NE(open_error().find("damaged: version 3.4: its digest does not match its content"),
+            std::string::npos);
+  write_file(intact);
+  execute_sql("UPDATE reign SET epoch = 2");
+  EXPECT_NE(open_error().find("the digest of the leader term"), std::string::npos);
 }
 
-// The second statement of each persist() fails: the first has left nothing.
-TEST_F(ControlStore, AKeepIsDoneWholeOrNotAtAll) {
-  fill(2);
-  sql("CREATE TRIGGER a BEFORE INSERT ON reign BEGIN SELECT RAISE(ABORT, 'no reign'); END;"
+// The second statement of each persist() fails, and the effect of the first is rolled back.
+TEST_F(ControlStore, PersistIsAtomic) {
+  persist_versions(2);
+  execute_sql(
+      "CREATE TRIGGER a BEFORE INSERT ON reign BEGIN SELECT RAISE(ABORT, 'no reign'); END;"
       "CREATE TRIGGER b BEFORE DELETE ON versions BEGIN SELECT RAISE(ABORT, 'no history'); END");
   {
     Store store(path_, "tunis", 2);
-    EXPECT_NE(text_of(store.persist(LeaderTerm{4, "c2"})).find("no reign"), std::string::npos);
-    EXPECT_NE(text_of(store.persist(version(3, 3))).find("no history"), std::string::npos);
+    EXPECT_NE(error_text(store.persist(LeaderTerm{4, "c2"})).find("no reign"), std::string::npos);
+    EXPECT_NE(error_text(store.persist(version(3, 3))).find("no history"), std::string::npos);
     EXPECT_EQ(store.persisted().committed->id, (VersionId{3, 2}));
   }
   Store store(path_, "tunis", 2);
@@ -1095,13 +1109,14 @@
   EXPECT_EQ(store.persisted().committed->id, (VersionId{3, 2}));
 }
 
-// Killed in the middle of writing: what persist() has returned for is there, and the file is whole.
-TEST_F(ControlStore, WhatWasKeptOutlivesAKilledProcess) {
+// The process is killed while it writes. Every version for which persist() returned is present, and the file
+// is intact.
+TEST_F(ControlStore, PersistedVersionsSurviveAKilledProcess) {
   std::mt19937_64 random(11);
-  std::uint64_t least = 0;
+  std::uint64_t previous = 0;
   for (int round = 0; round < 12; ++round) {
-    int told[2];
-    ASSERT_EQ(::pipe(told), 0);
+    int pipe_ends[2];
+    ASSERT_EQ(::pipe(pipe_ends), 0);
     const auto child = ::fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
@@ -1109,41 +1124,41 @@
       for (auto next = store.persisted().committed ? store.persisted().committed->id.number + 1 : 1;;
            ++next) {
         if (store.persist(version(3, next, "c1", std::string(20'000, 'x')))) ::_exit(1);
-        if (::write(told[1], &next, sizeof next) != sizeof next) ::_exit(1);
+        if (::write(pipe_ends[1], &next, sizeof next) != sizeof next) ::_exit(1);
       }
     }
-    ::close(told[1]);
+    ::close(pipe_ends[1]);
     std::uint64_t last = 0;
     for (auto acks = 1 + random() % 15; acks > 0; --acks)
-      ASSERT_EQ(::read(told[0], &last, sizeof last), sizeof last);
+      ASSERT_EQ(::read(pipe_ends[0], &last, sizeof last), sizeof last);
     ::kill(child, SIGKILL);
     ASSERT_EQ(::waitpid(child, nullptr, 0), child);
-    ::close(told[0]);
-    EXPECT_GT(last, least);
+    ::close(pipe_ends[0]);
+    EXPECT_GT(last, previous);
     Store store(path_, "tunis");
     ASSERT_TRUE(store.persisted().committed);
     EXPECT_GE(store.persisted().committed->id.number, last);
     EXPECT_LE(store.version_count(), 20U);
-    least = store.persisted().committed->id.number;
+    previous = store.persisted().committed->id.number;
   }
 }
 
-// The kernel refuses to let the file grow: as a full disk does.
-TEST_F(ControlStore, AFullDiskIsToldAndTheOldVersionStays) {
-  fill(2);
+// The kernel does not let the file grow, as on a full disk.
+TEST_F(ControlStore, ReportsAFullDiskAndKeepsTheOldVersion) {
+  persist_versions(2);
   Store store(path_, "tunis");
   const auto before = ::signal(SIGXFSZ, SIG_IGN);
   rlimit old{};
   ASSERT_EQ(::getrlimit(RLIMIT_FSIZE, &old), 0);
-  rlimit small = old;
-  small.rlim_cur = std::filesystem::file_size(path_) + 4096;
-  ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &small), 0);
-  const auto problem = text_of(store.persist(version(3, 3, "c1", std::string(200'000, 'x'))));
+  rlimit low = old;
+  low.rlim_cur = std::filesystem::file_size(path_) + 4096;
+  ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &low), 0);
+  const auto error_reason = error_text(store.persist(version(3, 3, "c1", std::string(200'000, 'x'))));
   ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &old), 0);
   ::signal(SIGXFSZ, before);
-  EXPECT_NE(problem.find(path_.string()), std::string::npos) << problem;
+  EXPECT_NE(error_reason.find(path_.string()), std::string::npos) << error_reason;
   EXPECT_EQ(store.persisted().committed->id, (VersionId{3, 2}));
-  EXPECT_EQ(text_of(store.persist(version(3, 3))), "");
+  EXPECT_EQ(error_text(store.persist(version(3, 3))), "");
   store = Store(directory_ / "other.db", "tunis");
   EXPECT_EQ(Store(path_, "tunis").persisted().committed, version(3, 3));
 }
--- a/tests/control_tool_test.cpp
+++ b/tests/control_tool_test.cpp
@@ -60,14 +60,14 @@
 TEST_F(ControlToolTest, ADocumentIsCheckedKeptAndHandedOn) {
   const auto operators = file("ops.hcl", 1, "c1");
   const auto writer = node(operators, "c1"), follower = node(operators, "c2");
-  writer->said("control node c1: writes, epoch 1");
+  writer->said("control node c1: is the leader, epoch 1");
   follower->said("control node c2: follows c1, epoch 1");
 
   const auto kept = tool("config publish " + good + " --file " + operators);
   EXPECT_EQ(kept.first, 0);
   EXPECT_SAYS(kept, "1.1: kept by c1 after ");
-  writer->said("control node c1: version 1.1 kept");
-  follower->said("control node c2: version 1.1 kept");
+  writer->said("control node c1: version 1.1 committed");
+  follower->said("control node c2: version 1.1 committed");
 
   const auto bad = put("bad.hcl", "class \"lokup\" {\n  aim = 3\n}\n");
   const auto mistakes = bad + ":2:9: class \"lokup\".aim: expected a duration";
@@ -99,8 +99,8 @@
 TEST_F(ControlToolTest, ADeposedLeaderIsNotPublishedTo) {
   const auto old = file("old.hcl", 1, "c1"), now = file("now.hcl", 2, "c2");
   const auto other = node(now, "c2"), deposed = node(old, "c1");
-  other->said("control node c2: writes, epoch 2");
-  deposed->said("control node c1: writes, epoch 1");
+  other->said("control node c2: is the leader, epoch 2");
+  deposed->said("control node c1: is the leader, epoch 1");
   for (const std::string& command : {"config publish " + good, std::string("config status")}) {
     const auto said = tool(command + " --file " + old);
     EXPECT_EQ(said.first, 4) << command;
@@ -112,7 +112,7 @@
   deposed->signal(SIGHUP);
   deposed->said("control node c1: follows c2, epoch 2");
   EXPECT_EQ(tool("config publish " + good + " --file " + now).first, 0);
-  deposed->said("control node c1: version 2.1 kept");
+  deposed->said("control node c1: version 2.1 committed");
 }
 
 TEST_F(ControlToolTest, AFileWithAMistakeIsNotTakenUp) {
@@ -124,7 +124,7 @@
                ":3:11: control.epoch: 0 is out of range");
   (void)file("ops.hcl", 3, "c1");
   writer->signal(SIGHUP);
-  writer->said("control node c1: writes, epoch 3");
+  writer->said("control node c1: is the leader, epoch 3");
 }
 
 TEST_F(ControlToolTest, WrongCommandLinesAreUsage) {
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -114,14 +114,14 @@
   fleet.move(1, "c3");
   const auto from = fleet.broker(1).lines();
   fleet.kill("c3");
-  fleet.broker(1).said("control: lost c3", from);
+  fleet.broker(1).said("control: lost the connection to c3", from);
   fleet.connected(1, "c", from);
   EXPECT_NE(fleet.at(1), "c3");
   EXPECT_EQ(fleet.publish(tenant("one")).code, 0);
   fleet.restart("c3");
-  fleet.node("c3").said("version 1.1 kept");
+  fleet.node("c3").said("version 1.1 committed");
   EXPECT_EQ(fleet.publish(tenant("two")).code, 0);
-  fleet.node("c3").said("version 1.2 kept");
+  fleet.node("c3").said("version 1.2 committed");
 }
 
 // The connections stand, and nothing comes: only silence shows it.
@@ -154,7 +154,7 @@
   fleet.wait_in_force({1, 1});
   EXPECT_NE(fleet.at(1), "c3");
   fleet.node("c3").signal(SIGCONT);
-  fleet.node("c3").said("version 1.1 kept");
+  fleet.node("c3").said("version 1.1 committed");
 }
 
 TEST(Faults, ABrokerThatStandsStillIsNamedAsBehindAndTakesTheNewestWhenItGoesOn) {
@@ -188,14 +188,14 @@
                          if (mode != 1) link.hold(Way::up);
                          if (mode != 0) link.hold(Way::down);
                        });
-    fleet.broker(1).said("control: lost c3", from);
+    fleet.broker(1).said("control: lost the connection to c3", from);
     fleet.connected(1, "c", from);
     EXPECT_LT(Clock::now() - since, kMovesOn);
     const auto ran = fleet.publish(tenant("one"));
     EXPECT_EQ(ran.code, 0) << ran;
     fleet.network.heal();
     EXPECT_EQ(fleet.publish(tenant("two")).code, 0);
-    fleet.node("c3").said("version 1.2 kept");
+    fleet.node("c3").said("version 1.2 committed");
   }
 }
 
@@ -210,7 +210,7 @@
   EXPECT_EQ(ran.code, 3) << ran;
   EXPECT_NE(ran.out.find("behind: n1"), std::string::npos) << ran;
   fleet.network.heal();
-  fleet.node("c3").said("version 1.1 kept");
+  fleet.node("c3").said("version 1.1 committed");
   fleet.wait_in_force({1, 1});
 }
 
@@ -268,7 +268,7 @@
   room(1);
   const auto ran = fleet.publish(tenant("two"));
   EXPECT_EQ(ran.code, 1) << ran;
-  EXPECT_NE(ran.err.find("could not be kept"), std::string::npos) << ran;
+  EXPECT_NE(ran.err.find("could not be persisted"), std::string::npos) << ran;
   room(RLIM_INFINITY);
   const auto again = fleet.publish(tenant("three"));
   EXPECT_EQ(again.code, 0) << again;
@@ -290,7 +290,7 @@
   const control::LeaderTerm next{2, "c2"};
   fleet.write_files(next, {"c2", "c3", "tool"});
   for (const auto* node : {"c2", "c3"}) fleet.node(node).signal(SIGHUP);
-  fleet.node("c2").said("writes, epoch 2");
+  fleet.node("c2").said("is the leader, epoch 2");
   fleet.node("c3").said("follows c2, epoch 2");
   Operator old(fleet);
   EXPECT_EQ(old.publish(tenant("stale")), (VersionId{1, 2}));
@@ -303,9 +303,9 @@
                      [](Link& link) { link.cut(); });
   fleet.network.each(to_or_from_c1, [](Link& link) { link.heal(); });
   fleet.node("c1").said("follows c2, epoch 2");
-  fleet.node("c1").said("version 2.2 kept");
+  fleet.node("c1").said("version 2.2 committed");
   old.send(control::Publish{tenant("stale")});
-  EXPECT_NE(old.expect<control::PublishRejected>().reason.find("the writer is c2"), std::string::npos);
+  EXPECT_NE(old.expect<control::PublishRejected>().reason.find("the leader is c2"), std::string::npos);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     EXPECT_FALSE(fleet.has(i, {1, 2}));
     EXPECT_EQ(fleet.ask(i, "two"), "");
@@ -328,7 +328,7 @@
   for (const auto* end : {"", "-journal"}) std::filesystem::remove(fleet.path(std::string("c3.db") + end));
   fleet.write_files({1, "c3"}, {"c3"});
   fleet.restart("c3");
-  fleet.node("c3").said("writes, epoch 1");
+  fleet.node("c3").said("is the leader, epoch 1");
   Operator second(fleet, "c3");
   second.publish(tenant("other"));
   EXPECT_EQ(second.publish(tenant("another")), (VersionId{1, 2}));
@@ -414,11 +414,11 @@
       {welcome({2, "c1"}) + offer(version({2, 5}, "c1", "good")) + offer(version({2, 4}, "c1", "older")) +
            offer(mixed),
        "version 2.6 is damaged"},
-      {welcome({1, "c1"}) + offer(version({1, 9}, "c1", "stale")), "knows of epoch 1 only"},
-      {welcome({2, "c9"}) + offer(version({2, 9}, "c9", "second")), "epoch 2 has c1 as its writer, not c9"},
-      {welcome({2, "c1"}) + offer(version({2, 8}, "c9", "foreign")), "has a second writer of its epoch, c9"},
+      {welcome({1, "c1"}) + offer(version({1, 9}, "c1", "stale")), "is at the outdated epoch 1"},
+      {welcome({2, "c9"}) + offer(version({2, 9}, "c9", "second")), "the leader of epoch 2 is c1, not c9"},
+      {welcome({2, "c1"}) + offer(version({2, 8}, "c9", "foreign")), "names a second leader of its epoch: c9"},
       {welcome({2, "c1"}) + offer(version({3, 1}, "c1", "unknown")),
-       "is of an epoch that its node does not know"}};
+       "has a newer epoch than the node that sent it"}};
   fleet.kept_elsewhere.insert({2, 5});
   std::atomic<std::size_t> turn = 0;
   Server liar([&](Socket& socket) {
@@ -472,13 +472,13 @@
     socket.ended();
   });
   fleet.network.place("c1", liar.address());
-  fleet.node("c2").said("version 1.5 kept");
+  fleet.node("c2").said("version 1.5 committed");
   fleet.node("c2").said("version 1.6 is damaged");
-  fleet.node("c2").said("disconnects from c1: epoch 1 has two writers");
+  fleet.node("c2").said("disconnects from c1: epoch 1 has two leaders");
   next = true;
   fleet.write_files({2, "c1"}, {"c2"});
   fleet.node("c2").signal(SIGHUP);
-  fleet.node("c2").said("disconnects from c1: it knows of epoch 1 only");
+  fleet.node("c2").said("disconnects from c1: its epoch 1 is outdated");
   Operator tool(fleet, "c2");
   tool.send(control::StatusRequest{});
   EXPECT_EQ(tool.expect<control::NodeStatus>().committed, (VersionId{1, 5}));
--- a/tests/processes/fleet.hpp
+++ b/tests/processes/fleet.hpp
@@ -150,7 +150,7 @@
     for (const auto& [i, broker] : brokers_) connected(i);
   }
   static std::string in_force(VersionId place) {
-    return "control: version " + control::to_text(place) + " in force";
+    return "control: version " + control::to_text(place) + " is active";
   }
   void wait_in_force(VersionId place) {
     for (auto& [i, broker] : brokers_) broker.program->said(in_force(place));
@@ -223,7 +223,7 @@
     auto kept = kept_elsewhere;
     const auto of_node = [&](const std::vector<std::string>& lines) {
       for (const auto& line : lines) {
-        if (const auto at = place_in(line, ": version ", " kept")) kept.insert(*at);
+        if (const auto at = place_in(line, ": version ", " committed")) kept.insert(*at);
       }
     };
     for (auto& [name, node] : nodes_) {
@@ -236,7 +236,7 @@
     const auto of_broker = [&](const std::string& name, const std::vector<std::string>& lines) {
       VersionId newest;
       for (const auto& line : lines) {
-        const auto at = place_in(line, "control: version ", " in force");
+        const auto at = place_in(line, "control: version ", " is active");
         if (!at) continue;
         EXPECT_GT(*at, newest) << name << " goes back: " << line;
         EXPECT_TRUE(kept.contains(*at)) << name << " has what nobody kept: " << line;
