--- a/benchmarks/control_at_size.cpp
+++ b/benchmarks/control_at_size.cpp
@@ -79,7 +79,7 @@
 
 struct Said {
   Clock::time_point when;
-  std::string who, what;  // "n17", "control: version 1.2 in force"
+  std::string who, what;  // "n17", "control: version 1.2 is active"
 };
 
 class Ears {
@@ -349,7 +349,7 @@
     return out;
   }
   static std::string in_force(VersionId place) {
-    return "control: version " + control::to_text(place) + " in force";
+    return "control: version " + control::to_text(place) + " is active";
   }
 
   [[nodiscard]] std::size_t size() const { return size_; }
