--- a/src/platform/base64.cpp
+++ b/src/platform/base64.cpp
@@ -18,7 +18,8 @@
 
 std::optional<std::string> from_base64(std::string_view text) {
   if (text.size() % 4 != 0) return std::nullopt;
-  // OpenSSL skips white space at both ends and takes padding for zeros: both are seen to here.
+  // EVP_DecodeBlock skips white space at both ends and decodes padding as zero bytes: here white space is
+  // rejected, and the bytes of the padding are cut off.
   const auto padding = text.size() - std::min(text.size(), text.find_last_not_of('=') + 1);
   const auto digits = text.substr(0, text.size() - std::min<std::size_t>(padding, 2));
   const auto valid = [](unsigned char c) { return std::isalnum(c) != 0 || c == '+' || c == '/'; };
--- a/src/platform/base64.hpp
+++ b/src/platform/base64.hpp
@@ -1,4 +1,4 @@
-// Base64 with padding, strict, on OpenSSL's codec.
+// Strict Base64 with padding, based on OpenSSL's codec.
 #pragma once
 
 #include <optional>
--- a/src/platform/change_log_client.cpp
+++ b/src/platform/change_log_client.cpp
@@ -10,19 +10,19 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Backoff between retries. What a broken call would have reported counts as known 2 s later (PROTOCOL,
-// "Figures"): the longest wait and a connect lie well below that.
+// Backoff between retries. A change that a broken call would have reported counts as known to the broker 2 s
+// later (PROTOCOL, "Figures"); the longest backoff and a connect together take well below that.
 constexpr core::Time kMinBackoff = 100ms;
 constexpr core::Time kMaxBackoff = 800ms;
 constexpr core::Time kConnectTimeout = 250ms;
-// At the start, a broker serves on the endpoints of its configuration after so many failures, or after so
-// long where the change log accepts calls and does not answer.
+// At startup, a broker begins to serve with the endpoints of its configuration after this many failures, or
+// after this time if the change log accepts calls but does not answer.
 constexpr unsigned kFailuresBeforeServing = 4;
 constexpr core::Time kMaxWaitBeforeServing = 2s;
-// How long the change log holds a call without news. One that has hung shows only by an answer that stays
-// away after that, and empty answers cost next to nothing.
-constexpr auto kPollHold = 1000ms;
-constexpr core::Time kPollTimeout = kPollHold + 400ms;
+// How long the change log may delay the answer to a poll while nothing changes. A change log that hangs is
+// detected only by a missing answer after this time, and empty answers are cheap, so the time is short.
+constexpr auto kLongPollDuration = 1000ms;
+constexpr core::Time kPollTimeout = kLongPollDuration + 400ms;
 constexpr std::size_t kMaxResponseBody = std::size_t{4} << 20;
 constexpr std::size_t kMaxUnwritten = std::size_t{64} * 1024;
 }  // namespace
@@ -82,12 +82,12 @@
 }
 
 void ChangeLogClient::poll() {
-  reader_.expect();
+  reader_.begin_response();
   call_deadline_ = now_ + kPollTimeout;
-  const auto hold = first_poll_ ? 0ms : kPollHold;
+  const auto duration = first_poll_ ? 0ms : kLongPollDuration;
   std::string path = wire::kChangesPath;
   path.append("?").append(wire::kSinceParameter).append("=").append(std::to_string(last_seq_));
-  path.append("&").append(wire::kPollTimeoutParameter).append("=").append(std::to_string(hold.count()));
+  path.append("&").append(wire::kPollTimeoutParameter).append("=").append(std::to_string(duration.count()));
   stream_->write(format_request("GET", path, address_, {}, {}));
 }
 
@@ -95,13 +95,13 @@
   const auto response = reader_.take();
   if (response.status != http_status::kOk) return on_failure();
   try {
-    auto news = config::parse_changes(response.body, names_);
-    for (auto& change : news.changes) {
+    auto update = config::parse_changes(response.body, names_);
+    for (auto& change : update.changes) {
       change.from_change_log = true;
       emit_(std::move(change));
     }
     emit_(core::EndpointListPolled{true});
-    last_seq_ = std::max(last_seq_, news.seq);
+    last_seq_ = std::max(last_seq_, update.seq);
     first_poll_ = false;
     invalid_logged_ = false;
     backoff_.succeeded();
@@ -121,9 +121,9 @@
   backing_off_ = true;
   retry_at_ = now_ + backoff_.after_failure();
   if (!first_poll_) return;
-  const bool waited_long = ++failures_before_first_answer_ >= kFailuresBeforeServing ||
-                           now_ >= *started_at_ + kMaxWaitBeforeServing;
-  if (waited_long) emit_(core::EndpointListPolled{});
+  const bool serves_without_answer = ++failures_before_first_answer_ >= kFailuresBeforeServing ||
+                                     now_ >= *started_at_ + kMaxWaitBeforeServing;
+  if (serves_without_answer) emit_(core::EndpointListPolled{});
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/change_log_client.hpp
+++ b/src/platform/change_log_client.hpp
@@ -1,4 +1,4 @@
-// The client of the change log: a long poll that is always out.
+// The client of the change log: polls it continuously, with one long poll at a time.
 #pragma once
 
 #include <ev++.h>
@@ -17,16 +17,17 @@
 
 namespace bellstair::platform {
 
-// Reports each change of the endpoint list as EndpointUpdate, and after each answer EndpointListPolled.
+// Emits an EndpointUpdate for each change of the endpoint list, and an EndpointListPolled after each answer.
 class ChangeLogClient : public net::LoopComponent {
  public:
-  // Asks for what follows the event `last_seq`. The seed is that of the backoff between retries.
+  // Polls for the events after number `last_seq`. `seed` randomizes the backoff between retries.
   ChangeLogClient(ev::loop_ref loop, std::string address, const config::Names& names, std::uint64_t last_seq,
                   std::uint64_t seed, net::EventSink emit);
   void tick(core::Time now) override;
   void resume(const net::Stall& stall) override { now_ = stall.resumed_at; }
   void settle() override {}
-  // Connects to another address at once, and goes on from the last event received. No-op if it is the same.
+  // Connects to another address at once and continues after the last event received. No-op if the address is
+  // unchanged.
   void set_address(const std::string& address);
 
  private:
@@ -34,7 +35,7 @@
   void poll();
   void on_response();
   void on_failure();
-  void retire_stream();  // one of its handlers may be running
+  void retire_stream();  // instead of destroying it: one of its handlers may be running
 
   ev::loop_ref loop_;
   std::string address_;
@@ -45,8 +46,8 @@
   std::unique_ptr<net::Stream> retired_stream_;
   HttpReader reader_;
   net::Backoff backoff_;
-  bool first_poll_ = true;       // it asks without waiting
-  bool invalid_logged_ = false;  // since the last valid answer
+  bool first_poll_ = true;       // which the change log answers at once
+  bool invalid_logged_ = false;  // an invalid answer, since the last valid one
   bool backing_off_ = true;
   unsigned failures_before_first_answer_ = 0;
   core::Time now_{};
--- a/src/platform/gossip_socket.cpp
+++ b/src/platform/gossip_socket.cpp
@@ -10,23 +10,23 @@
 
 namespace bellstair::platform {
 namespace {
-constexpr std::size_t kMaxDatagramBytes = 256;  // by the protocol
-constexpr int kMaxDatagramsPerTurn = 64;        // of the loop
+constexpr std::size_t kMaxDatagramBytes = 256;  // limit of the gossip protocol
+constexpr int kMaxDatagramsPerIteration = 64;   // of the event loop
 
-std::uint64_t key_of(const sockaddr_in& address) {
+std::uint64_t address_key(const sockaddr_in& address) {
   return std::uint64_t{address.sin_addr.s_addr} << 16 | address.sin_port;
 }
 }  // namespace
 
 GossipSocket::GossipSocket(ev::loop_ref loop, const config::Config& config, net::EventSink emit)
     : io_(loop),
-      all_(net::parse_address(config.peers_all)),
+      all_peers_address_(net::parse_address(config.peers_all)),
       own_index_(config.settings.broker_index),
       emit_(std::move(emit)) {
   for (const auto& peer : config.peers) {
     const auto address = net::parse_address(peer);
     if (address && peers_.size() != own_index_)
-      index_by_address_.try_emplace(key_of(*address), static_cast<std::uint32_t>(peers_.size()));
+      index_by_address_.try_emplace(address_key(*address), static_cast<std::uint32_t>(peers_.size()));
     peers_.push_back(address.value_or(sockaddr_in{}));
   }
   const auto listen_address = net::parse_address(config.peer_listen);
@@ -34,7 +34,7 @@
   fd_ = net::bind_udp(*listen_address);
   if (!fd_) {
     log::write(log::Level::error,
-               "bellstair: peer_listen: " + config.peer_listen + ": " + std::strerror(errno));
+               "bellstair: peer_listen: cannot bind " + config.peer_listen + ": " + std::strerror(errno));
     return;
   }
   io_.set<GossipSocket, &GossipSocket::on_readable>(this);
@@ -44,7 +44,7 @@
 void GossipSocket::run(const core::SendGossip& effect) {
   if (!fd_ || effect.bytes.size() > kMaxDatagramBytes) return;
   if (!effect.to) {
-    if (all_) send(*all_, effect.bytes);
+    if (all_peers_address_) send(*all_peers_address_, effect.bytes);
   } else if (*effect.to < peers_.size() && *effect.to != own_index_) {
     send(peers_[*effect.to], effect.bytes);
   }
@@ -57,18 +57,18 @@
 
 void GossipSocket::on_readable(int) {
   std::array<char, kMaxDatagramBytes + 1> buffer{};
-  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
+  for (int i = 0; i < kMaxDatagramsPerIteration; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
     const auto received = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), MSG_DONTWAIT,
                                      reinterpret_cast<sockaddr*>(&from), &size);
     if (received < 0) {
-      // The loop would report a lasting error in each of its turns.
+      // The event loop would report a persistent error in every iteration.
       if (errno != EAGAIN && errno != EINTR) io_.pause();
       return;
     }
     if (static_cast<std::size_t>(received) > kMaxDatagramBytes) continue;
-    const auto sender = index_by_address_.find(key_of(from));
+    const auto sender = index_by_address_.find(address_key(from));
     if (sender == index_by_address_.end()) continue;
     emit_(core::GossipReceived{sender->second, {buffer.data(), static_cast<std::size_t>(received)}});
   }
--- a/src/platform/gossip_socket.hpp
+++ b/src/platform/gossip_socket.hpp
@@ -1,4 +1,4 @@
-// Gossip between brokers: UDP datagrams.
+// Sends and receives gossip between brokers as UDP datagrams.
 #pragma once
 
 #include <ev++.h>
@@ -15,11 +15,11 @@
 
 namespace bellstair::platform {
 
-// Without `peer_listen` in the configuration no socket is opened, and nothing is sent.
+// Opens no socket and sends nothing if the configuration has no `peer_listen`.
 class GossipSocket {
  public:
   GossipSocket(ev::loop_ref loop, const config::Config& config, net::EventSink emit);
-  // Best effort: what can't be sent at once is lost.
+  // Best effort: a datagram that can't be sent at once is dropped.
   void run(const core::SendGossip& effect);
 
  private:
@@ -29,8 +29,8 @@
   net::IoWatch io_;
   net::Fd fd_;
   std::vector<sockaddr_in> peers_;                                     // by index
-  std::unordered_map<std::uint64_t, std::uint32_t> index_by_address_;  // without this broker itself
-  std::optional<sockaddr_in> all_;
+  std::unordered_map<std::uint64_t, std::uint32_t> index_by_address_;  // excludes this broker
+  std::optional<sockaddr_in> all_peers_address_;                       // reaches every broker
   std::size_t own_index_;
   net::EventSink emit_;
 };
--- a/src/platform/http.cpp
+++ b/src/platform/http.cpp
@@ -34,49 +34,51 @@
 }
 
 const http_parser_settings& HttpReader::callbacks() {
-  static const http_parser_settings callbacks_of_reader = [] {
-    http_parser_settings s{};
-    const auto self = [](http_parser* p) -> HttpReader& { return *static_cast<HttpReader*>(p->data); };
-    static const auto of = self;
-    s.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
-      auto& r = of(p);
-      if (r.in_value_) r.keep_header();
-      r.field_.append(at, size);
-      return r.count_header_bytes(size) ? 0 : 1;
+  static const http_parser_settings reader_callbacks = [] {
+    http_parser_settings settings{};
+    const auto find_reader = [](http_parser* parser) -> HttpReader& {
+      return *static_cast<HttpReader*>(parser->data);
     };
-    s.on_header_value = [](http_parser* p, const char* at, std::size_t size) {
-      auto& r = of(p);
-      r.in_value_ = true;
-      r.value_.append(at, size);
-      return r.count_header_bytes(size) ? 0 : 1;
+    static const auto reader_of = find_reader;
+    settings.on_header_field = [](http_parser* parser, const char* at, std::size_t size) {
+      auto& reader = reader_of(parser);
+      if (reader.in_value_) reader.store_header();
+      reader.field_.append(at, size);
+      return reader.count_header_bytes(size) ? 0 : 1;
     };
-    s.on_headers_complete = [](http_parser* p) {
-      auto& r = of(p);
-      r.keep_header();
-      r.response_.status = p->status_code;
-      // A body announced as too long is not read first.
-      const bool has_length = (p->flags & F_CONTENTLENGTH) != 0;
-      return has_length && p->content_length > r.max_body_ ? -1 : 0;
+    settings.on_header_value = [](http_parser* parser, const char* at, std::size_t size) {
+      auto& reader = reader_of(parser);
+      reader.in_value_ = true;
+      reader.value_.append(at, size);
+      return reader.count_header_bytes(size) ? 0 : 1;
     };
-    s.on_body = [](http_parser* p, const char* at, std::size_t size) {
-      auto& r = of(p);
-      if (r.response_.body.size() + size > r.max_body_) return 1;
-      r.response_.body.append(at, size);
+    settings.on_headers_complete = [](http_parser* parser) {
+      auto& reader = reader_of(parser);
+      reader.store_header();
+      reader.response_.status = parser->status_code;
+      // A response is rejected before its body is read if its Content-Length is above the limit.
+      const bool has_length = (parser->flags & F_CONTENTLENGTH) != 0;
+      return has_length && parser->content_length > reader.max_body_ ? -1 : 0;
+    };
+    settings.on_body = [](http_parser* parser, const char* at, std::size_t size) {
+      auto& reader = reader_of(parser);
+      if (reader.response_.body.size() + size > reader.max_body_) return 1;
+      reader.response_.body.append(at, size);
       return 0;
     };
-    s.on_message_complete = [](http_parser* p) {
-      auto& r = of(p);
-      r.complete_ = true;
-      r.response_.keep_alive = http_should_keep_alive(p) != 0;
-      http_parser_pause(p, 1);
+    settings.on_message_complete = [](http_parser* parser) {
+      auto& reader = reader_of(parser);
+      reader.complete_ = true;
+      reader.response_.keep_alive = http_should_keep_alive(parser) != 0;
+      http_parser_pause(parser, 1);
       return 0;
     };
-    return s;
+    return settings;
   }();
-  return callbacks_of_reader;
+  return reader_callbacks;
 }
 
-void HttpReader::expect() {
+void HttpReader::begin_response() {
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   response_ = {};
@@ -92,10 +94,10 @@
   parser_.data = this;
   const auto used = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   if (complete_ && response_.status < 200 && response_.status != 101) {
-    // Interim: the response itself is still to come. The headers of all count together, so that there is an
-    // end to them.
+    // An interim response (1xx): the final one follows. The headers of all of them count together, so that
+    // their number is limited.
     const auto header_bytes = header_bytes_ + used;
-    expect();
+    begin_response();
     begun_ = true;
     header_bytes_ = header_bytes;
     return header_bytes <= kMaxHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
@@ -114,7 +116,7 @@
   return complete_;
 }
 
-void HttpReader::keep_header() {
+void HttpReader::store_header() {
   if (field_.empty()) return;
   std::ranges::transform(field_, field_.begin(), [](unsigned char c) { return std::tolower(c); });
   response_.headers[field_] = value_;
--- a/src/platform/http.hpp
+++ b/src/platform/http.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 of a client, on http-parser. Pure: bytes in, responses out.
+// The client side of HTTP/1.1, based on http-parser. Pure: formats requests and parses responses, without
+// I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -18,28 +19,28 @@
   std::string body;
   bool keep_alive = true;
   [[nodiscard]] std::string_view header(std::string_view lower_case_name) const;
-  // A header that holds a plain decimal number.
+  // The value of a header that is a decimal number; none if it is missing or not a number.
   [[nodiscard]] std::optional<double> number(std::string_view lower_case_name) const;
 };
 
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
-// Header values must hold no line ends.
+// Header values must not contain line breaks.
 [[nodiscard]] std::string format_request(std::string_view method, std::string_view path,
                                          std::string_view host, const HttpHeaders& headers,
                                          std::string_view body);
 
-// Reads the response to one request at a time.
+// Parses the response to one request at a time.
 class HttpReader {
  public:
   static constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 
-  explicit HttpReader(std::size_t max_body) : max_body_(max_body) { expect(); }
-  void expect();  // begins a new response
-  // False: the bytes are no HTTP, or the response is too large. One that is followed by more bytes is
-  // complete, but its connection is not to be kept alive.
+  explicit HttpReader(std::size_t max_body) : max_body_(max_body) { begin_response(); }
+  void begin_response();  // discards the state of the last one
+  // Returns false if the bytes are not a valid HTTP response or the response is too large. A response that is
+  // followed by more bytes is complete, but its `keep_alive` is false.
   [[nodiscard]] bool feed(std::string_view bytes);
-  // The connection has ended; true if that completes the response.
+  // To be called when the connection has ended. Returns true if that completes the response.
   [[nodiscard]] bool finish();
   [[nodiscard]] bool complete() const { return complete_; }
   [[nodiscard]] bool begun() const { return begun_; }
@@ -52,11 +53,11 @@
   std::string field_, value_;
   bool in_value_ = false, complete_ = false, begun_ = false;
   std::size_t header_bytes_ = 0, max_body_;
-  void keep_header();
-  bool count_header_bytes(std::size_t bytes);  // false: too many
+  void store_header();
+  bool count_header_bytes(std::size_t bytes);  // false: above kMaxHeaderBytes
 };
 
-// "pending:7;x1:0.61" -> values by name; malformed entries are left out.
+// Parses "pending:7;x1:0.61" into values by name. Ignores malformed entries.
 [[nodiscard]] std::map<std::string, double, std::less<>> parse_load_report(std::string_view text);
 
 }  // namespace bellstair::platform
--- a/src/platform/http_client.cpp
+++ b/src/platform/http_client.cpp
@@ -20,7 +20,7 @@
   const auto id = ++last_id_;
   if (!connection.session) connection.session = std::make_unique<HttpSession>();
   auto& reader = reader_of(connection);
-  reader.expect();
+  reader.begin_response();
   calls_[id] = {&connection, connection.stream.written(), std::move(handler)};
   connection.on_data = [this, id, &reader](std::string_view bytes) {
     if (!reader.feed(bytes)) return finish(id, Outcome::broken);
@@ -30,7 +30,7 @@
     finish(id, clean && reader.finish() ? Outcome::answered : Outcome::broken);
   };
   timeouts_.arm(now_ + timeout, id);
-  connection.stream.write(request);  // if it fails, `on_lost` follows
+  connection.stream.write(request);  // if it fails, `on_lost` is called later
   return id;
 }
 
@@ -38,8 +38,8 @@
                              ResponseHandler handler) {
   auto on_checkout = [this, request = std::move(request), timeout,
                       handler = std::move(handler)](Connection* connection) {
-    HttpResponse none;
-    if (connection == nullptr) return handler(Outcome::not_connected, none);
+    HttpResponse no_response;
+    if (connection == nullptr) return handler(Outcome::not_connected, no_response);
     call(*connection, request, timeout,
          [this, handler](Outcome outcome, HttpResponse& response, Connection* reusable) {
            if (reusable != nullptr) pool_.release(*reusable);
--- a/src/platform/http_client.hpp
+++ b/src/platform/http_client.hpp
@@ -1,4 +1,4 @@
-// HTTP calls to engines: one at a time on a connection, each with a timeout.
+// Makes HTTP calls to engines: one at a time on each connection, each with a timeout.
 #pragma once
 
 #include <cstdint>
@@ -20,31 +20,32 @@
 
   enum class Outcome {
     answered,
-    not_connected,  // nothing has left for the engine
-    unsent,         // the connection broke before a byte of the call had left
-    broken,         // it broke later, or what arrived is not an answer
+    not_connected,  // no byte has been sent to the engine
+    unsent,         // the connection broke before a byte of the call was sent
+    broken,         // the connection broke later, or the bytes received are not a valid answer
     timed_out,
   };
-  // Called exactly once, from the loop, unless the call is forgotten. `reusable` is the connection, handed
-  // back to the caller, or nullptr: it is closed.
+  // Called exactly once, from the event loop, unless the call is abandoned. `reusable` is the connection,
+  // which the caller owns again, or nullptr if the connection has been closed.
   using CallHandler = std::function<void(Outcome, HttpResponse&, Connection* reusable)>;
-  // Called exactly once, from the loop.
+  // Called exactly once, from the event loop.
   using ResponseHandler = std::function<void(Outcome, HttpResponse&)>;
 
   explicit HttpClient(net::ConnectionPool& pool) : pool_(pool) {}
 
-  // A call on a connection that the caller holds.
+  // Makes a call on a connection that the caller has acquired.
   CallId call(Connection& connection, const std::string& request, core::Time timeout, CallHandler handler);
-  // A call on any connection to the engine. The timeout holds for the connection, and again for the answer.
+  // Makes a call on any connection to the engine. The timeout applies to getting the connection, and again to
+  // the answer.
   void call_engine(core::EngineId engine, std::string request, core::Time timeout, ResponseHandler handler);
 
   [[nodiscard]] bool pending(CallId id) const { return calls_.contains(id); }
-  // The call times out after `timeout` from now, unless it does so earlier.
+  // Makes the call time out `timeout` from now at the latest.
   void shorten_timeout(CallId id, core::Time timeout) { timeouts_.arm(now_ + timeout, id); }
-  // The handler is not called any more; what becomes of the connection is the caller's business.
-  void forget(CallId id) { calls_.erase(id); }
-  // The handler is not called any more, and the connection returns to the pool at the call's end. False: the
-  // call is over.
+  // Drops the call: its handler is not called, and the caller releases or discards the connection.
+  void abandon(CallId id) { calls_.erase(id); }
+  // Drops the call's handler; the connection returns to the pool when the call ends. Returns false if the
+  // call has already ended.
   bool release_after(CallId id);
 
   void set_clock(core::Time now) { now_ = now; }
@@ -53,7 +54,7 @@
  private:
   struct Call {
     Connection* connection = nullptr;
-    std::size_t written_before = 0;  // bytes that had left on the connection
+    std::size_t written_before = 0;  // bytes sent on the connection before this call
     CallHandler handler;
   };
 
--- a/src/platform/http_engine_client.cpp
+++ b/src/platform/http_engine_client.cpp
@@ -14,20 +14,20 @@
 using namespace std::chrono_literals;
 using core::AttemptEnd;
 using core::AttemptId;
-using net::steady_now;  // the time of ticks may lie a turn of the loop back
+using net::steady_now;  // the time of the last tick() may be one loop iteration old
 
-// An engine answers a poll within 250 ms, and drops a query that is not polled for 2 s. In between, a call
-// that timed out can be repeated on another connection.
+// An engine answers a poll within 250 ms and stops a query that is not polled for 2 s. The timeout lies in
+// between, so that a call that timed out can be retried on another connection.
 constexpr core::Time kCallTimeout = 700ms;
-// Of deletes, priorities and health checks.
-constexpr core::Time kSideCallTimeout = 500ms;
-// A second copy of an answer may arrive late and would pass for the answer to the next call on its
-// connection. The protocol's slack for time limits.
+// For deletes, changes of priority and health checks.
+constexpr core::Time kAuxiliaryCallTimeout = 500ms;
+// How long a connection is not reused after a call: a late duplicate of the answer would be taken for the
+// answer to the next call. Equals the protocol's tolerance for time limits.
 constexpr core::Time kReuseDelay = 50ms;
 constexpr int kMaxReconnects = 2;
-constexpr int kHealthCheckRetries = 1;  // where the connection broke
-// A query that is not polled runs on for 2 s (PROTOCOL) after the last poll, which the engine holds for up to
-// 250 ms; time limits grow by 50 ms.
+constexpr int kHealthCheckRetries = 1;  // if the connection broke
+// An engine stops a query 2 s after the last poll (PROTOCOL), whose answer it may delay by up to 250 ms; the
+// protocol's tolerance for time limits adds 50 ms.
 constexpr core::Time kUnpolledQueryLifetime = 2000ms + 250ms + 50ms;
 
 net::ConnectionPool::Limits with_reuse_delay(net::ConnectionPool::Limits limits) {
@@ -62,13 +62,13 @@
                                    net::EventSink emit)
     : pool_(loop, with_reuse_delay(limits)),
       http_(pool_),
-      max_transit_(limits.connect_timeout),
+      max_transit_time_(limits.connect_timeout),
       class_names_(std::move(class_names)),
       load_fields_(std::move(load_fields)),
       emit_(std::move(emit)) {}
 
 void HttpEngineClient::tick(core::Time now) {
-  http_.set_clock(now);  // the pool's timers may begin calls
+  http_.set_clock(now);  // the pool's timers may start calls
   pool_.tick(now);
   http_.tick(now);
 }
@@ -105,8 +105,9 @@
 
 // ---- connections
 
-// Should the connection break before the next call is on it, the attempt must forget it: the pool frees it.
-void HttpEngineClient::hold(AttemptId id, Connection* connection) {
+// If the connection breaks before its next call, the attempt drops the pointer to it: the pool frees the
+// connection.
+void HttpEngineClient::set_connection(AttemptId id, Connection* connection) {
   attempts_.at(id).connection = connection;
   if (connection == nullptr) return;
   connection->on_lost = [this, id, connection](bool) {
@@ -115,7 +116,7 @@
   };
 }
 
-void HttpEngineClient::call_on_own(AttemptId id, const std::string& request) {
+void HttpEngineClient::call_on_own_connection(AttemptId id, const std::string& request) {
   auto& attempt = attempts_.at(id);
   attempt.call = http_.call(*attempt.connection, request, kCallTimeout,
                             [this, id](Outcome outcome, HttpResponse& response, Connection* reusable) {
@@ -128,23 +129,23 @@
   if (attempt.connection == nullptr) return reconnect(id);
   const auto page = attempt.stage == Stage::fetching_pages ? attempt.pages.next() : 0;
   const auto path = attempt.query_path + "/" + std::to_string(page);
-  call_on_own(id, format_request("GET", path, host(attempt.engine), {}, {}));
+  call_on_own_connection(id, format_request("GET", path, host(attempt.engine), {}, {}));
 }
 
-// Polls may be repeated: they have no effect on the query.
+// Polls may be retried: they do not change the query.
 void HttpEngineClient::reconnect(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  if (++attempt.reconnects > kMaxReconnects) return end_unproven(id, AttemptEnd::reset);
+  if (++attempt.reconnects > kMaxReconnects) return end_possibly_running(id, AttemptEnd::reset);
   pool_.acquire(attempt.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
-    const bool wanted = found != attempts_.end() && (found->second.stage == Stage::polling ||
-                                                     found->second.stage == Stage::fetching_pages);
-    if (!wanted) {
+    const bool is_fetching = found != attempts_.end() && (found->second.stage == Stage::polling ||
+                                                          found->second.stage == Stage::fetching_pages);
+    if (!is_fetching) {
       if (connection != nullptr) pool_.release(*connection);
       return;
     }
-    if (connection == nullptr) return end_unproven(id, AttemptEnd::reset);
-    hold(id, connection);
+    if (connection == nullptr) return end_possibly_running(id, AttemptEnd::reset);
+    set_connection(id, connection);
     poll(id);
   });
 }
@@ -165,7 +166,7 @@
   attempt.checkout_ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
     if (connection == nullptr) return end(id, AttemptEnd::connect_failed);
     attempts_.at(id).stage = Stage::connected;
-    hold(id, connection);
+    set_connection(id, connection);
     emit_(core::AttemptConnected{id});
   });
 }
@@ -176,7 +177,7 @@
   auto& attempt = found->second;
   if (attempt.connection == nullptr) return end(effect.id, AttemptEnd::expired);
   if (!effect.parameters.empty()) {
-    // These engines take a statement as text: bound values become literals.
+    // HTTP engines accept a statement as text only: bound values become literals.
     const auto values = sql::unpack(effect.parameters);
     auto text = values ? sql::with_literals(effect.body, *values) : std::nullopt;
     if (!text) return end(effect.id, AttemptEnd::error);
@@ -184,7 +185,7 @@
   }
   attempt.stage = Stage::submitted;
   attempt.query_path = path_of(effect.ticket);
-  call_on_own(effect.id, submit_request(attempt, effect));
+  call_on_own_connection(effect.id, submit_request(attempt, effect));
 }
 
 void HttpEngineClient::run(const core::CancelAttempt& effect) {
@@ -204,10 +205,10 @@
     case Stage::fetching_pages:
       return end(effect.id, AttemptEnd::cancelled);  // the query has ended
     case Stage::polling:
-      return delete_elsewhere(effect.id);
+      return delete_on_other_connection(effect.id);
     case Stage::cancel_requested:
-    case Stage::deleting_elsewhere:
-    case Stage::deleting_here:
+    case Stage::deleting_on_other_connection:
+    case Stage::deleting_on_own_connection:
       return;
   }
 }
@@ -218,18 +219,19 @@
   auto& attempt = found->second;
   if (attempt.stage == Stage::submitted) attempt.pending_priority = effect.priority;
   if (attempt.stage != Stage::polling) return;
-  attempt.last_contact_by = std::max(attempt.last_contact_by, steady_now() + kSideCallTimeout);
+  attempt.last_contact_by = std::max(attempt.last_contact_by, steady_now() + kAuxiliaryCallTimeout);
   const auto priority = std::to_string(effect.priority);
   http_.call_engine(attempt.engine,
                     format_request("PUT", attempt.query_path, host(attempt.engine), {}, priority),
-                    kSideCallTimeout, [](Outcome, HttpResponse&) {});
+                    kAuxiliaryCallTimeout, [](Outcome, HttpResponse&) {});
 }
 
 void HttpEngineClient::run(const core::SendHealthCheck& effect) {
   check_health(effect.engine, kHealthCheckRetries);
 }
 
-// A health check may be repeated, and one connection that broke is no evidence against its engine.
+// Retries a check whose connection broke: a single broken connection does not show that the engine has
+// failed.
 void HttpEngineClient::check_health(core::EngineId engine, int retries) {
   auto on_result = [this, engine, retries](Outcome outcome, HttpResponse& response) {
     const bool broken = outcome == Outcome::unsent || outcome == Outcome::broken;
@@ -239,7 +241,7 @@
     emit_(std::move(ended));
   };
   http_.call_engine(engine, format_request("GET", wire::kHealthCheckPath, host(engine), {}, {}),
-                    kSideCallTimeout, std::move(on_result));
+                    kAuxiliaryCallTimeout, std::move(on_result));
 }
 
 void HttpEngineClient::run(const core::EndpointChanged& effect) {
@@ -258,10 +260,11 @@
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
-  hold(id, reusable);
+  set_connection(id, reusable);
   attempt.last_contact_by = std::max(attempt.last_contact_by, steady_now());
-  if (attempt.stage == Stage::deleting_elsewhere) return;  // the answer to the delete ends it
-  if (attempt.stage == Stage::deleting_here)
+  if (attempt.stage == Stage::deleting_on_other_connection)
+    return;  // the answer to the delete ends the attempt
+  if (attempt.stage == Stage::deleting_on_own_connection)
     return on_response_while_deleting(id, attempt, outcome, response.status);
   if (outcome != Outcome::answered) return on_call_failed(id, attempt, outcome);
   if (auto report = read_load_report(response, load_fields_)) attempt.result.load_report = std::move(*report);
@@ -275,30 +278,31 @@
   }
 }
 
-// The delete on another connection has failed while this call was out.
+// The delete on another connection failed while this call was in progress.
 void HttpEngineClient::on_response_while_deleting(AttemptId id, Attempt& attempt, Outcome outcome,
                                                   unsigned status) {
   const bool ended = outcome == Outcome::answered &&
                      (status == http_status::kOk || status == http_status::kInternalServerError);
   if (ended) return end(id, AttemptEnd::cancelled);
-  attempt.connection != nullptr ? delete_here(id) : end_unproven(id, AttemptEnd::cancelled);
+  attempt.connection != nullptr ? delete_on_own_connection(id)
+                                : end_possibly_running(id, AttemptEnd::cancelled);
 }
 
-// Once a byte of a statement has left, it may have run and is never sent again from here. Neither silence nor
-// a broken answer tells whether it runs: the engine is polled.
+// Once a byte of a statement has been sent, the statement may have run, and this attempt never sends it
+// again. Neither a timeout nor a broken answer shows whether it runs, so the engine is polled.
 void HttpEngineClient::on_call_failed(AttemptId id, Attempt& attempt, Outcome outcome) {
   const bool submitting = attempt.stage == Stage::submitted || attempt.stage == Stage::cancel_requested;
   if (submitting && outcome == Outcome::unsent) return end(id, AttemptEnd::expired);
-  attempt.arrival_unproven = attempt.arrival_unproven || submitting;
-  if (attempt.stage == Stage::cancel_requested) return delete_elsewhere(id);
+  attempt.arrival_uncertain = attempt.arrival_uncertain || submitting;
+  if (attempt.stage == Stage::cancel_requested) return delete_on_other_connection(id);
   if (attempt.stage == Stage::submitted) attempt.stage = Stage::polling;
   reconnect(id);
 }
 
 void HttpEngineClient::on_running(AttemptId id, Attempt& attempt) {
   attempt.reconnects = 0;
-  attempt.arrival_unproven = false;
-  if (attempt.stage == Stage::cancel_requested) return delete_elsewhere(id);
+  attempt.arrival_uncertain = false;
+  if (attempt.stage == Stage::cancel_requested) return delete_on_other_connection(id);
   attempt.stage = Stage::polling;
   emit_(core::AttemptProgressed{id});
   if (attempt.pending_priority)
@@ -308,9 +312,9 @@
 
 void HttpEngineClient::on_page(AttemptId id, Attempt& attempt, const HttpResponse& response) {
   if (!attempt.pages.append(response, attempt.result)) {
-    // Damaged on its way: the engine still has the page. The connection is of no more use.
+    // The page was damaged in transit, and the engine still has it. The connection can no longer be used.
     if (attempt.connection != nullptr) pool_.discard(*std::exchange(attempt.connection, nullptr));
-    if (attempt.stage == Stage::cancel_requested) return end_unproven(id, AttemptEnd::cancelled);
+    if (attempt.stage == Stage::cancel_requested) return end_possibly_running(id, AttemptEnd::cancelled);
     if (attempt.stage == Stage::submitted) attempt.stage = Stage::polling;
     return reconnect(id);
   }
@@ -322,78 +326,79 @@
 }
 
 void HttpEngineClient::on_error(AttemptId id, Attempt& attempt, const HttpResponse& response) {
-  // An engine that does not know the query may receive it yet: bytes may still be on their way after a reset.
-  if (attempt.arrival_unproven) return end_unproven(id, AttemptEnd::reset);
+  // An engine that does not know the query may still receive it: bytes may be in transit after a reset.
+  if (attempt.arrival_uncertain) return end_possibly_running(id, AttemptEnd::reset);
   if (response.status == http_status::kInternalServerError) return end(id, AttemptEnd::error);
-  // Without this header, an error proves nothing: it may not even be the engine's.
+  // Without this header, an error does not prove that the query never ran: it may not come from the engine.
   const bool never_ran = response.header(wire::kNeverRanHeader) == "1" && !attempt.pages.begun();
   if (never_ran && response.status == http_status::kServiceUnavailable) return end(id, AttemptEnd::rejected);
   if (never_ran && response.status == http_status::kGatewayTimeout) return end(id, AttemptEnd::expired);
-  end_unproven(id, AttemptEnd::error);
+  end_possibly_running(id, AttemptEnd::error);
 }
 
 // ---- cancelling
 
-// A delete on another connection could overtake the statement, which would then run on: the engine's first
-// answer proves that the statement has arrived.
+// A delete on another connection could overtake the statement, which would then run although it was
+// cancelled. So the delete waits for the engine's first answer, which proves that the statement has arrived.
 void HttpEngineClient::cancel_submitted(AttemptId id, Attempt& attempt) {
   attempt.stage = Stage::cancel_requested;
   if (attempt.connection->stream.unsent_bytes() == 0)
-    return http_.shorten_timeout(attempt.call, kSideCallTimeout);
-  pool_.discard(*attempt.connection);  // the engine never receives the statement whole
-  http_.forget(attempt.call);
+    return http_.shorten_timeout(attempt.call, kAuxiliaryCallTimeout);
+  pool_.discard(*attempt.connection);  // the engine never receives the complete statement
+  http_.abandon(attempt.call);
   end(id, AttemptEnd::cancelled);
 }
 
-void HttpEngineClient::delete_elsewhere(AttemptId id) {
+void HttpEngineClient::delete_on_other_connection(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  attempt.stage = Stage::deleting_elsewhere;
+  attempt.stage = Stage::deleting_on_other_connection;
   http_.call_engine(
-      attempt.engine, delete_request(attempt), kSideCallTimeout,
+      attempt.engine, delete_request(attempt), kAuxiliaryCallTimeout,
       [this, id](Outcome outcome, HttpResponse& response) { on_deleted(id, outcome, response.status); });
 }
 
-void HttpEngineClient::delete_here(AttemptId id) {
+void HttpEngineClient::delete_on_own_connection(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  attempt.call = http_.call(*attempt.connection, delete_request(attempt), kSideCallTimeout,
+  attempt.call = http_.call(*attempt.connection, delete_request(attempt), kAuxiliaryCallTimeout,
                             [this, id](Outcome outcome, HttpResponse& response, Connection* reusable) {
-                              hold(id, reusable);
+                              set_connection(id, reusable);
                               on_deleted(id, outcome, response.status);
                             });
 }
 
-// A draining engine takes no new connections, but still answers on those that are open.
+// If the delete on another connection failed, it is retried on the attempt's own: a draining engine accepts
+// no new connections but still answers on open ones.
 void HttpEngineClient::on_deleted(AttemptId id, Outcome outcome, unsigned status) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
   const bool deleted = outcome == Outcome::answered &&
                        (status == http_status::kNoContent || status == http_status::kInternalServerError);
-  if (deleted && !attempt.arrival_unproven) return end(id, AttemptEnd::cancelled);
-  if (deleted || attempt.connection == nullptr || attempt.stage == Stage::deleting_here)
-    return end_unproven(id, AttemptEnd::cancelled);
-  attempt.stage = Stage::deleting_here;
-  if (!http_.pending(attempt.call)) delete_here(id);
+  if (deleted && !attempt.arrival_uncertain) return end(id, AttemptEnd::cancelled);
+  if (deleted || attempt.connection == nullptr || attempt.stage == Stage::deleting_on_own_connection)
+    return end_possibly_running(id, AttemptEnd::cancelled);
+  attempt.stage = Stage::deleting_on_own_connection;
+  if (!http_.pending(attempt.call)) delete_on_own_connection(id);
 }
 
 // ---- the end of an attempt
 
-// What was written may have reached the engine until its connection was closed, but not after.
-void HttpEngineClient::end_unproven(AttemptId id, AttemptEnd how) {
+// Data that was written may have reached the engine until its connection was closed, but not later.
+void HttpEngineClient::end_possibly_running(AttemptId id, AttemptEnd reason) {
   auto& attempt = attempts_.at(id);
-  const auto ends_by = attempt.last_contact_by + max_transit_ + kUnpolledQueryLifetime;
+  const auto ends_by = attempt.last_contact_by + max_transit_time_ + kUnpolledQueryLifetime;
   attempt.result.may_run_for = std::max(core::Time::zero(), ends_by - steady_now());
-  end(id, how);
+  end(id, reason);
 }
 
-void HttpEngineClient::end(AttemptId id, AttemptEnd how) {
+void HttpEngineClient::end(AttemptId id, AttemptEnd reason) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto attempt = std::move(found->second);
   attempts_.erase(found);
   release_connection(attempt);
-  attempt.result.end = how;
-  if (how != AttemptEnd::served) attempt.result.body.clear();
+  attempt.result.end = reason;
+  if (reason != AttemptEnd::served) attempt.result.body.clear();
   emit_(std::move(attempt.result));
 }
 
--- a/src/platform/http_engine_client.hpp
+++ b/src/platform/http_engine_client.hpp
@@ -1,4 +1,5 @@
-// Engines that speak HTTP: submits queries, polls them until they end, fetches the pages of their results.
+// The driver of HTTP engines: submits queries, polls them until they end, and fetches the pages of their
+// results.
 #pragma once
 
 #include <ev++.h>
@@ -19,8 +20,8 @@
 
 class HttpEngineClient : public net::EngineDriver {
  public:
-  // `class_names`: by core::ClassIndex. `load_fields`: of load reports, in the order in which the core takes
-  // them.
+  // `class_names` is indexed by core::ClassIndex. `load_fields` are the fields of load reports, in the order
+  // that the core expects.
   HttpEngineClient(ev::loop_ref loop, net::ConnectionPool::Limits limits,
                    std::vector<std::string> class_names, std::vector<std::string> load_fields,
                    net::EventSink emit);
@@ -43,26 +44,26 @@
   enum class Stage {
     connecting,
     connected,
-    submitted,           // no answer yet
-    polling,             // the engine has the query
-    fetching_pages,      // the query has ended
-    cancel_requested,    // while submitted: waits for the engine's first answer
-    deleting_elsewhere,  // on another connection than the attempt's
-    deleting_here,       // on the attempt's own, since that failed
+    submitted,         // no answer yet
+    polling,           // the engine has the query
+    fetching_pages,    // the query has ended
+    cancel_requested,  // cancelled while submitted: waits for the engine's first answer
+    deleting_on_other_connection,
+    deleting_on_own_connection,  // after the delete on another connection failed
   };
 
   struct Attempt {
     core::EngineId engine = 0;
     Stage stage = Stage::connecting;
-    std::uint64_t checkout_ticket = 0;  // while it waits for its first connection
-    Connection* connection = nullptr;   // its own, until the last page
-    HttpClient::CallId call = 0;        // the last one on its own connection
+    std::uint64_t checkout_ticket = 0;  // of the wait for its first connection
+    Connection* connection = nullptr;   // owned by the attempt until the last page
+    HttpClient::CallId call = 0;        // the last call on that connection
     std::string query_path;
-    core::Time last_contact_by{};  // steady clock: the last call that keeps the query alive was over by then
+    core::Time last_contact_by{};  // steady clock: no call has kept the query alive after this time
     ResultPages pages;
-    int reconnects = 0;             // in a row, without a good answer in between
-    bool arrival_unproven = false;  // the statement may not have reached the engine, or may reach it yet
-    std::optional<std::uint8_t> pending_priority;  // to be sent once the engine knows the query
+    int reconnects = 0;                            // in a row, without a valid answer in between
+    bool arrival_uncertain = false;                // the statement may still be in transit, or be lost
+    std::optional<std::uint8_t> pending_priority;  // to be sent once the engine has the query
     core::AttemptEnded result;
   };
 
@@ -70,10 +71,10 @@
   [[nodiscard]] std::string submit_request(const Attempt& attempt, const core::Transmit& effect) const;
   [[nodiscard]] std::string delete_request(const Attempt& attempt) const;
 
-  // The one way in which an attempt comes to hold a connection; nullptr: it has none any more.
-  void hold(core::AttemptId id, Connection* connection);
-  void call_on_own(core::AttemptId id, const std::string& request);
-  void poll(core::AttemptId id);  // for the query's state, or for the next page
+  // Sets the attempt's connection, or nullptr for none. An attempt gets its connections only through this.
+  void set_connection(core::AttemptId id, Connection* connection);
+  void call_on_own_connection(core::AttemptId id, const std::string& request);
+  void poll(core::AttemptId id);  // requests the query's state, or the next page of its result
   void reconnect(core::AttemptId id);
 
   void on_response(core::AttemptId id, Outcome outcome, HttpResponse& response, Connection* reusable);
@@ -84,21 +85,21 @@
   void on_response_while_deleting(core::AttemptId id, Attempt& attempt, Outcome outcome, unsigned status);
 
   void cancel_submitted(core::AttemptId id, Attempt& attempt);
-  void delete_elsewhere(core::AttemptId id);
-  void delete_here(core::AttemptId id);
+  void delete_on_other_connection(core::AttemptId id);
+  void delete_on_own_connection(core::AttemptId id);
   void on_deleted(core::AttemptId id, Outcome outcome, unsigned status);
 
-  // The query is over, or never ran.
-  void end(core::AttemptId id, core::AttemptEnd how);
-  // Nothing proves that the query is over: it may run on at the engine for a while.
-  void end_unproven(core::AttemptId id, core::AttemptEnd how);
+  // Ends the attempt of a query that has ended, or never ran.
+  void end(core::AttemptId id, core::AttemptEnd reason);
+  // Ends the attempt of a query that is not proven to have ended: it may go on running at the engine.
+  void end_possibly_running(core::AttemptId id, core::AttemptEnd reason);
   void release_connection(const Attempt& attempt);
 
   void check_health(core::EngineId engine, int retries);
 
   net::ConnectionPool pool_;
   HttpClient http_;
-  core::Time max_transit_;  // what is written reaches its engine within so long, or never
+  core::Time max_transit_time_;  // data written reaches its engine within this time, or never
   std::vector<std::string> class_names_;
   std::vector<std::string> load_fields_;
   net::EventSink emit_;
--- a/src/platform/jsonrpc.cpp
+++ b/src/platform/jsonrpc.cpp
@@ -14,15 +14,15 @@
 using nlohmann::json;
 
 constexpr double kMaxTimeLimitMs = 3'600'000;
-// Estimates beyond these are no estimates, and would mislead the scheduler about all other requests.
+// Larger estimates are rejected: they are not plausible and would distort the scheduling of other requests.
 constexpr double kMaxCpuMs = 1e7;
 constexpr double kMaxMemoryMb = 1e7;
 constexpr double kNanosecondsPerMillisecond = 1e6;
-constexpr int kMaxDepth = 8;  // of brackets
+constexpr int kMaxDepth = 8;  // of nested arrays and objects
 constexpr std::size_t kMaxKeyBytes = 128;
 constexpr std::size_t kRequestIdDigits = 16;
 
-// A parameter that is missing or can't be used.
+// Thrown for a parameter that is missing or invalid.
 struct InvalidParameter {
   InvalidParameter(const std::string& name, const char* reason) : message(name + " " + reason) {}
   std::string message;
@@ -54,11 +54,11 @@
   return core::Time(static_cast<std::int64_t>(milliseconds * kNanosecondsPerMillisecond));
 }
 
-// Sent on in a header: nothing that could end one.
+// The value is forwarded to engines in an HTTP header, which it must not be able to end.
 void check_printable(const std::string& value, const char* key) {
   const auto printable = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
   if (value.size() > kMaxKeyBytes || !std::ranges::all_of(value, printable))
-    throw InvalidParameter(key, "holds what no id may hold");
+    throw InvalidParameter(key, "is too long or contains a space, control or non-ASCII character");
 }
 
 std::uint64_t parse_hex(const std::string& digits, const char* key) {
@@ -69,7 +69,7 @@
   return value;
 }
 
-// It becomes a part of a path too.
+// The id also becomes part of a path in the engines' protocol.
 std::string parse_request_id(const json& params) {
   auto id = required_text(params, wire::kRequestId);
   if (id.size() != kRequestIdDigits) throw InvalidParameter(wire::kRequestId, "is not 16 hex digits");
@@ -117,13 +117,13 @@
 RpcCancel parse_cancel(const json& params, std::optional<std::uint64_t> id) {
   RpcCancel out;
   out.id = id;
-  const auto request = params.find(wire::kCancelledRpcId);
-  if (request != params.end() && request->is_number_unsigned()) out.request = request->get<std::uint64_t>();
+  const auto target = params.find(wire::kCancelledRpcId);
+  if (target != params.end() && target->is_number_unsigned()) out.target_id = target->get<std::uint64_t>();
   out.ticket = optional_text(params, wire::kRequestId);
   return out;
 }
 
-// `params`: an object, or anything else.
+// `params` may be any JSON value; one that is not an object is rejected.
 RpcMessage parse_call(std::optional<std::uint64_t> id, const std::string& method, const json& params,
                       const config::Names& names) {
   if (!params.is_object()) throw InvalidParameter("params", "is not an object");
@@ -135,27 +135,27 @@
   return RpcRequest{*id, parse_submission(params, cls->second, names)};
 }
 
-std::string line(json message) {
+std::string to_line(json message) {
   message["jsonrpc"] = "2.0";
   return message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
 json id_of(std::optional<std::uint64_t> id) { return id ? json(*id) : json(nullptr); }
 
-// By hand: nothing in it needs escaping, and results are by far the longest messages.
+// Formatted without the JSON library: nothing needs escaping, and results are by far the longest messages.
 std::string rpc_result(std::uint64_t id, std::string_view body) {
   return R"({"jsonrpc":"2.0","id":)" + std::to_string(id) + R"(,"result":{")" + wire::kResultBody + R"(":")" +
          to_base64(body) + "\"}}\n";
 }
 }  // namespace
 
-RpcMessage parse_rpc(std::string_view in, const config::Names& names) {
-  bool too_deep = false;  // what nests without end is dropped as it is read
+RpcMessage parse_rpc(std::string_view text, const config::Names& names) {
+  bool too_deep = false;  // deeply nested values are dropped while they are parsed
   const auto within_depth = [&too_deep](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || depth > kMaxDepth;
     return !too_deep;
   };
-  const json message = json::parse(in, within_depth, false);
+  const json message = json::parse(text, within_depth, false);
   if (too_deep) return RpcError{std::nullopt, kRpcInvalidRequest, "nested too deeply"};
   if (message.is_discarded()) return RpcError{std::nullopt, kRpcParseError, "no JSON"};
   if (!message.is_object()) return RpcError{std::nullopt, kRpcInvalidRequest, "no call"};
@@ -197,7 +197,7 @@
 }
 
 std::string rpc_health(std::uint64_t id, bool healthy) {
-  return line({{"id", id}, {"result", {{wire::kHealthy, healthy}}}});
+  return to_line({{"id", id}, {"result", {{wire::kHealthy, healthy}}}});
 }
 
 std::string rpc_error(std::optional<std::uint64_t> id, int code, std::string_view message,
@@ -207,7 +207,7 @@
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(retry_after);
     error["data"] = {{wire::kRetryAfter, milliseconds.count()}};
   }
-  return line({{"id", id_of(id)}, {"error", std::move(error)}});
+  return to_line({{"id", id_of(id)}, {"error", std::move(error)}});
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/jsonrpc.hpp
+++ b/src/platform/jsonrpc.hpp
@@ -1,4 +1,4 @@
-// The platform's client protocol: JSON-RPC 2.0, one message a line. Pure: text in, values out, and back.
+// The platform's client protocol: JSON-RPC 2.0, one message per line. Pure: parses and formats, without I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 
 struct RpcRequest {
   std::uint64_t id = 0;
-  core::Submission submission;  // without its client
+  core::Submission submission;  // its `client` is not set
 };
 struct RpcCancel {
-  std::optional<std::uint64_t> id;       // of the call itself, if it wants an answer
-  std::optional<std::uint64_t> request;  // the call that it means
-  std::string ticket;                    // or the client's id of the request
+  std::optional<std::uint64_t> id;         // of the cancel call itself; none: it is not answered
+  std::optional<std::uint64_t> target_id;  // the id of the call to cancel
+  std::string ticket;                      // the ticket of the request to cancel, if given
 };
 struct RpcHealth {
   std::uint64_t id = 0;
 };
-// The error that answers a message which is none of these.
+// The error with which to answer any other message.
 struct RpcError {
   std::optional<std::uint64_t> id;
   int code = 0;
@@ -32,7 +32,7 @@
 };
 using RpcMessage = std::variant<RpcRequest, RpcCancel, RpcHealth, RpcError>;
 
-// Error codes; those from -32700 to -32600 are JSON-RPC's own.
+// Error codes; those from -32700 to -32600 are defined by JSON-RPC.
 inline constexpr int kRpcParseError = -32700;
 inline constexpr int kRpcInvalidRequest = -32600;
 inline constexpr int kRpcMethodNotFound = -32601;
@@ -43,7 +43,7 @@
 
 [[nodiscard]] RpcMessage parse_rpc(std::string_view line, const config::Names& names);
 
-// Each of these returns one line with its line feed.
+// Each of these returns one line that ends with a line feed.
 [[nodiscard]] std::string rpc_answer(std::uint64_t id, const core::Answer& answer);
 [[nodiscard]] std::string rpc_cancelled(std::uint64_t id);
 [[nodiscard]] std::string rpc_health(std::uint64_t id, bool healthy);
--- a/src/platform/jsonrpc_connection.cpp
+++ b/src/platform/jsonrpc_connection.cpp
@@ -4,7 +4,7 @@
 
 namespace bellstair::platform {
 namespace {
-constexpr int kMaxCandidates = 8;  // looked at per use, since each costs a system call
+constexpr int kMaxCandidates = 8;  // checked per use, since each check costs a system call
 }  // namespace
 
 void EvictionOrder::add(JsonRpcConnection& connection) {
@@ -18,8 +18,8 @@
 
 void EvictionOrder::update(JsonRpcConnection& connection) {
   const bool busy = !connection.open_requests.empty() || connection.stream.unsent_bytes() > 0;
-  const auto at_rest = connection.has_sent_request ? ConnectionUse::idle : ConnectionUse::unused;
-  const auto use = busy ? ConnectionUse::busy : at_rest;
+  const auto use_without_work = connection.has_sent_request ? ConnectionUse::idle : ConnectionUse::unused;
+  const auto use = busy ? ConnectionUse::busy : use_without_work;
   if (use == connection.use) return;
   auto& from = of(connection.use);
   auto& to = of(use);
@@ -27,12 +27,12 @@
   connection.use = use;
 }
 
-// A connection whose next request lies unread in the socket is not at rest.
+// A connection is not idle if its socket holds unread input: that may be the next request.
 JsonRpcConnection* EvictionOrder::candidate() const {
   for (const auto use : {ConnectionUse::unused, ConnectionUse::idle}) {
-    int looked_at = 0;
+    int checked = 0;
     for (auto* connection : of(use)) {
-      if (++looked_at > kMaxCandidates) break;
+      if (++checked > kMaxCandidates) break;
       const bool unread = connection->stream.unread() == net::Stream::Unread::bytes;
       if (core::Guard::may_close(connection->open_requests.size(), unread)) return connection;
     }
--- a/src/platform/jsonrpc_connection.hpp
+++ b/src/platform/jsonrpc_connection.hpp
@@ -1,4 +1,5 @@
-// A client's connection to the JSON-RPC server, and the order in which connections are evicted for new ones.
+// A client's connection to the JSON-RPC server, and the order in which connections are evicted in favour of
+// new ones.
 #pragma once
 
 #include <ev++.h>
@@ -14,11 +15,11 @@
 
 namespace bellstair::platform {
 
-// In the order of eviction. Busy connections are never evicted.
+// In order of eviction. Busy connections are never evicted.
 enum class ConnectionUse {
-  unused,  // no request has come on it
+  unused,  // no request has been received on it
   idle,
-  busy,  // with an open request, or output that has not left
+  busy,  // it has an open request, or unsent output
 };
 
 struct JsonRpcConnection {
@@ -29,29 +30,29 @@
   std::uint64_t serial = 0;
   net::Stream stream;
   std::string partial_line;
-  std::uint64_t last_rpc_id = 0;  // the highest of its requests
-  bool half_closed = false;       // the client writes no more: it has closed its side, or all of it
-  bool closing = false;           // input is dropped; closed once all open requests are answered
+  std::uint64_t last_rpc_id = 0;  // the highest id of its requests
+  bool half_closed = false;       // the client sends no more: it has closed its side, or the connection
+  bool closing = false;           // input is ignored; closed once all open requests are answered
   bool has_sent_line = false;
   bool has_sent_request = false;
   bool timer_armed = false;
   bool over_capacity = false;  // every request on it is rejected
   unsigned invalid_messages = 0;
-  core::Time waiting_since{};  // for the first line, or for the end of the partial one
-  core::Time input_since{};    // the next bytes read may be as old as this; 0: as old as the read
+  core::Time waiting_since{};  // for the first line, or for the rest of the partial one
+  core::Time input_since{};    // when the next bytes may have arrived at the earliest; 0: when they are read
   ConnectionUse use = ConnectionUse::unused;
   std::list<JsonRpcConnection*>::iterator position;                     // in the EvictionOrder
   std::unordered_map<std::uint64_t, core::ClientHandle> open_requests;  // by the client's id
 };
 
-// All connections by use, and within a use by the time since when.
+// All connections by use; those of one use are ordered by when it began.
 class EvictionOrder {
  public:
   void add(JsonRpcConnection& connection);
   void remove(const JsonRpcConnection& connection);
-  // To be called after anything that may change the connection's use.
+  // Must be called after anything that may change the connection's use.
   void update(JsonRpcConnection& connection);
-  // The first connection that may be closed now; nullptr: there is none.
+  // Returns the first connection that may be closed now, or nullptr if there is none.
   [[nodiscard]] JsonRpcConnection* candidate() const;
   [[nodiscard]] const std::list<JsonRpcConnection*>& busy() const { return of(ConnectionUse::busy); }
 
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -6,18 +6,19 @@
 namespace {
 using namespace std::chrono_literals;
 
-// For the first line, and for any line from its first byte to its end: a client is owed an answer, an error
-// or a close within 3 s.
+// Limit for the first line of a connection, and for any line from its first byte to its end. A client must
+// receive an answer, an error or a close within 3 s.
 constexpr core::Time kLineTimeout = 2s;
 constexpr core::Time kUnreadInputRecheck =
-    20ms;  // before a timed-out line whose rest lies unread is looked at
-// Connections that could not be accepted within so long after a stall may have come during it.
+    20ms;  // until a line that timed out is checked again, if unread input may complete it
+// A connection that has waited to be accepted since at most this long after a stall may have arrived during
+// the stall.
 constexpr core::Time kStallRecovery = 50ms;
 constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
 constexpr std::size_t kMaxPartialLineBytes = std::size_t{4} << 20;  // of all connections together
 constexpr unsigned kMaxInvalidMessages = 64;                        // on one connection
 constexpr std::size_t kMaxOpenRequests = 32;                        // on one connection
-constexpr std::size_t kMaxOverCapacity = 16;  // connections beyond the limit, on which requests are rejected
+constexpr std::size_t kMaxOverCapacity = 16;  // connections above the limit, on which requests are rejected
 }  // namespace
 
 JsonRpcServer::JsonRpcServer(ev::loop_ref loop, net::Fd listening, const config::Names& names,
@@ -37,19 +38,19 @@
 // ---- connections
 
 void JsonRpcServer::accept(net::Fd fd, core::Time waited) {
-  const bool within_capacity = make_room();
+  const bool within_capacity = ensure_capacity();
   if (!within_capacity && connections_.size() >= max_connections_ + kMaxOverCapacity) {
     lingerer_.reject(std::move(fd), rpc_error(std::nullopt, kRpcRejected, "too many connections"));
     return lingerer_.trim_beside(connections_.size(), max_connections_);
   }
-  auto made = std::make_unique<Connection>(loop_, std::move(fd));
-  auto& connection = *made;
+  auto owner = std::make_unique<Connection>(loop_, std::move(fd));
+  auto& connection = *owner;
   connection.serial = ++last_serial_;
   connection.waiting_since = now_;
   connection.over_capacity = !within_capacity;
   if (waited > core::Time::zero()) connection.input_since = earliest_arrival(waited);
   eviction_order_.add(connection);
-  connections_.emplace(connection.serial, std::move(made));
+  connections_.emplace(connection.serial, std::move(owner));
   arm_timer(connection, now_ + kLineTimeout);
   connection.stream.handle(handlers_of(connection));
 }
@@ -65,13 +66,13 @@
 }
 
 core::Time JsonRpcServer::earliest_arrival(core::Time waited) const {
-  const core::Time refused_since = now_ - waited;
-  const bool stalled_before = refused_since <= last_stall_.resumed_at + kStallRecovery;
-  return stalled_before ? std::min(refused_since, last_stall_.since) : refused_since;
+  const core::Time waiting_since = now_ - waited;
+  const bool follows_stall = waiting_since <= last_stall_.resumed_at + kStallRecovery;
+  return follows_stall ? std::min(waiting_since, last_stall_.since) : waiting_since;
 }
 
-// A connection without an open request may be closed at any time.
-bool JsonRpcServer::make_room() {
+// Connections without open requests may be closed at any time.
+bool JsonRpcServer::ensure_capacity() {
   while (connections_.size() >= max_connections_) {
     auto* connection = eviction_order_.candidate();
     if (connection == nullptr) return false;
@@ -81,7 +82,7 @@
   return true;
 }
 
-// A graceful close would keep the descriptor.
+// Closes at once: a graceful close would keep the descriptor open.
 bool JsonRpcServer::free_descriptor() {
   if (lingerer_.size() > 0) {
     lingerer_.trim(lingerer_.size() - 1);
@@ -117,18 +118,18 @@
   connection.stream.write(rpc_error(std::nullopt, kRpcInvalidRequest, reason));
   clear_partial_line(connection);
   connection.closing = true;
-  stop_requests(connection);  // a cancel would not be read any more
+  report_half_close(connection);  // a later cancel would not be read
   if (connection.open_requests.empty()) close_gracefully(connection);
 }
 
-void JsonRpcServer::stop_requests(const Connection& connection) {
+void JsonRpcServer::report_half_close(const Connection& connection) {
   for (const auto& [id, client] : connection.open_requests) emit_(core::ClientHalfClosed{client});
 }
 
-// The client may only have closed its side, or have gone: what runs for it is answered.
+// The client may have closed only its side, or be gone: requests in progress are still answered.
 void JsonRpcServer::on_half_close(Connection& connection) {
   connection.half_closed = true;
-  stop_requests(connection);
+  report_half_close(connection);
   if (connection.open_requests.empty()) close_gracefully(connection);
 }
 
@@ -141,13 +142,13 @@
       close_gracefully(connection);
     } else {
       eviction_order_.update(connection);
-      if (!rest.empty()) keep_partial_line(connection, rest);
+      if (!rest.empty()) store_partial_line(connection, rest);
     }
   }
   connection.input_since = {};
 }
 
-// Lines are read in place; only one that arrives in parts is copied.
+// Lines are parsed in place; only a line that arrives in parts is copied.
 std::string_view JsonRpcServer::read_complete_lines(Connection& connection, std::string_view bytes) {
   while (connection.stream.open() && !connection.closing) {
     const auto end = bytes.find('\n');
@@ -164,7 +165,7 @@
   return bytes;
 }
 
-void JsonRpcServer::keep_partial_line(Connection& connection, std::string_view bytes) {
+void JsonRpcServer::store_partial_line(Connection& connection, std::string_view bytes) {
   const bool line_too_long = connection.partial_line.size() + bytes.size() > kMaxLineBytes;
   if (line_too_long || partial_line_bytes_ + bytes.size() > kMaxPartialLineBytes)
     return close_with_error(connection, "a line is too long");
@@ -216,10 +217,10 @@
 void JsonRpcServer::on_cancel(Connection& connection, const RpcCancel& cancel) {
   auto& open = connection.open_requests;
   auto found = open.end();
-  // The call's own id may be that of the request it means.
+  // A cancel call may use the id of the request to cancel as its own.
   const bool has_own_id = cancel.id && *cancel.id > connection.last_rpc_id;
   if (cancel.id && !has_own_id) found = open.find(*cancel.id);
-  if (cancel.request && found == open.end()) found = open.find(*cancel.request);
+  if (cancel.target_id && found == open.end()) found = open.find(*cancel.target_id);
   if (found == open.end() && !cancel.ticket.empty()) {
     found = std::ranges::find_if(
         open, [&](const auto& request) { return open_requests_.at(request.second).ticket == cancel.ticket; });
@@ -230,14 +231,14 @@
     open_requests_.erase(client);
     emit_(core::ClientCancelled{client});
   }
-  // The id of a request gets no answer: it would be a second one.
+  // A cancel call under a request's id is not answered: that would be a second answer to the request.
   if (has_own_id) connection.stream.write(rpc_cancelled(*cancel.id));
 }
 
 void JsonRpcServer::reject_message(Connection& connection, const std::string& reply) {
   connection.stream.write(reply);
   if (++connection.invalid_messages == kMaxInvalidMessages)
-    close_with_error(connection, "too many lines of no use");
+    close_with_error(connection, "too many invalid messages");
 }
 
 // ---- timers
@@ -247,32 +248,33 @@
   timers_.arm(at, connection.serial);
 }
 
-// Clients that send nothing, or never end a line, hold descriptors and memory that others need.
+// Closes connections whose clients send nothing or never end a line: they use descriptors and memory that
+// others need.
 void JsonRpcServer::on_timer(Connection& connection) {
   connection.timer_armed = false;
   if (connection.closing || connection.half_closed) return;
   if (connection.has_sent_line && connection.partial_line.empty()) return;
   const auto due = connection.waiting_since + kLineTimeout;
   if (now_ < due) return arm_timer(connection, due);
-  // What lies unread may be the rest of the line.
+  // Unread input may be the rest of the line.
   if (connection.stream.unread() == net::Stream::Unread::bytes)
     return arm_timer(connection, now_ + kUnreadInputRecheck);
   close_with_error(connection, "no whole request came");
 }
 
-// After a half-close, a reset is not seen by reading.
-void JsonRpcServer::close_departed_clients() {
-  std::vector<Connection*> departed;
+// A reset after a half-close is not detected by reading.
+void JsonRpcServer::close_reset_connections() {
+  std::vector<Connection*> reset;
   for (auto* connection : eviction_order_.busy()) {
-    if (connection->half_closed && connection->stream.reset()) departed.push_back(connection);
+    if (connection->half_closed && connection->stream.reset()) reset.push_back(connection);
   }
-  for (auto* connection : departed) close(*connection);
+  for (auto* connection : reset) close(*connection);
 }
 
 void JsonRpcServer::tick(core::Time now) {
   now_ = now;
   lingerer_.tick(now);
-  close_departed_clients();
+  close_reset_connections();
   timers_.advance(now, [this](std::uint64_t serial) {
     const auto found = connections_.find(serial);
     if (found != connections_.end()) on_timer(*found->second);
@@ -300,8 +302,8 @@
   auto& connection = *connections_.at(request.connection);
   connection.open_requests.erase(request.rpc_id);
   connection.stream.write(rpc_answer(request.rpc_id, answer));
-  const bool last = connection.closing || connection.half_closed || shutting_down_;
-  if (connection.open_requests.empty() && last) {
+  const bool is_closing = connection.closing || connection.half_closed || shutting_down_;
+  if (connection.open_requests.empty() && is_closing) {
     close_gracefully(connection);
   } else {
     eviction_order_.update(connection);
@@ -312,11 +314,11 @@
 void JsonRpcServer::shut_down() {
   shutting_down_ = true;
   lingerer_.lift_limit();
-  std::vector<Connection*> unoccupied;
+  std::vector<Connection*> without_requests;
   for (const auto& [serial, connection] : connections_) {
-    if (connection->open_requests.empty()) unoccupied.push_back(connection.get());
+    if (connection->open_requests.empty()) without_requests.push_back(connection.get());
   }
-  for (auto* connection : unoccupied) close_gracefully(*connection);
+  for (auto* connection : without_requests) close_gracefully(*connection);
 }
 
 bool JsonRpcServer::has_unsent_output() const {
--- a/src/platform/jsonrpc_server.hpp
+++ b/src/platform/jsonrpc_server.hpp
@@ -1,4 +1,4 @@
-// The server for clients that speak the platform's protocol: JSON-RPC over TCP.
+// The server for the platform's client protocol: JSON-RPC over TCP.
 #pragma once
 
 #include <ev++.h>
@@ -24,7 +24,8 @@
 
 class JsonRpcServer : public net::ClientServer {
  public:
-  // Client handles are drawn from `last_handle`, which all servers share. `healthy` answers health calls.
+  // `last_handle` is the counter of client handles, which all servers share. `healthy` returns the answer to
+  // health calls.
   JsonRpcServer(ev::loop_ref loop, net::Fd listening, const config::Names& names, std::size_t max_connections,
                 std::uint64_t& last_handle, std::function<bool()> healthy, net::EventSink emit);
 
@@ -46,15 +47,15 @@
 
   void accept(net::Fd fd, core::Time waited);
   [[nodiscard]] net::Stream::Handlers handlers_of(Connection& connection);
-  // The earliest moment at which a connection that waited so long to be accepted may have come.
+  // The earliest time at which a connection may have arrived that waited this long to be accepted.
   [[nodiscard]] core::Time earliest_arrival(core::Time waited) const;
-  bool make_room();
-  bool free_descriptor();  // at once; false: none can be
+  bool ensure_capacity();  // closes connections if needed; false: the server stays full
+  bool free_descriptor();  // false: no connection may be closed now
 
   void on_data(Connection& connection, std::string_view bytes);
-  // The bytes that follow the last complete line; empty if the connection takes no more input.
+  // Returns the bytes after the last complete line.
   [[nodiscard]] std::string_view read_complete_lines(Connection& connection, std::string_view bytes);
-  void keep_partial_line(Connection& connection, std::string_view bytes);
+  void store_partial_line(Connection& connection, std::string_view bytes);
   void clear_partial_line(Connection& connection);
   void on_line(Connection& connection, std::string_view line);
   void on_request(Connection& connection, RpcRequest& request);
@@ -64,13 +65,14 @@
 
   void arm_timer(Connection& connection, core::Time at);
   void on_timer(Connection& connection);
-  void close_departed_clients();
-  void stop_requests(const Connection& connection);  // nothing more is begun for those that are open
+  void close_reset_connections();
+  void report_half_close(
+      const Connection& connection);  // for each open request: no attempt is started any more
 
-  // The one end of a connection: what is open on it is cancelled.
+  // Cancels the open requests and closes the connection at once. Every connection ends here.
   void close(Connection& connection);
   void close_gracefully(Connection& connection);
-  // Sends an error; the connection is closed once its open requests are answered.
+  // Sends an error, and closes the connection once its open requests are answered.
   void close_with_error(Connection& connection, std::string_view reason);
 
   ev::loop_ref loop_;
@@ -82,7 +84,7 @@
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::unordered_map<core::ClientHandle, OpenRequest> open_requests_;
-  std::vector<std::unique_ptr<Connection>> closed_;  // freed once no handler of theirs can be running
+  std::vector<std::unique_ptr<Connection>> closed_;  // freed when none of their handlers can be running
   net::Lingerer lingerer_;
   EvictionOrder eviction_order_;
   core::TimerWheel<std::uint64_t> timers_{std::chrono::milliseconds(5)};  // by connection
--- a/src/platform/load_report.hpp
+++ b/src/platform/load_report.hpp
@@ -1,4 +1,4 @@
-// The load report in an engine's answers.
+// Reads the load report in an engine's answers.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace bellstair::platform {
 
-// The values of `fields`, in their order; none if the response lacks the report or any of the fields.
+// Returns the values of `fields`, in their order; none if the response has no report or any field is missing.
 [[nodiscard]] std::optional<std::vector<double>> read_load_report(const HttpResponse& response,
                                                                   const std::vector<std::string>& fields);
 
--- a/src/platform/result_pages.cpp
+++ b/src/platform/result_pages.cpp
@@ -17,7 +17,7 @@
 constexpr double kMaxMemoryMb = 1e9;
 constexpr double kNanosecondsPerMillisecond = 1e6;
 
-bool holds_whole_rows(std::string_view page) {
+bool has_complete_rows(std::string_view page) {
   if (page.size() > kMaxPageBytes || (!page.empty() && page.back() != '\n')) return false;
   int tabs = 0;
   for (const char c : page) {
@@ -29,7 +29,7 @@
 }
 }  // namespace
 
-bool ResultPages::read_first(const HttpResponse& response, core::AttemptEnded& result) {
+bool ResultPages::read_first_page_headers(const HttpResponse& response, core::AttemptEnded& result) {
   const double count = response.number(wire::kPageCountHeader).value_or(0);
   if (count < 1 || count > kMaxPages || count != std::floor(count)) return false;
   count_ = static_cast<std::size_t>(count);
@@ -41,10 +41,10 @@
 }
 
 bool ResultPages::append(const HttpResponse& response, core::AttemptEnded& result) {
-  if (!holds_whole_rows(response.body)) return false;
+  if (!has_complete_rows(response.body)) return false;
   if (result.body.size() + response.body.size() > kMaxResultBytes) return false;
   if (next_ == 0) {
-    if (!read_first(response, result)) return false;
+    if (!read_first_page_headers(response, result)) return false;
   } else if (response.number(wire::kPageNumberHeader).value_or(-1) != static_cast<double>(next_)) {
     return false;
   }
