--- a/src/app/broker_wiring.cpp
+++ b/src/app/broker_wiring.cpp
@@ -119,7 +119,8 @@
   options.max_connections = max_connections;
   options.escaped_rows = fronts_.mysql_engines.has_value();
   if (directory_) {
-    options.lookup = [this](const std::string& user, const std::string& password, directory::Done done) {
+    options.lookup = [this](const std::string& user, const std::string& password,
+                            directory::LookupHandler done) {
       directory_->look_up(user, password, std::move(done));
     };
   }
--- a/src/directory/ldap_directory.cpp
+++ b/src/directory/ldap_directory.cpp
@@ -44,7 +44,7 @@
  public:
   enum class Stage { connecting, service_bind, search, user_bind };
 
-  UserLookup(LdapDirectory& owner, std::string user, std::string password, Done done)
+  UserLookup(LdapDirectory& owner, std::string user, std::string password, LookupHandler done)
       : owner_(owner),
         user_(std::move(user)),
         password_(std::move(password)),
@@ -75,7 +75,7 @@
   [[nodiscard]] core::Time deadline() const { return deadline_; }
   [[nodiscard]] const std::string& user() const { return user_; }
   [[nodiscard]] const std::string& password() const { return password_; }
-  Done take_done() { return std::exchange(done_, {}); }
+  LookupHandler take_done() { return std::exchange(done_, {}); }
 
  private:
   void finish(LookupResult::Kind kind, std::string tenant = {}) {
@@ -157,7 +157,7 @@
 
   LdapDirectory& owner_;
   std::string user_, password_;
-  Done done_;
+  LookupHandler done_;
   core::Time deadline_;
   net::IoWatch io_;
   net::Fd fd_;
@@ -185,7 +185,7 @@
   return {reinterpret_cast<const char*>(out.data()), size};
 }
 
-void LdapDirectory::look_up(const std::string& user, const std::string& password, Done done) {
+void LdapDirectory::look_up(const std::string& user, const std::string& password, LookupHandler done) {
   // A bind with a name and no password is one as nobody (RFC 4513, 5.1.2), and always succeeds.
   if (user.empty() || password.empty()) return done({LookupResult::Kind::denied, {}});
   if (const auto found = cache_.find(key(user, password));
--- a/src/directory/ldap_directory.hpp
+++ b/src/directory/ldap_directory.hpp
@@ -27,7 +27,7 @@
 
   // Calls `done` exactly once: from here if the verdict is cached or the directory can't be asked, else from
   // the event loop.
-  void look_up(const std::string& user, const std::string& password, Done done);
+  void look_up(const std::string& user, const std::string& password, LookupHandler done);
   void tick(core::Time now);  // ends lookups whose deadline has passed
 
  private:
--- a/src/directory/lookup_result.hpp
+++ b/src/directory/lookup_result.hpp
@@ -11,7 +11,7 @@
   std::string tenant;  // its name: positions change with the settings
 };
 // `done` is called exactly once, now or later.
-using Done = std::function<void(LookupResult)>;
-using Lookup = std::function<void(const std::string& user, const std::string& password, Done done)>;
+using LookupHandler = std::function<void(LookupResult)>;
+using Lookup = std::function<void(const std::string& user, const std::string& password, LookupHandler done)>;
 
 }  // namespace bellstair::directory
