--- a/src/directory/ldap_directory.cpp
+++ b/src/directory/ldap_directory.cpp
@@ -1,6 +1,6 @@
 #include "directory/ldap_directory.hpp"
 
-// libldap on a socket of our own making (openldap.h), so that neither connecting nor waiting blocks.
+// libldap uses a socket that is created here (openldap.h), so that neither connecting nor waiting blocks.
 #include <ldap.h>
 #include <openldap.h>
 #include <openssl/evp.h>
@@ -15,8 +15,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxConcurrentLookups = 32;  // each has a connection of its own
-constexpr std::size_t kMaxCachedVerdicts = 4096;
+constexpr std::size_t kMaxConcurrentLookups = 32;  // each uses its own connection
+constexpr std::size_t kMaxCachedResults = 4096;
 constexpr const char* kHexDigits = "0123456789abcdef";
 
 struct MessageDeleter {
@@ -44,11 +44,11 @@
  public:
   enum class Stage { connecting, service_bind, search, user_bind };
 
-  UserLookup(LdapDirectory& owner, std::string user, std::string password, LookupHandler done)
+  UserLookup(LdapDirectory& owner, std::string user, std::string password, LookupHandler handler)
       : owner_(owner),
         user_(std::move(user)),
         password_(std::move(password)),
-        done_(std::move(done)),
+        handler_(std::move(handler)),
         deadline_(owner.now_ + owner.config_.timeout),
         io_(owner.loop_) {
     io_.set<UserLookup, &UserLookup::on_io>(this);
@@ -57,10 +57,10 @@
   UserLookup(const UserLookup&) = delete;
   UserLookup& operator=(const UserLookup&) = delete;
 
-  // False: the directory can't be reached.
+  // Returns false if the directory can't be reached.
   bool start() {
-    const auto at = net::parse_address(owner_.config_.address);
-    fd_ = at ? net::begin_connect(*at) : net::Fd();
+    const auto address = net::parse_address(owner_.config_.address);
+    fd_ = address ? net::begin_connect(*address) : net::Fd();
     if (!fd_) return false;
     io_.watch(fd_.get(), ev::WRITE);
     return true;
@@ -75,19 +75,19 @@
   [[nodiscard]] core::Time deadline() const { return deadline_; }
   [[nodiscard]] const std::string& user() const { return user_; }
   [[nodiscard]] const std::string& password() const { return password_; }
-  LookupHandler take_done() { return std::exchange(done_, {}); }
+  LookupHandler take_handler() { return std::exchange(handler_, {}); }
 
  private:
   void finish(LookupResult::Kind kind, std::string tenant = {}) {
-    owner_.answer(*this, {kind, std::move(tenant)});
+    owner_.finish_lookup(*this, {kind, std::move(tenant)});
   }
   void finish_unavailable() { finish(LookupResult::Kind::unavailable); }
 
   void on_io(int) {
     if (stage_ == Stage::connecting) return on_connected();
     LDAPMessage* raw = nullptr;
-    timeval at_once{0, 0};
-    const int kind = ldap_result(ldap_, message_id_, LDAP_MSG_ALL, &at_once, &raw);
+    timeval no_wait{0, 0};
+    const int kind = ldap_result(ldap_, message_id_, LDAP_MSG_ALL, &no_wait, &raw);
     const Message message(raw);
     if (kind == 0) return;  // not complete yet
     int code = LDAP_OTHER;
@@ -111,9 +111,9 @@
     if (net::connect_error(fd_.get()) != 0) return finish_unavailable();
     io_.watch(fd_.get(), ev::READ);
     const auto url = "ldap://" + owner_.config_.address;
-    // libldap closes the descriptor that it is given: it gets a duplicate.
-    const int own = ::dup(fd_.get());
-    if (own < 0 || ldap_init_fd(own, LDAP_PROTO_TCP, url.c_str(), &ldap_) != LDAP_SUCCESS)
+    // libldap closes the descriptor passed to it, so it is passed a duplicate.
+    const int duplicate = ::dup(fd_.get());
+    if (duplicate < 0 || ldap_init_fd(duplicate, LDAP_PROTO_TCP, url.c_str(), &ldap_) != LDAP_SUCCESS)
       return finish_unavailable();
     const int version = LDAP_VERSION3;
     ldap_set_option(ldap_, LDAP_OPT_PROTOCOL_VERSION, &version);
@@ -123,9 +123,9 @@
   }
 
   void bind(const std::string& dn, std::string password, Stage stage) {
-    berval secret{password.size(), password.data()};
+    berval credentials{password.size(), password.data()};
     stage_ = stage;
-    if (ldap_sasl_bind(ldap_, dn.c_str(), LDAP_SASL_SIMPLE, &secret, nullptr, nullptr, &message_id_) !=
+    if (ldap_sasl_bind(ldap_, dn.c_str(), LDAP_SASL_SIMPLE, &credentials, nullptr, nullptr, &message_id_) !=
         LDAP_SUCCESS)
       finish_unavailable();
   }
@@ -141,7 +141,7 @@
       finish_unavailable();
   }
 
-  // An entry that is not the only one grants nothing.
+  // Denies access unless exactly one entry matches.
   void on_entry(LDAPMessage* message) {
     if (ldap_count_entries(ldap_, message) != 1) return finish(LookupResult::Kind::denied);
     LDAPMessage* entry = ldap_first_entry(ldap_, message);
@@ -157,7 +157,7 @@
 
   LdapDirectory& owner_;
   std::string user_, password_;
-  LookupHandler done_;
+  LookupHandler handler_;
   core::Time deadline_;
   net::IoWatch io_;
   net::Fd fd_;
@@ -170,14 +170,14 @@
 LdapDirectory::LdapDirectory(ev::loop_ref loop, const config::Directory& config, const config::Names& names)
     : loop_(loop), config_(config), names_(names), salt_(32, '\0') {
   RAND_bytes(reinterpret_cast<unsigned char*>(salt_.data()), static_cast<int>(salt_.size()));
-  // The library reads its own files at its first use: before anything is served.
+  // libldap reads its configuration files at its first use, which is made here, before requests are served.
   ldap_set_option(nullptr, LDAP_OPT_REFERRALS, LDAP_OPT_OFF);
 }
 
 LdapDirectory::~LdapDirectory() = default;
 
-// Passwords are not cached, only a salted digest.
-std::string LdapDirectory::key(const std::string& user, const std::string& password) const {
+// A salted digest, so that the cache holds no passwords.
+std::string LdapDirectory::cache_key(const std::string& user, const std::string& password) const {
   const auto text = salt_ + std::to_string(user.size()) + ":" + user + password;
   std::array<unsigned char, EVP_MAX_MD_SIZE> out{};
   unsigned size = 0;
@@ -185,37 +185,38 @@
   return {reinterpret_cast<const char*>(out.data()), size};
 }
 
-void LdapDirectory::look_up(const std::string& user, const std::string& password, LookupHandler done) {
-  // A bind with a name and no password is one as nobody (RFC 4513, 5.1.2), and always succeeds.
-  if (user.empty() || password.empty()) return done({LookupResult::Kind::denied, {}});
-  if (const auto found = cache_.find(key(user, password));
-      found != cache_.end() && now_ < found->second.until)
-    return done(found->second.verdict);
-  if (lookups_.size() >= kMaxConcurrentLookups) return done({LookupResult::Kind::unavailable, {}});
-  lookups_.push_back(std::make_unique<UserLookup>(*this, user, password, std::move(done)));
+void LdapDirectory::look_up(const std::string& user, const std::string& password, LookupHandler handler) {
+  // A bind with a name and an empty password is an unauthenticated bind (RFC 4513, 5.1.2): it always
+  // succeeds.
+  if (user.empty() || password.empty()) return handler({LookupResult::Kind::denied, {}});
+  if (const auto found = cache_.find(cache_key(user, password));
+      found != cache_.end() && now_ < found->second.expires_at)
+    return handler(found->second.result);
+  if (lookups_.size() >= kMaxConcurrentLookups) return handler({LookupResult::Kind::unavailable, {}});
+  lookups_.push_back(std::make_unique<UserLookup>(*this, user, password, std::move(handler)));
   auto& lookup = *lookups_.back();
-  if (!lookup.start()) answer(lookup, {LookupResult::Kind::unavailable, {}});
+  if (!lookup.start()) finish_lookup(lookup, {LookupResult::Kind::unavailable, {}});
 }
 
-void LdapDirectory::answer(UserLookup& lookup, const LookupResult& verdict) {
-  const auto at = std::ranges::find(lookups_, &lookup, &std::unique_ptr<UserLookup>::get);
-  if (at == lookups_.end()) return;
+void LdapDirectory::finish_lookup(UserLookup& lookup, const LookupResult& result) {
+  const auto found = std::ranges::find(lookups_, &lookup, &std::unique_ptr<UserLookup>::get);
+  if (found == lookups_.end()) return;
   lookup.stop();
-  finished_.push_back(std::move(*at));
-  lookups_.erase(at);
-  if (verdict.kind == LookupResult::Kind::granted) {
-    if (cache_.size() >= kMaxCachedVerdicts) cache_.clear();
-    cache_[key(lookup.user(), lookup.password())] = {verdict, now_ + config_.cache};
+  finished_.push_back(std::move(*found));
+  lookups_.erase(found);
+  if (result.kind == LookupResult::Kind::granted) {
+    if (cache_.size() >= kMaxCachedResults) cache_.clear();
+    cache_[cache_key(lookup.user(), lookup.password())] = {result, now_ + config_.cache};
   }
-  lookup.take_done()(verdict);
+  lookup.take_handler()(result);
 }
 
 void LdapDirectory::tick(core::Time now) {
   now_ = now;
   finished_.clear();
-  // In the order of their begin, and so of their deadlines.
+  // Lookups are ordered by their start, and therefore by their deadlines.
   while (!lookups_.empty() && lookups_.front()->deadline() <= now)
-    answer(*lookups_.front(), {LookupResult::Kind::unavailable, {}});
+    finish_lookup(*lookups_.front(), {LookupResult::Kind::unavailable, {}});
 }
 
 }  // namespace bellstair::directory
--- a/src/directory/ldap_directory.hpp
+++ b/src/directory/ldap_directory.hpp
@@ -1,5 +1,5 @@
-// Users and their tenants in an LDAP directory: a search for the user's entry, then a bind with the user's
-// own password. Nothing here blocks the loop; granting verdicts are cached.
+// Looks up users and their tenants in an LDAP directory: searches for the user's entry, then binds with the
+// user's own password. Never blocks the event loop; results that grant access are cached.
 #pragma once
 
 #include <ev++.h>
@@ -17,7 +17,7 @@
 
 namespace bellstair::directory {
 
-// Escapes a value by RFC 4515, so that it can't change the meaning of a filter.
+// Escapes a value as RFC 4515 requires, so that it can't change the meaning of a filter.
 [[nodiscard]] std::string escape_filter(std::string_view value);
 
 class LdapDirectory {
@@ -25,27 +25,28 @@
   LdapDirectory(ev::loop_ref loop, const config::Directory& config, const config::Names& names);
   ~LdapDirectory();
 
-  // Calls `done` exactly once: from here if the verdict is cached or the directory can't be asked, else from
-  // the event loop.
-  void look_up(const std::string& user, const std::string& password, LookupHandler done);
+  // Calls `handler` exactly once: from within this call if the result is cached or no lookup can be started,
+  // else from the event loop.
+  void look_up(const std::string& user, const std::string& password, LookupHandler handler);
   void tick(core::Time now);  // ends lookups whose deadline has passed
 
  private:
   class UserLookup;
-  struct CachedVerdict {
-    LookupResult verdict;
-    core::Time until{};
+  struct CachedResult {
+    LookupResult result;
+    core::Time expires_at{};
   };
-  void answer(UserLookup& lookup, const LookupResult& verdict);
-  [[nodiscard]] std::string key(const std::string& user, const std::string& password) const;
+  void finish_lookup(UserLookup& lookup, const LookupResult& result);
+  [[nodiscard]] std::string cache_key(const std::string& user, const std::string& password) const;
 
   ev::loop_ref loop_;
   const config::Directory& config_;
   const config::Names& names_;
   std::string salt_;
-  std::unordered_map<std::string, CachedVerdict> cache_;
+  std::unordered_map<std::string, CachedResult> cache_;
   std::list<std::unique_ptr<UserLookup>> lookups_;
-  std::vector<std::unique_ptr<UserLookup>> finished_;  // destroyed by tick(): they may be on the call stack
+  std::vector<std::unique_ptr<UserLookup>>
+      finished_;  // destroyed by tick(), since they may be on the call stack
   core::Time now_{};
 };
 
--- a/src/directory/lookup_result.hpp
+++ b/src/directory/lookup_result.hpp
@@ -1,4 +1,4 @@
-// What a directory of users says of one of them.
+// The result of looking up a user in a directory.
 #pragma once
 
 #include <functional>
@@ -8,10 +8,11 @@
 
 struct LookupResult {
   enum class Kind { granted, denied, unavailable } kind = Kind::denied;
-  std::string tenant;  // its name: positions change with the settings
+  std::string tenant;  // by name, since a tenant's index changes with the settings
 };
-// `done` is called exactly once, now or later.
+// Called exactly once, from within the lookup or later.
 using LookupHandler = std::function<void(LookupResult)>;
-using Lookup = std::function<void(const std::string& user, const std::string& password, LookupHandler done)>;
+using Lookup =
+    std::function<void(const std::string& user, const std::string& password, LookupHandler handler)>;
 
 }  // namespace bellstair::directory
