--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// Codecs: pure, strict, and never the worse for bad input.
+// Tests the codecs and the reading of SQL: valid input round-trips, invalid input is rejected.
 #include <gtest/gtest.h>
 
 #include "mysql/command.hpp"
@@ -17,7 +17,7 @@
 namespace {
 using namespace std::string_literals;
 
-TEST(Sql, TheGroupOfTablesIsTheSchemasNumber) {
+TEST(Sql, TakesDataGroupFromSchemaNumber) {
   EXPECT_EQ(sql::table_group("SELECT a FROM sales_17.orders"), 17);
   EXPECT_EQ(sql::table_group("INSERT INTO `sales_4`.`orders` SELECT * FROM staging.rows_9"), 4);
   EXPECT_EQ(sql::table_group("INSERT INTO staging.x_1 SELECT 1 FROM sales_8.t"), 8);
@@ -26,10 +26,10 @@
   EXPECT_EQ(sql::table_group("SELECT t_2.id FROM sales_7.orders t_2"), 7);
   EXPECT_EQ(sql::table_group("SELECT 'it''s \\' sales_3.x', \"sales_4.y\" FROM \"sales_9\".\"x\""), 9);
   EXPECT_EQ(sql::table_group("SELECT 1"), 0);
-  EXPECT_EQ(sql::table_group("SELECT 'unended from sales_3.x"), 0);
+  EXPECT_EQ(sql::table_group("SELECT 'unterminated from sales_3.x"), 0);
 }
 
-TEST(Sql, ValuesBecomeLiteralsOnlyWhereTheyAreBound) {
+TEST(Sql, ReplacesOnlyPlaceholdersWithLiterals) {
   const std::vector<sql::Value> values{"it's\\"s, std::int64_t{-5}, sql::Null{}, sql::Bytes{"\x01\xff"}};
   EXPECT_EQ(sql::with_literals("SELECT '?', ? /* ? */, ?, ?, ?", values),
             "SELECT '?', 'it''s\\\\' /* ? */, -5, NULL, x'01ff'");
@@ -39,14 +39,14 @@
   EXPECT_FALSE(sql::unpack(sql::pack(values).substr(0, 9)));
 }
 
-TEST(Base64, IsStrict) {
+TEST(Base64, RoundTripsAndRejectsInvalidText) {
   for (const auto& text : {""s, "a"s, "ab"s, "abc"s, "\0\xff\n"s})
     EXPECT_EQ(platform::from_base64(platform::to_base64(text)), text);
-  for (const auto* bad : {"a", "ab=", "a===", "ab=c", " YWJj", "YWJj\n", "YW*j"})
-    EXPECT_FALSE(platform::from_base64(bad)) << bad;
+  for (const auto* invalid : {"a", "ab=", "a===", "ab=c", " YWJj", "YWJj\n", "YW*j"})
+    EXPECT_FALSE(platform::from_base64(invalid)) << invalid;
 }
 
-TEST(Http, AnAnswerMayComeInPieces) {
+TEST(Http, ReadsResponseByteByByte) {
   const auto whole =
       "HTTP/1.1 200 OK\r\nResult-Pages: 3\r\nX-Meter: a:1;b:x;c:0.5\r\nContent-Length: 4\r\n\r\na\tb\n"s;
   platform::HttpReader reader(100);
@@ -59,29 +59,30 @@
   EXPECT_EQ(answer.status, 200U);
   EXPECT_EQ(answer.number("result-pages"), 3);
   EXPECT_EQ(answer.body, "a\tb\n");
-  const auto meter = platform::parse_load_report(answer.header("x-meter"));
-  EXPECT_EQ(meter.size(), 2U);
-  EXPECT_EQ(meter.at("c"), 0.5);
+  const auto load_report = platform::parse_load_report(answer.header("x-meter"));
+  EXPECT_EQ(load_report.size(), 2U);
+  EXPECT_EQ(load_report.at("c"), 0.5);
 }
 
-TEST(Http, InterimAnswersArePassedByAndWhatComesAfterTheAnswerEndsTheConnection) {
-  const auto kGood = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"s;
-  for (const auto& [bytes, keep] : {std::pair(kGood, true),
-                                    {"HTTP/1.1 103 x\r\nA: b\r\n\r\nHTTP/1.1 100 x\r\n\r\n" + kGood, true},
-                                    {kGood + "x", false},
-                                    {kGood + kGood, false},
-                                    {"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"s, true}}) {
+TEST(Http, SkipsInterimResponsesAndDetectsExtraBytes) {
+  const auto kValid = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"s;
+  for (const auto& [bytes, keep_alive] :
+       {std::pair(kValid, true),
+        {"HTTP/1.1 103 x\r\nA: b\r\n\r\nHTTP/1.1 100 x\r\n\r\n" + kValid, true},
+        {kValid + "x", false},
+        {kValid + kValid, false},
+        {"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"s, true}}) {
     platform::HttpReader reader(100);
     EXPECT_TRUE(reader.feed(bytes));
     ASSERT_TRUE(reader.complete()) << bytes;
     const auto answer = reader.take();
     EXPECT_GE(answer.status, 200U);
-    EXPECT_EQ(answer.keep_alive, keep) << bytes;
+    EXPECT_EQ(answer.keep_alive, keep_alive) << bytes;
   }
 }
 
-TEST(Http, WhatIsNoAnswerOrTooLargeOrTooMuchIsTold) {
-  for (const auto& bad :
+TEST(Http, RejectsInvalidTruncatedAndOversizedResponses) {
+  for (const auto& invalid :
        {"nonsense\r\n\r\n"s, "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n"s + std::string(101, 'x'),
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"s,
         [] {
@@ -91,15 +92,15 @@
         }(),
         "HTTP/1.1 200 OK\r\nA: " + std::string(20000, 'x')}) {
     platform::HttpReader reader(100);
-    EXPECT_FALSE(reader.feed(bad)) << bad.substr(0, 40);
+    EXPECT_FALSE(reader.feed(invalid)) << invalid.substr(0, 40);
   }
-  platform::HttpReader cut(100);
-  EXPECT_TRUE(cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"));
-  EXPECT_FALSE(cut.finish());  // cut half-way is no answer
+  platform::HttpReader truncated(100);
+  EXPECT_TRUE(truncated.feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"));
+  EXPECT_FALSE(truncated.finish());  // a truncated response is not complete
 }
 
-// Bytes as the protocol's documentation prints them.
-TEST(MysqlPackets, KnownBytesAreReadAndWritten) {
+// The byte sequences are the examples of the MySQL protocol's documentation.
+TEST(MysqlPackets, ReadsAndWritesDocumentedExamples) {
   EXPECT_EQ(mysql::frame(1, mysql::write_ok()), "\x07\x00\x00\x01\x00\x00\x00\x02\x00\x00\x00"s);
   EXPECT_EQ(mysql::frame(5, mysql::write_eof()), "\x05\x00\x00\x05\xfe\x00\x00\x02\x00"s);
   EXPECT_EQ(mysql::write_error({1096, "HY000", "No tables used"}), "\xff\x48\x04#HY000No tables used"s);
@@ -117,7 +118,7 @@
   EXPECT_EQ(mysql::native_answer("secret", std::string(20, 'n')).size(), 20U);
 }
 
-TEST(MysqlPackets, SignsDatesAndFloatsOfBinaryValuesAreKept) {
+TEST(MysqlPackets, DecodesBinaryIntegersFloatsDatesAndTimes) {
   const auto row = "\x00\x00\xff"s + "\x00\x00\xc0\x3f"s + "\x04\xda\x07\x0a\x11"s +
                    "\x08\x01\x01\x00\x00\x00\x13\x1b\x1e"s;
   const auto cells = mysql::read_binary_row(row, {0x01, 0x04, 0x0a, 0x0b});
@@ -127,8 +128,8 @@
   EXPECT_EQ(cells[3], "-43:27:30");
 }
 
-// Every prefix of a good packet is malformed, and none is more than that.
-TEST(MysqlPackets, CutPacketsAreMalformed) {
+// Every proper prefix of a valid packet must throw Malformed.
+TEST(MysqlPackets, RejectsTruncatedPackets) {
   mysql::Execute execute{3, {"abc"s, std::int64_t{7}, sql::Null{}}, {{"class", "lookup"s}}};
   const auto packet = mysql::write_execute(execute, true);
   for (std::size_t size = 0; size < packet.size(); ++size) {
@@ -147,7 +148,7 @@
   EXPECT_THROW(static_cast<void>(reader.next()), mysql::Malformed);
 }
 
-TEST(MysqlResults, RowsSurviveTheirWayAsText) {
+TEST(MysqlResults, RowsRoundTripThroughText) {
   const std::vector<std::vector<mysql::Cell>> rows{{"a\tb"s, std::nullopt, "\\N"s}, {""s, "x\ny"s, "\0"s}};
   std::string body;
   for (const auto& row : rows) mysql::append_row(body, row);
@@ -155,7 +156,7 @@
   EXPECT_EQ(mysql::read_rows("a\\t\tb\n", false), (std::vector<std::vector<mysql::Cell>>{{"a\\t"s, "b"s}}));
 }
 
-TEST(MysqlMapping, ClassKeysAndLimitsComeFromCommentsAndAttributes) {
+TEST(MysqlMapping, ReadsOptionsFromCommentsAndAttributes) {
   policy::Settings settings;
   policy::ClassSettings lookup, load;
   lookup.name = "lookup";
@@ -167,8 +168,8 @@
   config::Names names;
   names.classes = {{"lookup", 0}, {"load", 1}};
   const auto map = [&](const char* text, const std::vector<sql::Value>& values = {},
-                       const std::vector<mysql::Attribute>& more = {}) {
-    return mysql::map_statement(text, values, more, 3, names, settings);
+                       const std::vector<mysql::Attribute>& attributes = {}) {
+    return mysql::map_statement(text, values, attributes, 3, names, settings);
   };
   const auto plain = map("SELECT a FROM sales_17.orders");
   EXPECT_EQ(plain.cls, 0);
@@ -182,19 +183,19 @@
   EXPECT_EQ(full.idempotency_key, "k-1");
   EXPECT_EQ(full.ordering_key, 255U);
   EXPECT_EQ(full.time_limit, std::chrono::milliseconds(700));
-  for (const auto* bad :
+  for (const auto* invalid :
        {"INSERT INTO a_1.b VALUES (1)", "/* bellstair: class=load */ INSERT INTO a_1.b VALUES (1)",
         "/* bellstair: class=none */ SELECT 1", "/* bellstair: what=1 */ SELECT 1",
         "/* bellstair: limit=x */ SELECT 1", "/* bellstair: item=?1 */ SELECT 1"})
-    EXPECT_THROW(static_cast<void>(map(bad)), mysql::Refusal) << bad;
+    EXPECT_THROW(static_cast<void>(map(invalid)), mysql::Refusal) << invalid;
 }
 
-// A change log that refused a hundred brokers was asked by all of them in the same moment, ten times a second
-// each.
-TEST(Backoff, AHundredBrokersComeBackSeldomAndNotInStep) {
+// Guards against retries in step: a hundred brokers that a change log had rejected all polled it again at the
+// same moment, ten times a second each.
+TEST(Backoff, SpreadsRetriesOfAHundredBrokers) {
   using namespace std::chrono_literals;
-  std::map<std::int64_t, int> tries;  // by 50 ms, of all
-  int late = 0;
+  std::map<std::int64_t, int> retries;  // of all brokers, per 50 ms
+  int late_retries = 0;
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     net::Backoff backoff(100ms, 800ms, seed);
     core::Time now{}, last{};
@@ -202,15 +203,15 @@
       now += backoff.after_failure();
       EXPECT_LE(now - last, 800ms);
       last = now;
-      ++tries[now / 50ms];
-      late += now > 2s ? 1 : 0;
+      ++retries[now / 50ms];
+      late_retries += now > 2s ? 1 : 0;
     }
     backoff.succeeded();
     EXPECT_LE(backoff.after_failure(), 100ms);
   }
-  EXPECT_LT(late, 700) << "some two a second from each";
-  for (const auto& [at, count] : tries)
-    EXPECT_LT(count, at < 2 ? 101 : at < 12 ? 60 : 30) << at * 50 << " ms";
+  EXPECT_LT(late_retries, 700) << "more than about two retries a second from each broker";
+  for (const auto& [interval, count] : retries)
+    EXPECT_LT(count, interval < 2 ? 101 : interval < 12 ? 60 : 30) << interval * 50 << " ms";
 }
 
 }  // namespace
