--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -1,4 +1,4 @@
-// The program on its sockets, between clients, engines and a change log of the platform's kind.
+// Tests the program as a process, with clients, engines and a change log that use the platform's protocols.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -8,14 +8,14 @@
 
 const std::string kSelect = "SELECT a FROM sales_17.orders";
 
-bool is(const Call& call, const char* method) { return call.method == method; }
-bool polls(const Call& call) { return call.method == "GET" && call.path.find("/0") != std::string::npos; }
+bool has_method(const Call& call, const char* method) { return call.method == method; }
+bool is_poll(const Call& call) { return call.method == "GET" && call.path.find("/0") != std::string::npos; }
 
-TEST(Platform, AQueryIsAskedForToItsEndAndItsPagesComeInOrder) {
-  std::atomic<int> asked = 0;
+TEST(Platform, PollsQueryAndReturnsItsPagesInOrder) {
+  std::atomic<int> polls = 0;
   HttpEngine engine([&](const Call& call) -> std::optional<std::string> {
-    if (is(call, "POST") || (polls(call) && ++asked < 3)) return http(202);
-    if (polls(call)) return rows("a\tb\tc\n", 3);
+    if (has_method(call, "POST") || (is_poll(call) && ++polls < 3)) return http(202);
+    if (is_poll(call)) return rows("a\tb\tc\n", 3);
     const auto page = call.path.substr(call.path.rfind('/') + 1);
     return http(200, page + "\t\xc3\xa9\t\n", "Result-Page: " + page + "\r\n");
   });
@@ -25,7 +25,7 @@
   const auto answer = client.answer();
   EXPECT_EQ(answer["id"], 7);
   EXPECT_EQ(body(answer), "a\tb\tc\n1\t\xc3\xa9\t\n2\t\xc3\xa9\t\n");
-  const auto post = engine.calls.wait([](const Call& c) { return is(c, "POST"); });
+  const auto post = engine.calls.wait([](const Call& c) { return has_method(c, "POST"); });
   EXPECT_EQ(post.body, kSelect);
   EXPECT_EQ(post.headers.at("X-Ticket"), "9b1f03aa5c7e2d41");
   EXPECT_EQ(post.headers.at("X-Queue"), "load");
@@ -33,75 +33,78 @@
   EXPECT_LE(std::stoi(post.headers.at("X-Max-Ms")), 15000);
 }
 
-TEST(Platform, WhatTheModuleGivesUpIsRefusedAtOnceWithATimeToStayAway) {
+TEST(Platform, RejectsAtOnceWithRetryDelayWhenEnginesReject) {
   HttpEngine engine([](const Call&) { return http(503, {}, "X-Shed: 1\r\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.ask(1, "lookup", kSelect, {{"limit", 20000}});
   const auto before = std::chrono::steady_clock::now();
   const auto error = client.answer()["error"];
-  EXPECT_LT(std::chrono::steady_clock::now() - before, 10s);  // long before its deadline
+  EXPECT_LT(std::chrono::steady_clock::now() - before, 10s);  // long before its time limit
   EXPECT_EQ(error["code"], -32066);
   EXPECT_EQ(error["data"]["later"], 500);
 }
 
-TEST(Platform, ALostConnectionAfterTheStatementIsNeverReplayedForAnUnsafeClass) {
+TEST(Platform, DoesNotRetryUnsafeRequestAfterConnectionLoss) {
   HttpEngine engine([](const Call&) { return std::nullopt; });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.ask(1, "once", "UPDATE sales_17.orders SET a = 1");
   const auto error = client.answer()["error"];
-  EXPECT_NE(error["code"], -32066);  // a refusal would promise that nothing ran
+  EXPECT_NE(error["code"], -32066);  // a rejection would guarantee that nothing ran
   EXPECT_EQ(engine.posts(), 1U);
 }
 
-TEST(Platform, AResetEngineIsLeftForAnotherAndAKeyedRequestKeepsItsKey) {
+TEST(Platform, RetriesKeyedRequestOnOtherEngineWithSameKey) {
   std::atomic<int> posts = 0;
   const auto answer = [&](const Call& call) -> std::optional<std::string> {
-    if (is(call, "POST") && posts++ == 0) return std::nullopt;  // whichever comes first
-    if (!is(call, "POST")) return http(500);                    // and it does not know the query
+    if (has_method(call, "POST") && posts++ == 0) return std::nullopt;  // the first engine that is called
+    if (!has_method(call, "POST")) return http(500);                    // it does not know the query
     return rows("x\ty\tz\n");
   };
   HttpEngine one(answer), two(answer);
-  // Nothing proves the first over: a second one stands beside it.
+  // Nothing proves that the first attempt has ended, so the retry needs hedging.
   Broker broker({{"s-00000001", one.server.address()}, {"s-00000002", two.server.address()}}, {}, 0,
                 {{"ceilings", {{"second-copies", true}}}});
   Client client(broker.address);
   client.ask(1, "load", "UPDATE sales_17.orders SET a = 1", {{"unique", "abc123"}});
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
-  const auto keyed = [](const Call& c) { return is(c, "POST") && c.headers.at("X-Nonce") == "abc123"; };
+  const auto keyed = [](const Call& c) {
+    return has_method(c, "POST") && c.headers.at("X-Nonce") == "abc123";
+  };
   EXPECT_EQ(one.calls.count(keyed), 1U);
   EXPECT_EQ(two.calls.count(keyed), 1U);
 }
 
-TEST(Platform, AfterACancelNothingIsOwedAndTheEngineIsTold) {
-  HttpEngine engine([](const Call& call) { return http(is(call, "DELETE") ? 204 : 202); });
+TEST(Platform, CancelDeletesQueryAndIsNotAnswered) {
+  HttpEngine engine([](const Call& call) { return http(has_method(call, "DELETE") ? 204 : 202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
-  engine.calls.wait(polls);
+  engine.calls.wait(is_poll);
   client.socket.send(R"({"jsonrpc":"2.0","method":"cancel","params":{"id":1}})"
                      "\n");
-  engine.calls.wait([](const Call& c) { return is(c, "DELETE") && c.path == "/v1/store/9b1f03aa5c7e2d41"; });
-  EXPECT_TRUE(client.green());  // the next line on the connection answers this, not the query
+  engine.calls.wait(
+      [](const Call& c) { return has_method(c, "DELETE") && c.path == "/v1/store/9b1f03aa5c7e2d41"; });
+  EXPECT_TRUE(client.green());  // the next line answers the health call, not the query
 }
 
-TEST(Platform, ACancelUnderTheRequestsOwnIdGetsNoAnswer) {
-  HttpEngine engine([](const Call& call) { return http(is(call, "DELETE") ? 204 : 202); });
+TEST(Platform, DoesNotAnswerCancelUnderIdOfRequest) {
+  HttpEngine engine([](const Call& call) { return http(has_method(call, "DELETE") ? 204 : 202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.ask(7, "lookup", kSelect);
-  engine.calls.wait(polls);
+  engine.calls.wait(is_poll);
   for (int i = 0; i < 2; ++i)
     client.socket.send(R"({"jsonrpc":"2.0","id":7,"method":"cancel"})"
                        "\n");
-  engine.calls.wait([](const Call& c) { return is(c, "DELETE"); });
+  engine.calls.wait([](const Call& c) { return has_method(c, "DELETE"); });
   EXPECT_TRUE(client.green());
 }
 
-TEST(Platform, AnAnswerThatCannotBeCompletedIsNeverServedInPart) {
+TEST(Platform, DoesNotServeIncompleteResult) {
   HttpEngine engine([](const Call& call) {
-    return is(call, "POST") ? rows("a\tb\tc\n", 2) : http(500);  // its pages are lost
+    return has_method(call, "POST") ? rows("a\tb\tc\n", 2) : http(500);  // its other pages are lost
   });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
@@ -109,7 +112,7 @@
   EXPECT_TRUE(client.answer().contains("error"));
 }
 
-TEST(Platform, ADrainingEngineGetsNothingNew) {
+TEST(Platform, SendsNoNewQueryToDrainingEngine) {
   HttpEngine one([](const Call&) { return rows("1\t1\t1\n"); });
   HttpEngine two([](const Call&) { return rows("2\t2\t2\n"); });
   Broker broker({{"s-00000001", one.server.address()}});
@@ -126,29 +129,31 @@
   EXPECT_EQ(one.posts(), 1U);
 }
 
-// Sizes of a whole fleet, with no limit on either list below that.
-TEST(Platform, AThousandBrokersAndAThousandEnginesAreServedAndTheirChangesFollowed) {
-  constexpr int kSize = 1024;
-  HttpEngine many([](const Call&) { return rows("1\t1\t1\n"); });
-  HttpEngine other([](const Call&) { return rows("2\t2\t2\n"); });
+// Guards against a limit on the number of brokers or engines that is too low for a large fleet.
+TEST(Platform, SupportsAThousandBrokersAndEngines) {
+  constexpr int kFleetSize = 1024;
+  HttpEngine first_engine([](const Call&) { return rows("1\t1\t1\n"); });
+  HttpEngine second_engine([](const Call&) { return rows("2\t2\t2\n"); });
   const auto id = [](int n) {
     char text[16];
     std::snprintf(text, sizeof text, "s-%08x", n);
     return std::string(text);
   };
   std::vector<std::pair<std::string, std::string>> engines;
-  for (int n = 1; n <= kSize; ++n) engines.emplace_back(id(n), many.server.address());
-  Broker broker(engines, {}, 0, {{"balancers", kSize}, {"me", kSize - 1}});
+  for (int n = 1; n <= kFleetSize; ++n) engines.emplace_back(id(n), first_engine.server.address());
+  Broker broker(engines, {}, 0, {{"balancers", kFleetSize}, {"me", kFleetSize - 1}});
   Client client(broker.address);
   EXPECT_TRUE(client.green());
   for (int n = 1; n <= 50; ++n) {
     client.ask(n, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
   }
-  json news = json::array();
-  for (int n = 1; n <= kSize; ++n) news.push_back(server(id(n), many.server.address(), "terminating"));
-  for (int n = 1; n <= kSize; ++n) news.push_back(server(id(kSize + n), other.server.address()));
-  broker.changes.push(news);
+  json update = json::array();
+  for (int n = 1; n <= kFleetSize; ++n)
+    update.push_back(server(id(n), first_engine.server.address(), "terminating"));
+  for (int n = 1; n <= kFleetSize; ++n)
+    update.push_back(server(id(kFleetSize + n), second_engine.server.address()));
+  broker.changes.push(update);
   broker.changes.wait_until_told();
   for (int n = 51; n <= 100; ++n) {
     client.ask(n, "lookup", kSelect);
@@ -156,14 +161,14 @@
   }
 }
 
-TEST(Platform, SigtermTurnsHealthRedAndFinishesWhatWasTaken) {
+TEST(Platform, SigtermMakesHealthFalseAndFinishesRequests) {
   std::atomic<bool> done = false;
   HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   EXPECT_TRUE(client.green());
   client.ask(1, "lookup", kSelect);
-  engine.calls.wait(polls);
+  engine.calls.wait(is_poll);
   broker.program->signal(SIGTERM);
   broker.program->said("phase: draining");
   Client late(broker.address);  // still accepted, and served
@@ -175,7 +180,7 @@
   EXPECT_EQ(broker.program->wait(), 0);
 }
 
-TEST(Platform, SighupFollowsTheChangeLogAndKeepsWhatWasTaken) {
+TEST(Platform, SighupChangesChangeLogAndKeepsRequests) {
   std::atomic<bool> done = false;
   HttpEngine one([&](const Call&) { return done ? rows("1\t1\t1\n") : http(202); });
   HttpEngine two([](const Call&) { return rows("2\t2\t2\n"); });
@@ -183,34 +188,34 @@
   broker.changes.wait_until_told();
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
-  one.calls.wait(polls);
-  ChangeLog moved;  // numbering continues there
-  moved.push({server("s-00000001", one.server.address())}, true);
-  broker.config["changelog"] = moved.address();
+  one.calls.wait(is_poll);
+  ChangeLog other_log;  // with the same numbering of events
+  other_log.push({server("s-00000001", one.server.address())}, true);
+  broker.config["changelog"] = other_log.address();
   broker.config["peers_all"] = "127.0.0.1:9";
   for (int i = 0; i < 3; ++i) broker.reload(broker.config.dump());
-  moved.wait_until_told();
+  other_log.wait_until_told();
   broker.program->said("a restart: peers_all");
-  moved.push({server("s-00000001", one.server.address(), "terminating"),
-              server("s-00000002", two.server.address())});
-  moved.wait_until_told();
+  other_log.push({server("s-00000001", one.server.address(), "terminating"),
+                  server("s-00000002", two.server.address())});
+  other_log.wait_until_told();
   client.ask(2, "lookup", kSelect, {{"txn", "00000000000000aa"}});
   EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
   done = true;
   EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
 }
 
-TEST(Platform, SighupWithABadFileChangesNothingAndNeitherDoesOneWhileDraining) {
+TEST(Platform, SighupChangesNothingIfFileIsInvalidOrWhileDraining) {
   std::atomic<bool> done = false;
   HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
-  engine.calls.wait(polls);
+  engine.calls.wait(is_poll);
   broker.reload(R"({"listen": "127.0.0.1:0", "changelog": )");
   broker.program->said("the configuration stays as it was: configuration: is not a JSON object");
   broker.changes.push({server("s-00000002", engine.server.address())});
-  broker.changes.wait_until_told();  // still followed
+  broker.changes.wait_until_told();  // changes are still applied
   broker.program->signal(SIGTERM);
   broker.program->said("phase: draining");
   broker.reload(broker.config.dump());
@@ -220,11 +225,11 @@
   EXPECT_EQ(broker.program->wait(), 0);
 }
 
-TEST(Platform, BadInputHarmsNobodyElse) {
+TEST(Platform, InvalidInputDoesNotAffectOtherClients) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
-  Client good(broker.address), bad(broker.address);
-  const std::pair<const char*, int> kBad[] = {
+  Client valid(broker.address), invalid(broker.address);
+  const std::pair<const char*, int> kInvalid[] = {
       {"{", -32700},
       {"[]", -32600},
       {R"({"jsonrpc":"2.0","id":-1,"method":"lookup"})", -32600},
@@ -233,87 +238,89 @@
        -32602},
       {R"({"jsonrpc":"2.0","id":1,"method":"lookup","params":{"txn":"9b1f03aa5c7e2d41","limit":9,"data":"*"}})",
        -32602}};
-  for (const auto& [line, code] : kBad) {
-    bad.socket.send(std::string(line) + "\n");
-    EXPECT_EQ(bad.answer()["error"]["code"], code) << line;
+  for (const auto& [line, code] : kInvalid) {
+    invalid.socket.send(std::string(line) + "\n");
+    EXPECT_EQ(invalid.answer()["error"]["code"], code) << line;
   }
-  bad.socket.send(std::string(300 * 1024, 'x'));
-  EXPECT_TRUE(bad.socket.ended());
-  good.ask(1, "lookup", kSelect);
-  EXPECT_EQ(body(good.answer()), "x\ty\tz\n");
+  invalid.socket.send(std::string(300 * 1024, 'x'));
+  EXPECT_TRUE(invalid.socket.ended());
+  valid.ask(1, "lookup", kSelect);
+  EXPECT_EQ(body(valid.answer()), "x\ty\tz\n");
 }
 
-// What is said to a client that still sends must not be reset away with what it sent.
-TEST(Platform, AnEndlessLineGetsAnErrorThatItsClientCanRead) {
+// Guards against closing a connection with unread input: the reset would discard the error before the client
+// has read it.
+TEST(Platform, ClientCanReadErrorAfterOverlongLine) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
-  Client bad(broker.address);
-  ASSERT_TRUE(bad.socket.send(std::string(std::size_t{8} << 20, 'x')));
-  EXPECT_EQ(bad.answer()["error"]["code"], -32600);
-  EXPECT_TRUE(bad.socket.ended());
+  Client invalid(broker.address);
+  ASSERT_TRUE(invalid.socket.send(std::string(std::size_t{8} << 20, 'x')));
+  EXPECT_EQ(invalid.answer()["error"]["code"], -32600);
+  EXPECT_TRUE(invalid.socket.ended());
 }
 
-TEST(Platform, SilentClientsAndHalfRequestsAreSentAwayAndTakeNoUsualClientsPlace) {
+TEST(Platform, ClosesSilentClientsAndServesActiveOnes) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
-  Broker broker({{"s-00000001", engine.server.address()}});  // 256 descriptors: room for 101 clients
-  Client usual(broker.address), half(broker.address), silent(broker.address);
-  usual.ask(1, "lookup", kSelect);
-  EXPECT_EQ(body(usual.answer()), "x\ty\tz\n");
-  half.socket.send(R"({"jsonrpc":"2.0","id":1,"meth)");
-  EXPECT_EQ(half.answer()["error"]["message"], "no whole request came");
-  EXPECT_TRUE(half.socket.ended());
+  Broker broker({{"s-00000001", engine.server.address()}});  // 256 descriptors suffice for 101 clients
+  Client active(broker.address), incomplete(broker.address), silent(broker.address);
+  active.ask(1, "lookup", kSelect);
+  EXPECT_EQ(body(active.answer()), "x\ty\tz\n");
+  incomplete.socket.send(R"({"jsonrpc":"2.0","id":1,"meth)");
+  EXPECT_EQ(incomplete.answer()["error"]["message"], "no whole request came");
+  EXPECT_TRUE(incomplete.socket.ended());
   EXPECT_TRUE(silent.socket.ended());
-  std::vector<Client> crowd;
-  for (int i = 0; i < 200; ++i) crowd.emplace_back(broker.address).socket.send("{");
+  std::vector<Client> others;
+  for (int i = 0; i < 200; ++i) others.emplace_back(broker.address).socket.send("{");
   Client late(broker.address);
-  for (auto* client : {&usual, &late}) {
+  for (auto* client : {&active, &late}) {
     client->ask(2, "lookup", kSelect, {{"txn", client == &late ? "00000000000000aa" : "00000000000000bb"}});
     EXPECT_EQ(body(client->answer()), "x\ty\tz\n");
   }
 }
 
-TEST(Platform, ALineThatNestsWithoutEndAndAClientThatNeverLearnsHarmNobody) {
+TEST(Platform, LimitsNestingAndInvalidMessages) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
-  Client deep(broker.address), stubborn(broker.address), good(broker.address);
+  Client deep(broker.address), persistent(broker.address), valid(broker.address);
   deep.socket.send(R"({"jsonrpc":"2.0","id":1,"method":"lookup","params":)" + std::string(200'000, '[') +
                    std::string(200'000, ']') + "}\n");
   EXPECT_TRUE(deep.answer().contains("error"));
-  for (int i = 0; i < 1000; ++i) stubborn.socket.send("{}\n");
-  int told = 0;
-  while (stubborn.socket.more()) told += 1;
-  EXPECT_GT(told, 0);
-  good.ask(1, "lookup", kSelect);
-  EXPECT_EQ(body(good.answer()), "x\ty\tz\n");
+  for (int i = 0; i < 1000; ++i) persistent.socket.send("{}\n");
+  int replies = 0;
+  while (persistent.socket.more()) replies += 1;
+  EXPECT_GT(replies, 0);
+  valid.ask(1, "lookup", kSelect);
+  EXPECT_EQ(body(valid.answer()), "x\ty\tz\n");
 }
 
-// Engines know a query by its id alone, and would answer the second with the rows of the first.
-TEST(Platform, TheIdOfAnOpenRequestIsNotTakenForAnother) {
+// Engines identify a query by its id alone: they would answer the second request with the rows of the first.
+TEST(Platform, RejectsIdOfOpenRequest) {
   HttpEngine engine([](const Call&) { return http(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client one(broker.address), two(broker.address);
   one.ask(1, "lookup", kSelect);
-  engine.calls.wait(polls);
+  engine.calls.wait(is_poll);
   two.ask(1, "lookup", "SELECT b FROM sales_18.orders");
   EXPECT_TRUE(two.answer().contains("error"));
   EXPECT_EQ(engine.posts(), 1U);
 }
 
-// A connection left waiting for want of descriptors would wake the loop for ever.
-TEST(Platform, OutOfDescriptorsItTurnsAwayWhatComesAndServesTheRest) {
+// Guards against leaving a connection unaccepted for lack of descriptors: it would wake the event loop
+// endlessly.
+TEST(Platform, ClosesNewConnectionsWhenOutOfDescriptors) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 24);
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
-  std::vector<Socket> crowd;
-  for (int i = 0; i < 40; ++i) crowd.push_back(Socket::to(broker.address));
-  EXPECT_TRUE(crowd.back().ended());
+  std::vector<Socket> connections;
+  for (int i = 0; i < 40; ++i) connections.push_back(Socket::to(broker.address));
+  EXPECT_TRUE(connections.back().ended());
   client.ask(2, "lookup", kSelect);
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
 }
 
-TEST(Platform, AnEngineThatTalksNonsenseIsAnErrorAndNoMore) {
+TEST(Platform, AnswersWithErrorToInvalidEngineResponse) {
   HttpEngine engine([](const Call&) { return "HTTP/9.9 what\r\n\r\n"; });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
@@ -322,19 +329,19 @@
   EXPECT_TRUE(client.green());
 }
 
-TEST(CommandLine, ABadConfigurationIsOneLineThatNamesTheField) {
-  const std::pair<json, const char*> kBad[] = {
+TEST(CommandLine, ReportsInvalidConfigurationInOneLineWithField) {
+  const std::pair<json, const char*> kInvalid[] = {
       {{{"seed", "xyz"}}, "seed: is not a number in hex digits"},
       {{{"listen", "here"}}, "listen: is not an address with a port"},
       {{{"limits", {{"sockets", -1}}}}, "limits.sockets: is not a whole number"},
       {{{"settings", {{"balancers", 1}}}}, "settings: classes is missing"}};
-  for (const auto& [change, said] : kBad) {
+  for (const auto& [change, message] : kInvalid) {
     json config{
         {"listen", "127.0.0.1:0"}, {"changelog", "127.0.0.1:1"}, {"seed", "1"}, {"settings", settings()}};
     config.update(change);
     const auto file = temporary(config.dump());
     Program program({"check-config", "--config", file});
-    program.said(said);
+    program.said(message);
     EXPECT_NE(program.wait(), 0);
     EXPECT_EQ(program.lines(), 1U);
     ::unlink(file.c_str());
--- a/tests/net/shapes_test.cpp
+++ b/tests/net/shapes_test.cpp
@@ -1,4 +1,5 @@
-// The program under settings of both deployments' shapes, and of shapes that neither has.
+// Tests the program with the settings of both deployments, and with settings that differ from both in their
+// shape: which keys are present, and how many classes, zones and tenants there are.
 #include <gtest/gtest.h>
 
 #include "config/config.hpp"
@@ -14,17 +15,18 @@
 
 struct Shape {
   const char* name;
-  json patch;   // of the harness's settings, which have the first deployment's shape
-  json member;  // of each engine in the list
+  json settings_patch;  // applied to the harness's settings, which are those of the first deployment
+  json engine_patch;    // applied to each engine's entry in the endpoint list
   std::vector<std::string> classes;
-  std::string team, answer_head;
+  std::string tenant, response_headers;
   friend void PrintTo(const Shape& shape, std::ostream* out) { *out << shape.name; }
 };
 
-// The second deployment: two halls, two kinds, three members, a class that must never run twice, no order, no
-// keys; brokers do not talk; reports come with answers, which tell no cost; what is granted is kept.
-Shape lakeshore() {
-  return {"Lakeshore",
+// The second deployment: two zones, two kinds of engines, three tenants, an unsafe class, no ordering, no
+// keyed class and no gossip. Load reports come with answers, which carry no cost. Memory grants are never
+// reduced.
+Shape second_deployment() {
+  return {"SecondDeployment",
           {{"classes", {cls("lookup", "safe"), cls("report", "safe"), cls("catalogue-load", "unsafe")}},
            {"kinds", {"node-16c", "node-12c"}},
            {"zones", {"north-hall", "south-hall"}},
@@ -54,8 +56,13 @@
 std::vector<Shape> shapes() {
   json zones = json::array();
   for (int i = 0; i < 10; ++i) zones.push_back("zone-" + std::to_string(i));
-  return {lakeshore(),
-          {"Tunis", json::object(), json::object(), {"lookup", "load", "once"}, "acme", "Query-Cost: 5\r\n"},
+  return {second_deployment(),
+          {"FirstDeployment",
+           json::object(),
+           json::object(),
+           {"lookup", "load", "once"},
+           "acme",
+           "Query-Cost: 5\r\n"},
           {"OneClass", {{"classes", {cls("all", "safe")}}}, json::object(), {"all"}, "acme", ""},
           {"NoTenants", {{"tenants", nullptr}}, json::object(), {"lookup", "once"}, "", ""},
           {"NoKeyedClass",
@@ -72,7 +79,7 @@
            "acme",
            "X-Meter: x0:1\r\n"},
           {"TenZones", {{"zones", zones}, {"az", 9}}, {{"zone", "zone-4"}}, {"lookup", "load"}, "acme", ""},
-          {"Bare",
+          {"OnlyRequiredKeys",
            {{"tenants", nullptr},
             {"zones", nullptr},
             {"report", nullptr},
@@ -89,24 +96,24 @@
 
 class Shapes : public testing::TestWithParam<Shape> {};
 
-// A single engine serves every class, with all that a request may carry and with nothing that it may leave
-// out.
-TEST_P(Shapes, EveryClassIsServed) {
+// A single engine must serve every class, with all optional parameters of a request and with none.
+TEST_P(Shapes, ServesEveryClass) {
   const auto& shape = GetParam();
   HttpEngine engine([&](const Call& call) -> std::optional<std::string> {
     if (call.method != "POST") return http(500);
-    return http(200, "a\tb\tc\n", "Result-Pages: 1\r\n" + shape.answer_head);
+    return http(200, "a\tb\tc\n", "Result-Pages: 1\r\n" + shape.response_headers);
   });
-  Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, shape.patch, shape.member);
+  Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, shape.settings_patch, shape.engine_patch);
   Client client(broker.address);
   int id = 0;
   for (const auto& name : shape.classes) {
-    for (const bool full : {true, false}) {
-      json more{{"txn", "000000000000000" + std::to_string(++id)}, {"team", nullptr}};
-      if (full)
-        more.update({{"cpu", 820.0}, {"ram", 96}, {"second", 1}, {"unique", "5c0f" + std::to_string(id)}});
-      if (full && !shape.team.empty()) more["team"] = shape.team;
-      client.ask(id, name, "SELECT a FROM sales_17.orders", more);
+    for (const bool with_options : {true, false}) {
+      json parameters{{"txn", "000000000000000" + std::to_string(++id)}, {"team", nullptr}};
+      if (with_options)
+        parameters.update(
+            {{"cpu", 820.0}, {"ram", 96}, {"second", 1}, {"unique", "5c0f" + std::to_string(id)}});
+      if (with_options && !shape.tenant.empty()) parameters["team"] = shape.tenant;
+      client.ask(id, name, "SELECT a FROM sales_17.orders", parameters);
       EXPECT_EQ(body(client.answer()), "a\tb\tc\n") << name;
     }
   }
@@ -114,17 +121,18 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Shapes, testing::ValuesIn(shapes()),
-                         [](const auto& of) { return std::string(of.param.name); });
+                         [](const auto& test) { return std::string(test.param.name); });
 
-std::string refusal(const Shape& shape, const char* pointer, const json& value) {
+// The error that parsing reports with the value at `pointer`; empty: the settings are valid.
+std::string parse_error(const Shape& shape, const char* pointer, const json& value) {
   json config{
       {"listen", "127.0.0.1:0"}, {"changelog", "127.0.0.1:1"}, {"seed", "1"}, {"settings", settings()}};
-  config["settings"].merge_patch(shape.patch);
-  const json::json_pointer at(pointer);
+  config["settings"].merge_patch(shape.settings_patch);
+  const json::json_pointer position(pointer);
   if (value.is_null()) {
-    config[at.parent_pointer()].erase(at.back());
+    config[position.parent_pointer()].erase(position.back());
   } else {
-    config[at] = value;
+    config[position] = value;
   }
   try {
     static_cast<void>(config::parse(config.dump()));
@@ -134,12 +142,12 @@
   return {};
 }
 
-// Of each field: its name as a refusal tells it, values at its bounds that are taken, and values that are
-// not. Null: it is absent.
-TEST(Settings, OfBothShapesAreTakenAtTheirBoundsAndRefusedBeyondWithPlaceAndReason) {
+// Lists for each field its name as errors report it, valid values at its bounds, and invalid values. Null:
+// the field is absent.
+TEST(Settings, AcceptsBoundsAndRejectsOtherValuesWithFieldName) {
   struct Field {
     const char *pointer, *name;
-    std::vector<json> taken, refused;
+    std::vector<json> valid, invalid;
   };
   const std::vector<Field> fields{
       {"/settings/balancers", "gateways", {1, 1024}, {0}},
@@ -187,14 +195,14 @@
   };
   for (const auto& shape : {shapes()[0], shapes()[1]}) {
     for (const auto& field : fields) {
-      for (const auto& value : field.taken)
-        EXPECT_EQ(refusal(shape, field.pointer, value), "")
+      for (const auto& value : field.valid)
+        EXPECT_EQ(parse_error(shape, field.pointer, value), "")
             << shape.name << ' ' << field.pointer << ' ' << value;
-      for (const auto& value : field.refused) {
-        const auto said = refusal(shape, field.pointer, value);
-        EXPECT_NE(said.find(field.name), std::string::npos)
-            << shape.name << ' ' << field.pointer << ' ' << value << ": '" << said << "'";
-        EXPECT_EQ(said.find('\n'), std::string::npos);
+      for (const auto& value : field.invalid) {
+        const auto error = parse_error(shape, field.pointer, value);
+        EXPECT_NE(error.find(field.name), std::string::npos)
+            << shape.name << ' ' << field.pointer << ' ' << value << ": '" << error << "'";
+        EXPECT_EQ(error.find('\n'), std::string::npos);
       }
     }
   }
