--- a/src/directory/ldap_directory.cpp
+++ b/src/directory/ldap_directory.cpp
@@ -1,6 +1,6 @@
 #include "directory/ldap_directory.hpp"
 
-// libldap uses a socket that is created here (openldap.h), so that neither connecting nor waiting blocks.
+// libldap is given a socket that is opened here (openldap.h), so that it never blocks to connect or to wait.
 #include <ldap.h>
 #include <openldap.h>
 #include <openssl/evp.h>
--- a/src/platform/http_engine_client.cpp
+++ b/src/platform/http_engine_client.cpp
@@ -21,8 +21,8 @@
 constexpr core::Time kCallTimeout = 700ms;
 // For deletes, changes of priority and health checks.
 constexpr core::Time kAuxiliaryCallTimeout = 500ms;
-// How long a connection is not reused after a call: a late duplicate of the answer would be taken for the
-// answer to the next call. Equals the protocol's tolerance for time limits.
+// Delay before a connection is used for another call: a late duplicate of an answer would be taken for the
+// answer to that call. Equals the protocol's tolerance for time limits.
 constexpr core::Time kReuseDelay = 50ms;
 constexpr int kMaxReconnects = 2;
 constexpr int kHealthCheckRetries = 1;  // if the connection broke
@@ -288,8 +288,8 @@
                                 : end_possibly_running(id, AttemptEnd::cancelled);
 }
 
-// Once a byte of a statement has been sent, the statement may have run, and this attempt never sends it
-// again. Neither a timeout nor a broken answer shows whether it runs, so the engine is polled.
+// Once a byte of a statement has been sent, the statement may have run, and this attempt never resends it.
+// A timeout or a broken answer does not show whether it runs, so the engine is polled.
 void HttpEngineClient::on_call_failed(AttemptId id, Attempt& attempt, Outcome outcome) {
   const bool submitting = attempt.stage == Stage::submitted || attempt.stage == Stage::cancel_requested;
   if (submitting && outcome == Outcome::unsent) return end(id, AttemptEnd::expired);
--- a/src/platform/jsonrpc_connection.hpp
+++ b/src/platform/jsonrpc_connection.hpp
@@ -31,7 +31,7 @@
   net::Stream stream;
   std::string partial_line;
   std::uint64_t last_rpc_id = 0;  // the highest id of its requests
-  bool half_closed = false;       // the client sends no more: it has closed its side, or the connection
+  bool half_closed = false;       // the client has closed its sending side, or the whole connection
   bool closing = false;           // input is ignored; closed once all open requests are answered
   bool has_sent_line = false;
   bool has_sent_request = false;
@@ -45,7 +45,7 @@
   std::unordered_map<std::uint64_t, core::ClientHandle> open_requests;  // by the client's id
 };
 
-// All connections by use; those of one use are ordered by when it began.
+// All connections, grouped by use; each group is ordered by when that use began.
 class EvictionOrder {
  public:
   void add(JsonRpcConnection& connection);
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -136,13 +136,13 @@
 // ---- input
 
 void JsonRpcServer::on_data(Connection& connection, std::string_view bytes) {
-  const auto rest = read_complete_lines(connection, bytes);
+  const auto remaining = read_complete_lines(connection, bytes);
   if (connection.stream.open() && !connection.closing) {
-    if (connection.over_capacity && connection.has_sent_line && rest.empty()) {
+    if (connection.over_capacity && connection.has_sent_line && remaining.empty()) {
       close_gracefully(connection);
     } else {
       eviction_order_.update(connection);
-      if (!rest.empty()) store_partial_line(connection, rest);
+      if (!remaining.empty()) store_partial_line(connection, remaining);
     }
   }
   connection.input_since = {};
--- a/src/platform/jsonrpc_server.hpp
+++ b/src/platform/jsonrpc_server.hpp
@@ -50,10 +50,10 @@
   // The earliest time at which a connection may have arrived that waited this long to be accepted.
   [[nodiscard]] core::Time earliest_arrival(core::Time waited) const;
   bool ensure_capacity();  // closes connections if needed; false: the server stays full
-  bool free_descriptor();  // false: no connection may be closed now
+  bool free_descriptor();  // at once; false: none can be freed
 
   void on_data(Connection& connection, std::string_view bytes);
-  // Returns the bytes after the last complete line.
+  // Returns the bytes after the last line that was read; they are of no use once the connection is closing.
   [[nodiscard]] std::string_view read_complete_lines(Connection& connection, std::string_view bytes);
   void store_partial_line(Connection& connection, std::string_view bytes);
   void clear_partial_line(Connection& connection);
@@ -66,8 +66,8 @@
   void arm_timer(Connection& connection, core::Time at);
   void on_timer(Connection& connection);
   void close_reset_connections();
-  void report_half_close(
-      const Connection& connection);  // for each open request: no attempt is started any more
+  // Emits ClientHalfClosed for each open request, so that no further attempt is started for it.
+  void report_half_close(const Connection& connection);
 
   // Cancels the open requests and closes the connection at once. Every connection ends here.
   void close(Connection& connection);
--- a/src/platform/wire_names.hpp
+++ b/src/platform/wire_names.hpp
@@ -13,10 +13,9 @@
 inline constexpr const char* kRequestId = "txn";    // 16 hex digits, new in every attempt of the client
 inline constexpr const char* kTimeLimit = "limit";  // counted from when the client sent the request
 inline constexpr const char* kTenant = "team";      // a tenant's name in the settings
-inline constexpr const char* kIsRetry = "second";   // neither false nor 0 on a client's retry
-inline constexpr const char* kIdempotencyKey =
-    "unique";                                        // the same in all of a client's attempts at one request
-inline constexpr const char* kEstimatedCpu = "cpu";  // CPU time on one core
+inline constexpr const char* kIsRetry = "second";   // present, and neither false nor 0, on a client's retry
+inline constexpr const char* kIdempotencyKey = "unique";  // the same in all attempts of one request
+inline constexpr const char* kEstimatedCpu = "cpu";       // CPU time on one core
 inline constexpr const char* kEstimatedMemoryMb = "ram";
 inline constexpr const char* kOrderingKey = "item";   // requests with the same key run in order
 inline constexpr const char* kStatement = "data";     // base64
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -47,10 +47,10 @@
 }
 
 TEST(Http, ReadsResponseByteByByte) {
-  const auto whole =
+  const auto response =
       "HTTP/1.1 200 OK\r\nResult-Pages: 3\r\nX-Meter: a:1;b:x;c:0.5\r\nContent-Length: 4\r\n\r\na\tb\n"s;
   platform::HttpReader reader(100);
-  for (const char c : whole) {
+  for (const char c : response) {
     ASSERT_FALSE(reader.complete());
     ASSERT_TRUE(reader.feed({&c, 1}));
   }
