--- a/src/app/last_version_writer.cpp
+++ b/src/app/last_version_writer.cpp
@@ -27,7 +27,7 @@
   if (!file_.is_enabled() || version.id <= persisted_) return;
   pending_ = version;
   retry_at_ = {};
-  backoff_.succeeded();
+  backoff_.reset();
   if (!writing_) write();
 }
 
@@ -38,7 +38,7 @@
 
 void LastVersionWriter::write() {
   writing_ = true;
-  worker_->later([this, file = file_, version = *pending_]() -> std::function<void()> {
+  worker_->post([this, file = file_, version = *pending_]() -> std::function<void()> {
     auto error = file.write(version);
     return [this, id = version.id, error = std::move(error)] { on_written(id, error); };
   });
@@ -53,7 +53,7 @@
     if (pending_->id <= persisted_) pending_.reset();
     return;
   }
-  retry_at_ = now_ + backoff_.after_failure();
+  retry_at_ = now_ + backoff_.next_delay();
   if (logged_failure_ == id) return;
   logged_failure_ = id;
   write_log_("control: version " + control::to_text(id) +
--- a/src/app/leader_connection.cpp
+++ b/src/app/leader_connection.cpp
@@ -23,7 +23,7 @@
   if (!leader || channel_ != 0 || now < next_dial_) return;
   const auto address = find_address(*leader);
   if (!address) {
-    next_dial_ = now + backoff_.after_failure();
+    next_dial_ = now + backoff_.next_delay();
     return;
   }
   channel_ = channels_.dial(*address);
@@ -33,10 +33,10 @@
 }
 
 void LeaderConnection::on_closed(core::Time now) {
-  if (connected_ && now - dialled_at_ >= kStableAfter) backoff_.succeeded();
+  if (connected_ && now - dialled_at_ >= kStableAfter) backoff_.reset();
   channel_ = 0;
   connected_ = false;
-  next_dial_ = now + backoff_.after_failure();
+  next_dial_ = now + backoff_.next_delay();
 }
 
 }  // namespace bellstair::app
--- a/src/hooks/runner.hpp
+++ b/src/hooks/runner.hpp
@@ -28,7 +28,7 @@
   // Takes the machines over; the caller gives the set to the core.
   void install(Loaded& loaded);
   // See net::Worker.
-  void run_in_background(net::Worker::Work work) { worker_.later(std::move(work)); }
+  void run_in_background(net::Worker::Work work) { worker_.post(std::move(work)); }
 
   // Posts HookRan before it returns.
   void run(RunSlice& run);
--- a/src/link/channel.cpp
+++ b/src/link/channel.cpp
@@ -11,7 +11,7 @@
 
 void Channel::handle(Handlers handlers) {
   handlers_ = std::move(handlers);
-  stream_.handle({
+  stream_.set_handlers({
       .connected =
           [this] {
             if (handlers_.on_connected) handlers_.on_connected();
--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -70,7 +70,7 @@
   connection.serial = ++last_serial_;
   connection.nonce = new_nonce();
   connections_.emplace(connection.serial, std::move(made));
-  connection.stream.handle(handlers_of(connection));
+  connection.stream.set_handlers(handlers_of(connection));
   login_timers_.arm(now_ + kLoginTimeout, connection.serial);
   const Greeting greeting{kServerVersion, connection.nonce, kCachingSha2,
                           static_cast<std::uint32_t>(connection.serial), kOfferedCapabilities};
--- a/src/net/backoff.hpp
+++ b/src/net/backoff.hpp
@@ -18,12 +18,12 @@
   Backoff(core::Time least, core::Time most, std::uint64_t seed)
       : least_(least), most_(most), span_(least), random_(seed) {}
 
-  [[nodiscard]] core::Time after_failure() {
+  [[nodiscard]] core::Time next_delay() {
     const auto half = span_ / 2;
     span_ = std::min(2 * span_, most_);
     return half + core::Time(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(half.count())));
   }
-  void succeeded() { span_ = least_; }
+  void reset() { span_ = least_; }
 
  private:
   core::Time least_, most_, span_;
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -146,7 +146,7 @@
   connections_.emplace(serial, std::move(made));
   ++engine.connecting;
   connect_timers_.arm(now_ + limits_.connect_timeout / kSlowConnectPart, serial);
-  connection.stream.handle(handlers_of(connection));
+  connection.stream.set_handlers(handlers_of(connection));
 }
 
 Stream::Handlers ConnectionPool::handlers_of(Connection& connection) {
--- a/src/net/lingerer.cpp
+++ b/src/net/lingerer.cpp
@@ -7,10 +7,10 @@
 void Lingerer::take(Stream& stream) {
   auto rest = stream.release();
   if (!rest.fd) return;
-  lingering_.push_back(std::make_unique<Lingering>(loop_, std::move(rest.fd), now_ + kLinger));
+  lingering_.push_back(std::make_unique<Lingering>(loop_, std::move(rest.fd), now_ + kLingerTimeout));
   const auto position = std::prev(lingering_.end());
   auto& lingering = **position;
-  lingering.stream.handle({
+  lingering.stream.set_handlers({
       .connected = {},
       .data = [](std::string_view) {},
       .ended =
--- a/src/net/lingerer.hpp
+++ b/src/net/lingerer.hpp
@@ -18,7 +18,7 @@
 class Lingerer {
  public:
   // How long a client has to read the rest and to close.
-  static constexpr core::Time kLinger = std::chrono::milliseconds(800);
+  static constexpr core::Time kLingerTimeout = std::chrono::milliseconds(800);
   // Connections that may linger at a server that is full otherwise.
   static constexpr std::size_t kMaxBeyondCapacity = 16;
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -30,7 +30,7 @@
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  void handle(Handlers handlers) { handlers_ = std::move(handlers); }
+  void set_handlers(Handlers handlers) { handlers_ = std::move(handlers); }
   // False: it is broken or its peer does not read; `closed` follows from the loop, never from within.
   bool write(std::string_view bytes);
   // No handler is called any more; the descriptor is closed at once. Safe from within a handler.
--- a/src/net/worker.cpp
+++ b/src/net/worker.cpp
@@ -19,7 +19,7 @@
   thread_.join();
 }
 
-void Worker::later(Work work) {
+void Worker::post(Work work) {
   if (!thread_.joinable()) {
     finished_watch_.start();
     // Signals are the loop's.
--- a/src/net/worker.hpp
+++ b/src/net/worker.hpp
@@ -22,7 +22,7 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  void later(Work work);
+  void post(Work work);
 
  private:
   void run();
--- a/src/platform/change_log_client.cpp
+++ b/src/platform/change_log_client.cpp
@@ -68,7 +68,7 @@
   auto fd = address ? net::begin_connect(*address) : net::Fd();
   if (!fd) return on_failure();
   stream_ = std::make_unique<net::Stream>(loop_, std::move(fd), true, kMaxUnwritten);
-  stream_->handle({
+  stream_->set_handlers({
       .connected = [this] { poll(); },
       .data =
           [this](std::string_view bytes) {
@@ -104,7 +104,7 @@
     last_seq_ = std::max(last_seq_, news.seq);
     first_poll_ = false;
     invalid_logged_ = false;
-    backoff_.succeeded();
+    backoff_.reset();
   } catch (const config::Invalid& error) {
     if (!std::exchange(invalid_logged_, true))
       log::write(log::Level::warning, std::string("bellstair: change log: ") + error.what());
@@ -119,7 +119,7 @@
 void ChangeLogClient::on_failure() {
   retire_stream();
   backing_off_ = true;
-  retry_at_ = now_ + backoff_.after_failure();
+  retry_at_ = now_ + backoff_.next_delay();
   if (!first_poll_) return;
   const bool waited_long = ++failures_before_first_answer_ >= kFailuresBeforeServing ||
                            now_ >= *started_at_ + kMaxWaitBeforeServing;
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -51,7 +51,7 @@
   eviction_order_.add(connection);
   connections_.emplace(connection.serial, std::move(made));
   arm_timer(connection, now_ + kLineTimeout);
-  connection.stream.handle(handlers_of(connection));
+  connection.stream.set_handlers(handlers_of(connection));
 }
 
 net::Stream::Handlers JsonRpcServer::handlers_of(Connection& connection) {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -199,14 +199,14 @@
     net::Backoff backoff(100ms, 800ms, seed);
     core::Time now{}, last{};
     while (now < 5s) {
-      now += backoff.after_failure();
+      now += backoff.next_delay();
       EXPECT_LE(now - last, 800ms);
       last = now;
       ++tries[now / 50ms];
       late += now > 2s ? 1 : 0;
     }
-    backoff.succeeded();
-    EXPECT_LE(backoff.after_failure(), 100ms);
+    backoff.reset();
+    EXPECT_LE(backoff.next_delay(), 100ms);
   }
   EXPECT_LT(late, 700) << "some two a second from each";
   for (const auto& [at, count] : tries)
--- a/tests/control_tool_test.cpp
+++ b/tests/control_tool_test.cpp
@@ -37,7 +37,7 @@
   }
   static std::unique_ptr<Program> node(const std::string& operators, const std::string& name) {
     auto out = std::make_unique<Program>(std::vector<std::string>{"control", operators, "--node", name});
-    out->said("control node " + name + ": listening on ");
+    out->wait_for_log("control node " + name + ": listening on ");
     return out;
   }
   // Its status, and all that it printed.
@@ -60,14 +60,14 @@
 TEST_F(ControlToolTest, ADocumentIsCheckedKeptAndHandedOn) {
   const auto operators = file("ops.hcl", 1, "c1");
   const auto writer = node(operators, "c1"), follower = node(operators, "c2");
-  writer->said("control node c1: writes, epoch 1");
-  follower->said("control node c2: follows c1, epoch 1");
+  writer->wait_for_log("control node c1: writes, epoch 1");
+  follower->wait_for_log("control node c2: follows c1, epoch 1");
 
   const auto kept = tool("config publish " + good + " --file " + operators);
   EXPECT_EQ(kept.first, 0);
   EXPECT_SAYS(kept, "1.1: kept by c1 after ");
-  writer->said("control node c1: version 1.1 kept");
-  follower->said("control node c2: version 1.1 kept");
+  writer->wait_for_log("control node c1: version 1.1 kept");
+  follower->wait_for_log("control node c2: version 1.1 kept");
 
   const auto bad = put("bad.hcl", "class \"lokup\" {\n  aim = 3\n}\n");
   const auto mistakes = bad + ":2:9: class \"lokup\".aim: expected a duration";
@@ -99,8 +99,8 @@
 TEST_F(ControlToolTest, ADeposedLeaderIsNotPublishedTo) {
   const auto old = file("old.hcl", 1, "c1"), now = file("now.hcl", 2, "c2");
   const auto other = node(now, "c2"), deposed = node(old, "c1");
-  other->said("control node c2: writes, epoch 2");
-  deposed->said("control node c1: writes, epoch 1");
+  other->wait_for_log("control node c2: writes, epoch 2");
+  deposed->wait_for_log("control node c1: writes, epoch 1");
   for (const std::string& command : {"config publish " + good, std::string("config status")}) {
     const auto said = tool(command + " --file " + old);
     EXPECT_EQ(said.first, 4) << command;
@@ -110,9 +110,9 @@
   // Its file is set right, and it follows.
   std::filesystem::copy_file(now, old, std::filesystem::copy_options::overwrite_existing);
   deposed->signal(SIGHUP);
-  deposed->said("control node c1: follows c2, epoch 2");
+  deposed->wait_for_log("control node c1: follows c2, epoch 2");
   EXPECT_EQ(tool("config publish " + good + " --file " + now).first, 0);
-  deposed->said("control node c1: version 2.1 kept");
+  deposed->wait_for_log("control node c1: version 2.1 kept");
 }
 
 TEST_F(ControlToolTest, AFileWithAMistakeIsNotTakenUp) {
@@ -120,11 +120,11 @@
   const auto writer = node(operators, "c1");
   (void)file("ops.hcl", 0, "c1");
   writer->signal(SIGHUP);
-  writer->said("the operator's file is not taken up: " + operators +
-               ":3:11: control.epoch: 0 is out of range");
+  writer->wait_for_log("the operator's file is not taken up: " + operators +
+                       ":3:11: control.epoch: 0 is out of range");
   (void)file("ops.hcl", 3, "c1");
   writer->signal(SIGHUP);
-  writer->said("control node c1: writes, epoch 3");
+  writer->wait_for_log("control node c1: writes, epoch 3");
 }
 
 TEST_F(ControlToolTest, WrongCommandLinesAreUsage) {
@@ -135,7 +135,7 @@
   EXPECT_EQ(tool("config publish " + good + " --wait 5 --file " + file("ops.hcl", 1, "c1")).first, 2);
   EXPECT_EQ(tool("config --help").first, 0);
   Program node({"control", file("ops.hcl", 1, "c1"), "--node", "c3"});
-  node.said("ops.hcl:1:1: control: no node 'c3' stands here");
+  node.wait_for_log("ops.hcl:1:1: control: no node 'c3' stands here");
   EXPECT_EQ(WEXITSTATUS(node.wait()), 1);
 }
 
@@ -149,7 +149,7 @@
     noise.send(std::string(10'000, '\xee'));
     EXPECT_TRUE(noise.ended());
   }
-  writer->said("a frame of 4008636142 bytes: at most 65536 are taken");
+  writer->wait_for_log("a frame of 4008636142 bytes: at most 65536 are taken");
   EXPECT_EQ(tool("config publish " + good + " --file " + operators).first, 0);
 }
 
--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -76,7 +76,7 @@
   HttpEngine newcomer([](const Call&) { return heavy_rows(); });
   Broker broker({{"s-00000001", old.server.address()}}, {}, 0, kSlowStart, json::object(),
                 faults.environment());
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   faults.step_wall_clock(meanwhile);
   auto began = server("s-00000002", newcomer.server.address());
   began["started_ms"] = unix_ms() - 200;
--- a/tests/faults/last_version_test.cpp
+++ b/tests/faults/last_version_test.cpp
@@ -23,7 +23,7 @@
 }
 
 bool comes_to_hold(Fleet& fleet, const std::string& text) {
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTestTimeout;
   while (std::chrono::steady_clock::now() < until) {
     if (content(fleet).find(text) != std::string::npos) return true;
     std::this_thread::sleep_for(20ms);
@@ -39,7 +39,7 @@
   fleet.connected(0);
   EXPECT_EQ(fleet.publish(tenant("beta")).code, 0);
   ASSERT_TRUE(comes_to_hold(fleet, "beta"));
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTestTimeout;
   while (faults.calls(FaultyCall::sync) < 2 && std::chrono::steady_clock::now() < until)
     std::this_thread::sleep_for(5ms);
   EXPECT_GE(faults.calls(FaultyCall::sync), 2U) << "the file, and the folder that names it";
@@ -59,7 +59,7 @@
     const auto before = content(fleet);
     faults.fail(call, 1, {error});
     EXPECT_EQ(fleet.publish(tenant("gamma")).code, 0);
-    fleet.broker(0).said("is not persisted for a restart");
+    fleet.broker(0).wait_for_log("is not persisted for a restart");
     EXPECT_EQ(content(fleet), before);
     EXPECT_EQ(fleet.ask(0, "gamma"), "") << "it is in force all the same";
     faults.stop(call);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -402,7 +402,7 @@
   manager->tick(10s);
   manager->close_after_flush(id);
   EXPECT_EQ(manager->closing_count(), 1U);
-  manager->tick(10s + net::Lingerer::kLinger);
+  manager->tick(10s + net::Lingerer::kLingerTimeout);
   EXPECT_EQ(manager->closing_count(), 0U);
 }
 
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -66,7 +66,7 @@
   Holding h;
   Client behind(h.broker.address);
   behind.ask(2, "load", kSelect, of(2, kKey));  // of the same key: it waits for its turn
-  EXPECT_TRUE(behind.green());
+  EXPECT_TRUE(behind.is_healthy());
   std::string useless;
   for (int n = 0; n < 100; ++n) useless += "no JSON\n";
   behind.socket.send(useless);
@@ -86,7 +86,7 @@
   Holding h;
   Client behind(h.broker.address);
   behind.ask(2, "load", kSelect, of(2, kKey));  // of the same key: it waits for its turn
-  EXPECT_TRUE(behind.green());
+  EXPECT_TRUE(behind.is_healthy());
   half_close(behind);
   EXPECT_EQ(behind.answer()["error"]["code"], -32066);
   EXPECT_EQ(end_of(behind), 0);
@@ -117,7 +117,7 @@
   Holding h;
   half_close(h.client);
   Client other(h.broker.address);
-  EXPECT_TRUE(other.green());
+  EXPECT_TRUE(other.is_healthy());
   h.client.socket.reset();
   h.engine.calls.wait([](const Call& c) { return is(c, "DELETE") && c.path == "/v1/store/" + ticket(1); });
 }
@@ -131,7 +131,7 @@
   }
   cancels.socket.send(R"({"jsonrpc":"2.0","method":"cancel","params":{"id":2}})"
                       "\n");
-  EXPECT_TRUE(cancels.green());
+  EXPECT_TRUE(cancels.is_healthy());
   resets.socket.reset();
   h.hold = false;
   EXPECT_EQ(body(h.client.answer()), "x\ty\tz\n");
@@ -210,13 +210,13 @@
     Server down([](Socket& socket) { socket.reset(); });
     broker.config["changelog"] = down.address();
     broker.reload(broker.config.dump());
-    broker.program->said("the configuration was read again");
+    broker.program->wait_for_log("the configuration was read again");
   }
   std::vector<Client> idle;
   for (int n = 0; n < 300; ++n) idle.emplace_back(broker.address);
   broker.config["changelog"] = back.address();
   broker.reload(broker.config.dump());
-  back.wait_until_told();
+  back.wait_until_applied();
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
@@ -226,9 +226,9 @@
   for (const int again : {SIGTERM, SIGINT, SIGHUP}) {
     Holding h;
     h.broker.program->signal(SIGTERM);
-    h.broker.program->said("phase: draining");
+    h.broker.program->wait_for_log("phase: draining");
     h.broker.program->signal(again);
-    EXPECT_FALSE(h.client.green());
+    EXPECT_FALSE(h.client.is_healthy());
     h.hold = false;
     EXPECT_EQ(body(h.client.answer()), "x\ty\tz\n");
     EXPECT_EQ(h.broker.program->wait(), 0);
@@ -243,10 +243,10 @@
               {"changelog", changes.address()},
               {"known", changes.known()},
               {"settings", settings()}};
-  const auto file = temporary(config.dump());
+  const auto file = write_temporary_file(config.dump());
   Program program({"serve", "--config", file});
-  Client client(program.listens("listen"));
-  EXPECT_FALSE(client.green());
+  Client client(program.listen_address("listen"));
+  EXPECT_FALSE(client.is_healthy());
   program.signal(SIGTERM);
   EXPECT_EQ(end_of(client), 0);
   EXPECT_EQ(program.wait(), 0);
@@ -280,12 +280,12 @@
       {{"mysql",
         {{"listen", "127.0.0.1:0"},
          {"users", {{{"name", "gateway"}, {"password_env", "TEST_SECRET"}, {"tenant", "acme"}}}}}}});
-  MysqlClient client(broker.program->listens("mysql.listen"));
+  MysqlClient client(broker.program->listen_address("mysql.listen"));
   client.wire.command(my::write_query({kSelect, {}}, true));
   engine.calls.wait(polls);
   ::shutdown(client.socket.fd(), SHUT_WR);
   Client other(broker.address);
-  EXPECT_TRUE(other.green());
+  EXPECT_TRUE(other.is_healthy());
   done = true;
   EXPECT_EQ(client.wire.take(), "\x03") << "three columns";
 }
@@ -296,7 +296,7 @@
   HttpEngine other([](const Call&) { return rows("2\t2\t2\n"); });
   h.broker.changes.push({server("s-00000001", h.engine.server.address(), "terminated"),
                          server("s-00000002", other.server.address())});
-  h.broker.changes.wait_until_told();
+  h.broker.changes.wait_until_applied();
   Client next(h.broker.address);
   next.ask(2, "lookup", kSelect, of(2));
   EXPECT_EQ(body(next.answer()), "2\t2\t2\n");
@@ -405,7 +405,7 @@
 
 // Want of descriptors passed for an engine that takes no connections.
 TEST(Endings, WithoutADescriptorADialWaitsAndItsEngineIsNotBlamed) {
-  Server engine([](Socket& socket) { socket.more(); });
+  Server engine([](Socket& socket) { socket.receive(); });
   Dials d(engine.address());
   rlimit most{};
   ::getrlimit(RLIMIT_NOFILE, &most);
@@ -421,8 +421,8 @@
 }
 
 TEST(Endings, AConnectionToAnAddressThatItsEngineHasLeftIsNotUsedAgain) {
-  Server one([](Socket& socket) { socket.more(); });
-  Server two([](Socket& socket) { socket.more(); });
+  Server one([](Socket& socket) { socket.receive(); });
+  Server two([](Socket& socket) { socket.receive(); });
   Dials d(one.address());
   d.acquire();
   auto* old = d.take();
@@ -471,7 +471,7 @@
     Server silent([&](Socket& socket) {
       read_call(socket);
       if (trickles) socket.send("HTTP/1.1 200 OK\r\nContent-Le");
-      socket.more();
+      socket.receive();
     });
     ev::dynamic_loop loop;
     bool serves = false;
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -24,7 +24,7 @@
   }
   template <class T>
   T wait() {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kTestTimeout;
     while (std::chrono::steady_clock::now() < until) {
       for (const auto& event : events) {
         if (const auto* found = std::get_if<T>(&event)) return *found;
@@ -35,7 +35,7 @@
   }
   // Turns of the loop until the engine has got such a call.
   void until(HttpEngine& engine, const std::function<bool(const Call&)>& fits) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (engine.calls.count(fits) == 0) {
       if (std::chrono::steady_clock::now() > end) throw std::runtime_error("no such call");
       turn();
@@ -178,7 +178,7 @@
   Driven d(engine);
   d.start();
   d.until(engine, poll);
-  engine.server.drain();
+  engine.server.stop_accepting();
   d.run(core::CancelAttempt{d.id});
   for (int i = 0; i < 20; ++i) d.turn();  // the DELETE beside the call is refused
   EXPECT_TRUE(std::ranges::none_of(d.events, [](const auto& e) {
@@ -538,7 +538,7 @@
   const auto to = net::parse_address(config.peer_listen).value();
   for (const auto* from : {&stranger, &last})
     ASSERT_EQ(::sendto(from->get(), "o", 1, 0, reinterpret_cast<const sockaddr*>(&to), sizeof to), 1);
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTestTimeout;
   while (heard.empty() && std::chrono::steady_clock::now() < until) loop.run(ev::ONCE);
   EXPECT_EQ(heard, std::vector<std::uint32_t>{1023});
 }
--- a/tests/net/extras_test.cpp
+++ b/tests/net/extras_test.cpp
@@ -38,7 +38,7 @@
 
  private:
   void serve(Socket& socket, bool silent) {
-    while (socket.more()) {
+    while (socket.receive()) {
       try {
         while (!silent) answer(socket);
       } catch (const std::out_of_range&) {
@@ -97,7 +97,7 @@
   LdapServer ldap;
   HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, with_directory(ldap.server.address()));
-  const auto mysql = broker.program->listens("mysql.listen");
+  const auto mysql = broker.program->listen_address("mysql.listen");
   for (int i = 0; i < 3; ++i) {
     MysqlClient client(mysql, "amina", "pass");
     ASSERT_EQ(client.login[0], 0);
@@ -119,7 +119,7 @@
   dead.server.stop();
   for (const auto& address : {silent.server.address(), dead.server.address()}) {
     Broker broker({{"s-00000001", engine.server.address()}}, with_directory(address));
-    const auto mysql = broker.program->listens("mysql.listen");
+    const auto mysql = broker.program->listen_address("mysql.listen");
     auto waiting = std::async(std::launch::async, [&] { return MysqlClient(mysql, "amina", "pass").login; });
     Client client(broker.address);
     client.ask(1, "lookup", "SELECT 1");
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -1,6 +1,6 @@
 // The real program as a process, and stand-ins for what it talks to: clients, engines, the change log. All on
 // loopback addresses, at ports that the system chooses. Nothing here waits for time to pass; what does not
-// come ends a test after kPatience.
+// come ends a test after kTestTimeout.
 #pragma once
 
 #include <arpa/inet.h>
@@ -41,12 +41,12 @@
 
 using namespace std::chrono_literals;
 using nlohmann::json;
-constexpr auto kPatience = 20s;
+constexpr auto kTestTimeout = 20s;
 
 class Socket {
  public:
   explicit Socket(int fd) : fd_(fd) {
-    const timeval patience{kPatience / 1s, 0};
+    const timeval patience{kTestTimeout / 1s, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   }
   static Socket to(const std::string& address) {
@@ -60,7 +60,7 @@
     return ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
   }
   // False at the connection's end.
-  bool more() {
+  bool receive() {
     char buffer[16384];
     const auto got = ::recv(fd_.get(), buffer, sizeof buffer, 0);
     if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) throw std::runtime_error("nothing came");
@@ -71,14 +71,14 @@
   std::string line() {
     std::size_t end = 0;
     while ((end = in.find('\n')) == std::string::npos) {
-      if (!more()) throw std::runtime_error("the connection has ended");
+      if (!receive()) throw std::runtime_error("the connection has ended");
     }
     auto out = in.substr(0, end);
     in.erase(0, end + 1);
     return out;
   }
   bool ended() {
-    while (more()) in.clear();
+    while (receive()) in.clear();
     return true;
   }
   void reset() {  // as a dying process does
@@ -109,7 +109,7 @@
   }
   ~Server() { stop(); }
   // Refuses later connections; the open ones go on.
-  void drain() {
+  void stop_accepting() {
     if (!acceptor_.joinable()) return;
     stopped_ = true;
     ::shutdown(fd_.get(), SHUT_RDWR);
@@ -118,7 +118,7 @@
   }
   // Closes everything.
   void stop() {
-    drain();
+    stop_accepting();
     {
       const std::lock_guard lock(mutex_);
       for (const int fd : open_) ::shutdown(fd, SHUT_RDWR);
@@ -165,7 +165,7 @@
 inline Call read_call(Socket& socket) {
   std::size_t end = 0;
   while ((end = socket.in.find("\r\n\r\n")) == std::string::npos) {
-    if (!socket.more()) throw std::runtime_error("the connection has ended");
+    if (!socket.receive()) throw std::runtime_error("the connection has ended");
   }
   Call out;
   std::istringstream head(socket.in.substr(0, end + 2));
@@ -180,7 +180,7 @@
   }
   const auto size = out.headers.contains("Content-Length") ? std::stoul(out.headers["Content-Length"]) : 0;
   while (socket.in.size() < end + 4 + size) {
-    if (!socket.more()) throw std::runtime_error("the connection has ended");
+    if (!socket.receive()) throw std::runtime_error("the connection has ended");
   }
   out.body = socket.in.substr(end + 4, size);
   socket.in.erase(0, end + 4 + size);
@@ -207,7 +207,7 @@
   T wait(const std::function<bool(const T&)>& fits, std::size_t from = 0) {
     std::unique_lock lock(mutex_);
     std::optional<T> found;
-    changed_.wait_for(lock, kPatience, [&] {
+    changed_.wait_for(lock, kTestTimeout, [&] {
       for (auto i = from; i < items_.size() && !found; ++i) {
         if (fits(items_[i])) found = items_[i];
       }
@@ -271,7 +271,7 @@
   }
   [[nodiscard]] const std::string& address() const { return server_.address(); }
   // Once the broker has asked for what follows the last event, it has dealt with all before.
-  void wait_until_told() {
+  void wait_until_applied() {
     const auto last = "/changes?since=" + std::to_string(known()["seq"].get<int>()) + "&timeout=1000";
     asked_.wait([&](const std::string& path) { return path == last; });
   }
@@ -337,7 +337,7 @@
       {"report", {{"how", "pull"}, {"fields", {"pending", "x1", "x0"}}}}};
 }
 
-inline std::string temporary(const std::string& text) {
+inline std::string write_temporary_file(const std::string& text) {
   std::string path =
       (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : std::string("/tmp")) + "/bellstair-XXXXXX";
   const int fd = ::mkstemp(path.data());
@@ -403,7 +403,7 @@
       wait();
     }
   }
-  std::string said(const std::string& what, std::size_t from = 0) {
+  std::string wait_for_log(const std::string& what, std::size_t from = 0) {
     try {
       return lines_.wait([&](const std::string& line) { return line.find(what) != std::string::npos; }, from);
     } catch (const std::exception&) {
@@ -412,8 +412,8 @@
       throw std::runtime_error("it was not said: " + what + "; but" + (all.empty() ? " nothing" : all));
     }
   }
-  std::string listens(const std::string& field) {
-    const auto line = said("bellstair: " + field + " on ");
+  std::string listen_address(const std::string& field) {
+    const auto line = wait_for_log("bellstair: " + field + " on ");
     return line.substr(line.rfind(' ') + 1);
   }
   // To it alone: after its end there is nobody, and kill(-1) would reach every process there is.
@@ -434,7 +434,7 @@
     ::fcntl(out_, F_SETPIPE_SZ, 4096);
     unread_ = true;
   }
-  std::size_t lines() { return lines_.all().size(); }
+  std::size_t line_count() { return lines_.all().size(); }
   std::vector<std::string> all_lines() { return lines_.all(); }
   [[nodiscard]] pid_t pid() const { return pid_; }  // -1 after its end
 
@@ -467,15 +467,16 @@
               {"known", changes.known()},
               {"settings", settings()}};
     config["settings"].merge_patch(patch);
-    std::vector<std::string> arguments{"serve", "--config", files_.emplace_back(temporary(config.dump()))};
+    std::vector<std::string> arguments{"serve", "--config",
+                                       files_.emplace_back(write_temporary_file(config.dump()))};
     if (!fronts.is_null()) {
       arguments.emplace_back("--fronts");
-      arguments.push_back(files_.emplace_back(temporary(fronts.dump())));
+      arguments.push_back(files_.emplace_back(write_temporary_file(fronts.dump())));
     }
     environment.try_emplace("TEST_SECRET", "secret");
     program = std::make_unique<Program>(arguments, std::move(environment), files);
-    address = program->listens("listen");
-    program->said("phase: serving");
+    address = program->listen_address("listen");
+    program->wait_for_log("phase: serving");
   }
   // Replaces the configuration's file, and says so to the program.
   void reload(const std::string& text) {
@@ -507,7 +508,7 @@
     socket.send(json{{"jsonrpc", "2.0"}, {"id", id}, {"method", cls}, {"params", params}}.dump() + "\n");
   }
   json answer() { return json::parse(socket.line()); }
-  bool green() {
+  bool is_healthy() {
     socket.send(R"({"jsonrpc":"2.0","id":999,"method":"health"})"
                 "\n");
     return answer()["result"]["green"];
--- a/tests/net/hooks_test.cpp
+++ b/tests/net/hooks_test.cpp
@@ -20,7 +20,7 @@
  public:
   explicit Scripted(const std::string& script, json more = json::object(), json hooks = json::object(),
                     bool mysql = false)
-      : file(temporary(script)),
+      : file(write_temporary_file(script)),
         engine([](const Call&) { return rows("a\tb\tc\n"); }),
         broker({{"s-00000001", engine.server.address()}},
                settings(file, std::move(more), std::move(hooks), mysql)),
@@ -63,14 +63,14 @@
   EXPECT_EQ(error["code"], -32066);
   EXPECT_EQ(error["data"]["later"], 120);
   EXPECT_EQ(body(s.ask("SELECT a FROM sales_8.x")), "a\tb\tc\n");
-  MysqlClient mysql(s.broker.program->listens("mysql.listen"));
+  MysqlClient mysql(s.broker.program->listen_address("mysql.listen"));
   mysql.query("SELECT a FROM sales_9.x");
   EXPECT_EQ(mysql.error.code, 50001);
   EXPECT_NE(mysql.error.message.find("120 ms"), std::string::npos);
   EXPECT_EQ(mysql.query("SELECT a FROM sales_8.x").size(), 1U);
   EXPECT_EQ(s.engine.posts(), 2U);
-  s.broker.program->said("tagged: tags=platform class=lookup tenant=acme end=served");
-  s.broker.program->said("tagged: tags=mysql class=lookup tenant=acme end=served");
+  s.broker.program->wait_for_log("tagged: tags=platform class=lookup tenant=acme end=served");
+  s.broker.program->wait_for_log("tagged: tags=mysql class=lookup tenant=acme end=served");
 }
 
 TEST(Hooks, AScriptThatFailsChangesNothingAndIsLogged) {
@@ -84,7 +84,7 @@
         "function on_request(r) if r.statement ~= 'SELECT 2' then return end " + std::string(script) + " end",
         {{"time", "500ms"}, {"wait", "10s"}, {"instructions", 1000000000}});
     EXPECT_EQ(body(s.ask("SELECT 2")), "a\tb\tc\n") << script;
-    s.broker.program->said(said);
+    s.broker.program->wait_for_log(said);
   }
 }
 
@@ -92,18 +92,18 @@
   Scripted s(kRunaway, {{"on_failure", "refuse"}, {"later", "30ms"}},
              {{"breaker", {{"failures", 3}, {"pause", "20ms"}, {"most_pause", "40ms"}}}});
   for (int i = 0; i < 3; ++i) EXPECT_EQ(s.ask("wild")["error"]["data"]["later"], 30);
-  s.broker.program->said("hook h: it took too long");
-  s.broker.program->said("hook h: circuit breaker open for 0.02 s");
+  s.broker.program->wait_for_log("hook h: it took too long");
+  s.broker.program->wait_for_log("hook h: circuit breaker open for 0.02 s");
   EXPECT_EQ(s.ask("SELECT 1")["error"]["code"], -32066) << "while it is out, its failure's way is gone";
   // It is tried again, and is back: nothing is wrong with tame statements.
   for (json answer; !answer.contains("result");) answer = s.ask("SELECT 1");
-  s.broker.program->said("hook h: circuit breaker half-open");
+  s.broker.program->wait_for_log("hook h: circuit breaker half-open");
   while (s.ask("SELECT 1").contains("error")) {
   }
   s.rewrite("function on_request(r) return {tags = {'mended'}} end");
-  s.broker.program->said("the configuration was read again; hooks: 1");
+  s.broker.program->wait_for_log("the configuration was read again; hooks: 1");
   EXPECT_EQ(body(s.ask("wild")), "a\tb\tc\n");
-  s.broker.program->said("tags=mended");
+  s.broker.program->wait_for_log("tags=mended");
 }
 
 TEST(Hooks, ABadSetIsRefusedWholeAndTheOldOneGoesOn) {
@@ -113,10 +113,10 @@
         {"while true do end", "hook \"h\": it took too long to load"},
         {"function on_request(r) error('never') end", "hook \"h\": on_request: it failed"}}) {
     s.rewrite(script);
-    s.broker.program->said("the configuration stays as it was: " + std::string(said));
+    s.broker.program->wait_for_log("the configuration stays as it was: " + std::string(said));
     EXPECT_EQ(body(s.ask("SELECT 1")), "a\tb\tc\n");
   }
-  s.broker.program->said("tags=first");
+  s.broker.program->wait_for_log("tags=first");
 }
 
 TEST(Hooks, WhatAHookRemembersOutlivesAReload) {
@@ -125,11 +125,11 @@
   Scripted s(count);
   s.ask("SELECT 1");
   s.ask("SELECT 1");
-  s.broker.program->said("tags=n2");
+  s.broker.program->wait_for_log("tags=n2");
   s.rewrite(count + " -- again");
-  s.broker.program->said("the configuration was read again");
+  s.broker.program->wait_for_log("the configuration was read again");
   s.ask("SELECT 1");
-  s.broker.program->said("tags=n3");
+  s.broker.program->wait_for_log("tags=n3");
 }
 
 // A flood inside a runaway; beside it, what no hook is for passes untouched, and all get one answer.
@@ -150,7 +150,7 @@
   {
     Client leaver(s.broker.address);
     leaver.ask(1, "lookup", "wild", {{"txn", ticket(1)}});
-    EXPECT_TRUE(leaver.green());
+    EXPECT_TRUE(leaver.is_healthy());
   }
   s.client.ask(77, "lookup", "wild", {{"txn", ticket(2)}});
   s.broker.program->signal(SIGTERM);
@@ -166,8 +166,8 @@
     function on_answer(a) log("end " .. a.kind .. " " .. a.class .. " " .. math.tointeger(a.attempts)) end)",
              {{"phases", {"answer", "timer"}}, {"every", "10ms"}});
   s.ask("SELECT 1");
-  s.broker.program->said("hook h logs: end served lookup 1");
-  s.broker.program->said("hook h logs: timer");
+  s.broker.program->wait_for_log("hook h logs: end served lookup 1");
+  s.broker.program->wait_for_log("hook h logs: timer");
 }
 
 // ---- the command line
@@ -187,10 +187,10 @@
 }
 
 TEST(HookTool, TriesCasesAndTellsWhatTheyCost) {
-  const auto script = temporary(kRunaway);
-  const auto file =
-      temporary("hook \"h\" {\n script = \"" + script + "\"\n match { tenant = \"lycee-ennour\" }\n}\n");
-  const auto cases = temporary(
+  const auto script = write_temporary_file(kRunaway);
+  const auto file = write_temporary_file("hook \"h\" {\n script = \"" + script +
+                                         "\"\n match { tenant = \"lycee-ennour\" }\n}\n");
+  const auto cases = write_temporary_file(
       R"({"name": "tame", "request": {"tenant": "lycee-ennour"}, "expect": {"pass": "taken"}}
 {"name": "wild", "request": {"tenant": "lycee-ennour", "statement": "wild"}, "expect": {"pass": "taken"}}
 {"name": "other", "request": {"tenant": "ecole-el-amal"}, "expect": {"pass": "untouched"}}
@@ -199,7 +199,8 @@
   EXPECT_EQ(tried.status, 0) << tried.out;
   EXPECT_NE(tried.out.find("it was cut off"), std::string::npos) << tried.out;
   EXPECT_NE(tried.out.find("3 cases, 0 wrong"), std::string::npos);
-  const auto wrong = temporary(R"({"request": {"tenant": "lycee-ennour"}, "expect": {"pass": "refused"}})");
+  const auto wrong =
+      write_temporary_file(R"({"request": {"tenant": "lycee-ennour"}, "expect": {"pass": "refused"}})");
   const auto failed = bellstair("hook run " + file + " --cases " + wrong);
   EXPECT_EQ(failed.status, 1);
   EXPECT_NE(failed.out.find("pass is \\\"taken\\\", not \\\"refused\\\""), std::string::npos) << failed.out;
@@ -239,7 +240,7 @@
 }
 
 TEST(HookTool, MistakesOfTheFileNameTheirPlace) {
-  const auto file = temporary("hook \"h\" {\n  scirpt = \"x\"\n}\n");
+  const auto file = write_temporary_file("hook \"h\" {\n  scirpt = \"x\"\n}\n");
   const auto tried = bellstair("hook check " + file);
   EXPECT_EQ(tried.status, 1);
   EXPECT_NE(tried.out.find(file + ":2:3: hook \"h\": unknown attribute 'scirpt': did you mean 'script'?"),
--- a/tests/net/mysql_client.hpp
+++ b/tests/net/mysql_client.hpp
@@ -26,7 +26,7 @@
         sequence_ = static_cast<std::uint8_t>(packet->sequence + 1);
         return packet->payload;
       }
-      if (!socket_.more()) throw std::runtime_error("the connection has ended");
+      if (!socket_.receive()) throw std::runtime_error("the connection has ended");
       reader_.feed(std::exchange(socket_.in, {}));
     }
   }
--- a/tests/net/mysql_test.cpp
+++ b/tests/net/mysql_test.cpp
@@ -109,7 +109,7 @@
 class MysqlBroker : public Broker {
  public:
   MysqlBroker(const std::vector<std::pair<std::string, std::string>>& engines, bool mysql_engines)
-      : Broker(engines, fronts(mysql_engines)), mysql(program->listens("mysql.listen")) {}
+      : Broker(engines, fronts(mysql_engines)), mysql(program->listen_address("mysql.listen")) {}
   std::string mysql;
 };
 
@@ -219,7 +219,7 @@
   one.server.stop();
   broker.changes.push(
       {server("s-00000001", one.server.address(), "terminated"), server("s-00000002", two.server.address())});
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   EXPECT_EQ(client.execute(statement, {"3"s}), rows);
   EXPECT_EQ(two.prepared.count([](const auto&) { return true; }), 1U);
 }
@@ -250,7 +250,7 @@
   one.prepared.wait([](const std::string&) { return true; });
   broker.changes.push({server("s-00000001", one.server.address(), "terminating"),
                        server("s-00000002", two.server.address())});
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   go_on.set_value();
   EXPECT_EQ(client.result(client.wire.take(), true).size(), 1U);
   EXPECT_EQ(one.executed.count([](const Executed&) { return true; }), 0U);
--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -83,7 +83,7 @@
   client.socket.send(R"({"jsonrpc":"2.0","method":"cancel","params":{"id":1}})"
                      "\n");
   engine.calls.wait([](const Call& c) { return is(c, "DELETE") && c.path == "/v1/store/9b1f03aa5c7e2d41"; });
-  EXPECT_TRUE(client.green());  // the next line on the connection answers this, not the query
+  EXPECT_TRUE(client.is_healthy());  // the next line on the connection answers this, not the query
 }
 
 TEST(Platform, ACancelUnderTheRequestsOwnIdGetsNoAnswer) {
@@ -96,7 +96,7 @@
     client.socket.send(R"({"jsonrpc":"2.0","id":7,"method":"cancel"})"
                        "\n");
   engine.calls.wait([](const Call& c) { return is(c, "DELETE"); });
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
 }
 
 TEST(Platform, AnAnswerThatCannotBeCompletedIsNeverServedInPart) {
@@ -118,7 +118,7 @@
   EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
   broker.changes.push({server("s-00000001", one.server.address(), "terminating"),
                        server("s-00000002", two.server.address())});
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   for (int id = 2; id < 12; ++id) {
     client.ask(id, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
@@ -140,7 +140,7 @@
   for (int n = 1; n <= kSize; ++n) engines.emplace_back(id(n), many.server.address());
   Broker broker(engines, {}, 0, {{"balancers", kSize}, {"me", kSize - 1}});
   Client client(broker.address);
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
   for (int n = 1; n <= 50; ++n) {
     client.ask(n, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
@@ -149,7 +149,7 @@
   for (int n = 1; n <= kSize; ++n) news.push_back(server(id(n), many.server.address(), "terminating"));
   for (int n = 1; n <= kSize; ++n) news.push_back(server(id(kSize + n), other.server.address()));
   broker.changes.push(news);
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   for (int n = 51; n <= 100; ++n) {
     client.ask(n, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
@@ -161,13 +161,13 @@
   HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
   client.ask(1, "lookup", kSelect);
   engine.calls.wait(polls);
   broker.program->signal(SIGTERM);
-  broker.program->said("phase: draining");
+  broker.program->wait_for_log("phase: draining");
   Client late(broker.address);  // still accepted, and served
-  EXPECT_FALSE(late.green());
+  EXPECT_FALSE(late.is_healthy());
   late.ask(5, "lookup", kSelect, {{"txn", "00000000000000aa"}});
   done = true;
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
@@ -180,7 +180,7 @@
   HttpEngine one([&](const Call&) { return done ? rows("1\t1\t1\n") : http(202); });
   HttpEngine two([](const Call&) { return rows("2\t2\t2\n"); });
   Broker broker({{"s-00000001", one.server.address()}});
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
   one.calls.wait(polls);
@@ -189,11 +189,11 @@
   broker.config["changelog"] = moved.address();
   broker.config["peers_all"] = "127.0.0.1:9";
   for (int i = 0; i < 3; ++i) broker.reload(broker.config.dump());
-  moved.wait_until_told();
-  broker.program->said("a restart: peers_all");
+  moved.wait_until_applied();
+  broker.program->wait_for_log("a restart: peers_all");
   moved.push({server("s-00000001", one.server.address(), "terminating"),
               server("s-00000002", two.server.address())});
-  moved.wait_until_told();
+  moved.wait_until_applied();
   client.ask(2, "lookup", kSelect, {{"txn", "00000000000000aa"}});
   EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
   done = true;
@@ -208,13 +208,13 @@
   client.ask(1, "lookup", kSelect);
   engine.calls.wait(polls);
   broker.reload(R"({"listen": "127.0.0.1:0", "changelog": )");
-  broker.program->said("the configuration stays as it was: configuration: is not a JSON object");
+  broker.program->wait_for_log("the configuration stays as it was: configuration: is not a JSON object");
   broker.changes.push({server("s-00000002", engine.server.address())});
-  broker.changes.wait_until_told();  // still followed
+  broker.changes.wait_until_applied();  // still followed
   broker.program->signal(SIGTERM);
-  broker.program->said("phase: draining");
+  broker.program->wait_for_log("phase: draining");
   broker.reload(broker.config.dump());
-  broker.program->said("the configuration was read again");
+  broker.program->wait_for_log("the configuration was read again");
   done = true;
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
   EXPECT_EQ(broker.program->wait(), 0);
@@ -281,7 +281,7 @@
   EXPECT_TRUE(deep.answer().contains("error"));
   for (int i = 0; i < 1000; ++i) stubborn.socket.send("{}\n");
   int told = 0;
-  while (stubborn.socket.more()) told += 1;
+  while (stubborn.socket.receive()) told += 1;
   EXPECT_GT(told, 0);
   good.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(good.answer()), "x\ty\tz\n");
@@ -319,7 +319,7 @@
   Client client(broker.address);
   client.ask(1, "once", kSelect);
   EXPECT_TRUE(client.answer().contains("error"));
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
 }
 
 TEST(CommandLine, ABadConfigurationIsOneLineThatNamesTheField) {
@@ -332,11 +332,11 @@
     json config{
         {"listen", "127.0.0.1:0"}, {"changelog", "127.0.0.1:1"}, {"seed", "1"}, {"settings", settings()}};
     config.update(change);
-    const auto file = temporary(config.dump());
+    const auto file = write_temporary_file(config.dump());
     Program program({"check-config", "--config", file});
-    program.said(said);
+    program.wait_for_log(said);
     EXPECT_NE(program.wait(), 0);
-    EXPECT_EQ(program.lines(), 1U);
+    EXPECT_EQ(program.line_count(), 1U);
     ::unlink(file.c_str());
   }
 }
--- a/tests/net/reconfigure_test.cpp
+++ b/tests/net/reconfigure_test.cpp
@@ -49,7 +49,7 @@
         if (const auto* report = std::get_if<control::BrokerReport>(&message)) reports_.add(*report);
         return true;
       });
-    } while (socket.more());
+    } while (socket.receive());
     const std::lock_guard lock(mutex_);
     broker_ = nullptr;
   }
@@ -74,8 +74,8 @@
   const json mysql{{"listen", "127.0.0.1:0"},
                    {"user", {{"gateway", {{"password_env", "TEST_SECRET"}, {"tenant", "acme"}}}}}};
   Broker broker({{"pg-00000007", engine.server.address()}}, {{"control", control}, {"mysql", mysql}});
-  broker.program->said("control: connected to c1");
-  const auto front = broker.program->listens("mysql.listen");
+  broker.program->wait_for_log("control: connected to c1");
+  const auto front = broker.program->listen_address("mysql.listen");
   MysqlClient sql(front);
   sql.query("SELECT 1");
   EXPECT_EQ(sql.error.code, 0);
@@ -89,8 +89,8 @@
              "changelog = \"" + other.address() + "\"\ntenant \"lycee\" {\n  share = 1\n  quota = 100\n}\n");
   const auto report = node.in_force(1);
   EXPECT_EQ(report.rejected_version, control::VersionId{});
-  broker.program->said("settings of version 1.1 are in force");
-  other.wait_until_told();
+  broker.program->wait_for_log("settings of version 1.1 are in force");
+  other.wait_until_applied();
   done = true;
   EXPECT_TRUE(slow.answer().contains("result"));
 
@@ -105,7 +105,7 @@
 
   // Neither the platform's file nor what makes no sense undoes it.
   broker.reload(broker.config.dump());
-  broker.program->said("the change log stays at " + other.address());
+  broker.program->wait_for_log("the change log stays at " + other.address());
   node.offer(2, "tenant \"lycee\" {\n  shar = 1\n}\n");
   const auto bad = node.refused(2);
   EXPECT_EQ(bad.active_version.number, 1U);
--- a/tests/net/stall_test.cpp
+++ b/tests/net/stall_test.cpp
@@ -77,9 +77,9 @@
 }
 
 TEST_F(Stalls, NothingIsSentToAnEngineThatWasToldToDrainMeanwhile) {
-  broker_.changes.wait_until_told();
+  broker_.changes.wait_until_applied();
   Client client(broker_.address);
-  ASSERT_TRUE(client.green());
+  ASSERT_TRUE(client.is_healthy());
   {
     const Stall stall(*broker_.program);
     broker_.changes.push({server("s-00000001", engine_.server.address(), "terminating")});
@@ -125,7 +125,7 @@
 
 TEST_F(Stalls, WhatCameAfterTheRequestToStopIsAnswered) {
   Client client(broker_.address);
-  ASSERT_TRUE(client.green());
+  ASSERT_TRUE(client.is_healthy());
   {
     const Stall stall(*broker_.program);
     broker_.program->signal(SIGTERM);
@@ -143,9 +143,9 @@
   HttpEngine engine([](const Call&) { return rows(kRow); });
   Broker first({{"s-00000001", engine.server.address()}});
   for (int n = 0; n < 5; ++n) {
-    const auto file = temporary(first.config.dump());
+    const auto file = write_temporary_file(first.config.dump());
     Program program({"serve", "--config", file});
-    Client client(program.listens("listen"));
+    Client client(program.listen_address("listen"));
     std::this_thread::sleep_for(300ms);
     client.ask(1, "lookup", kSelect);
     EXPECT_EQ(client.answer().value("id", 0), 1);
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -112,16 +112,16 @@
   Fleet fleet;
   fleet.all_connected();
   fleet.move(1, "c3");
-  const auto from = fleet.broker(1).lines();
+  const auto from = fleet.broker(1).line_count();
   fleet.kill("c3");
-  fleet.broker(1).said("control: lost c3", from);
+  fleet.broker(1).wait_for_log("control: lost c3", from);
   fleet.connected(1, "c", from);
   EXPECT_NE(fleet.at(1), "c3");
   EXPECT_EQ(fleet.publish(tenant("one")).code, 0);
   fleet.restart("c3");
-  fleet.node("c3").said("version 1.1 kept");
+  fleet.node("c3").wait_for_log("version 1.1 kept");
   EXPECT_EQ(fleet.publish(tenant("two")).code, 0);
-  fleet.node("c3").said("version 1.2 kept");
+  fleet.node("c3").wait_for_log("version 1.2 kept");
 }
 
 // The connections stand, and nothing comes: only silence shows it.
@@ -131,7 +131,7 @@
   Fleet fleet(options);
   fleet.all_connected();
   fleet.move(0, "c1");
-  const auto from = fleet.broker(0).lines();
+  const auto from = fleet.broker(0).line_count();
   const auto since = Clock::now();
   fleet.node("c1").signal(SIGSTOP);
   fleet.connected(0, "c2", from);
@@ -154,7 +154,7 @@
   fleet.wait_in_force({1, 1});
   EXPECT_NE(fleet.at(1), "c3");
   fleet.node("c3").signal(SIGCONT);
-  fleet.node("c3").said("version 1.1 kept");
+  fleet.node("c3").wait_for_log("version 1.1 kept");
 }
 
 TEST(Faults, ABrokerThatStandsStillIsNamedAsBehindAndTakesTheNewestWhenItGoesOn) {
@@ -181,21 +181,21 @@
     Fleet fleet(options);
     fleet.all_connected();
     fleet.move(1, "c3");
-    const auto from = fleet.broker(1).lines();
+    const auto from = fleet.broker(1).line_count();
     const auto since = Clock::now();
     fleet.network.each([](auto&, auto& to) { return to == "c3"; },
                        [&](Link& link) {
                          if (mode != 1) link.hold(Way::up);
                          if (mode != 0) link.hold(Way::down);
                        });
-    fleet.broker(1).said("control: lost c3", from);
+    fleet.broker(1).wait_for_log("control: lost c3", from);
     fleet.connected(1, "c", from);
     EXPECT_LT(Clock::now() - since, kMovesOn);
     const auto ran = fleet.publish(tenant("one"));
     EXPECT_EQ(ran.code, 0) << ran;
     fleet.network.heal();
     EXPECT_EQ(fleet.publish(tenant("two")).code, 0);
-    fleet.node("c3").said("version 1.2 kept");
+    fleet.node("c3").wait_for_log("version 1.2 kept");
   }
 }
 
@@ -210,7 +210,7 @@
   EXPECT_EQ(ran.code, 3) << ran;
   EXPECT_NE(ran.out.find("behind: n1"), std::string::npos) << ran;
   fleet.network.heal();
-  fleet.node("c3").said("version 1.1 kept");
+  fleet.node("c3").wait_for_log("version 1.1 kept");
   fleet.wait_in_force({1, 1});
 }
 
@@ -225,7 +225,7 @@
     EXPECT_EQ(fleet.ask(i, "one"), "");
     EXPECT_NE(fleet.ask(i, "acme"), "");
     fleet.restart(i);
-    fleet.broker(i).said(Fleet::in_force({1, 1}));
+    fleet.broker(i).wait_for_log(Fleet::in_force({1, 1}));
     EXPECT_EQ(fleet.ask(i, "one"), "");
     EXPECT_NE(fleet.ask(i, "acme"), "");
   }
@@ -249,11 +249,11 @@
   for (const auto* node : {"c1", "c2", "c3"}) fleet.kill(node);
   fleet.start(std::size_t{0});
   fleet.await_up(0);
-  fleet.broker(0).said("n0.last");
+  fleet.broker(0).wait_for_log("n0.last");
   EXPECT_EQ(fleet.ask(0, "acme"), "");  // as the platform's configuration has it
   EXPECT_NE(fleet.ask(0, "0ne"), "");
   for (const auto* node : {"c1", "c2", "c3"}) fleet.restart(node);
-  fleet.broker(0).said(Fleet::in_force({1, 1}));
+  fleet.broker(0).wait_for_log(Fleet::in_force({1, 1}));
 }
 
 // No file of it may grow any more, as on a disk that is full.
@@ -290,8 +290,8 @@
   const control::LeaderTerm next{2, "c2"};
   fleet.write_files(next, {"c2", "c3", "tool"});
   for (const auto* node : {"c2", "c3"}) fleet.node(node).signal(SIGHUP);
-  fleet.node("c2").said("writes, epoch 2");
-  fleet.node("c3").said("follows c2, epoch 2");
+  fleet.node("c2").wait_for_log("writes, epoch 2");
+  fleet.node("c3").wait_for_log("follows c2, epoch 2");
   Operator old(fleet);
   EXPECT_EQ(old.publish(tenant("stale")), (VersionId{1, 2}));
   const auto ran = fleet.publish(tenant("two"));
@@ -302,8 +302,8 @@
   fleet.network.each([](auto& from, auto& to) { return to != "c1" && from[0] == 'n'; },
                      [](Link& link) { link.cut(); });
   fleet.network.each(to_or_from_c1, [](Link& link) { link.heal(); });
-  fleet.node("c1").said("follows c2, epoch 2");
-  fleet.node("c1").said("version 2.2 kept");
+  fleet.node("c1").wait_for_log("follows c2, epoch 2");
+  fleet.node("c1").wait_for_log("version 2.2 kept");
   old.send(control::Publish{tenant("stale")});
   EXPECT_NE(old.expect<control::PublishRejected>().reason.find("the writer is c2"), std::string::npos);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
@@ -314,7 +314,7 @@
   fleet.network.heal();
   // It has it on its disk, too: after a restart with its old file it does not write.
   fleet.restart("c1");
-  fleet.node("c1").said("follows c2, epoch 2");
+  fleet.node("c1").wait_for_log("follows c2, epoch 2");
   EXPECT_EQ(fleet.publish(tenant("three")).code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) EXPECT_EQ(fleet.ask(i, "three"), "");
 }
@@ -328,17 +328,17 @@
   for (const auto* end : {"", "-journal"}) std::filesystem::remove(fleet.path(std::string("c3.db") + end));
   fleet.write_files({1, "c3"}, {"c3"});
   fleet.restart("c3");
-  fleet.node("c3").said("writes, epoch 1");
+  fleet.node("c3").wait_for_log("writes, epoch 1");
   Operator second(fleet, "c3");
   second.publish(tenant("other"));
   EXPECT_EQ(second.publish(tenant("another")), (VersionId{1, 2}));
   // It alone is in reach.
   std::vector<std::size_t> from;
-  for (std::size_t i = 0; i < fleet.brokers(); ++i) from.push_back(fleet.broker(i).lines());
+  for (std::size_t i = 0; i < fleet.brokers(); ++i) from.push_back(fleet.broker(i).line_count());
   fleet.network.each([](auto& who, auto& to) { return to != "c3" && who[0] == 'n'; },
                      [](Link& link) { link.cut(); });
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
-    fleet.broker(i).said("epoch 1 has", from[i]);
+    fleet.broker(i).wait_for_log("epoch 1 has", from[i]);
     EXPECT_FALSE(fleet.has(i, {1, 2}));
     EXPECT_EQ(fleet.ask(i, "one"), "");
   }
@@ -366,7 +366,7 @@
   fleet.kill(std::size_t{0});
   fleet.write("n0.hcl", fleet.operators_file("n0", fleet.term, "lyon"));
   fleet.restart(std::size_t{0});
-  fleet.broker(0).said("lyon");
+  fleet.broker(0).wait_for_log("lyon");
   EXPECT_EQ(fleet.ask(0, "acme"), "");
   EXPECT_FALSE(fleet.has(0, {1, 1}));
   fleet.write("tool.hcl", fleet.operators_file("tool", fleet.term, "lyon"));
@@ -382,7 +382,7 @@
   fleet.write_files(fleet.term);
   fleet.restart(std::size_t{0});
   fleet.restart("c3");
-  fleet.broker(0).said(Fleet::in_force({1, 1}));
+  fleet.broker(0).wait_for_log(Fleet::in_force({1, 1}));
   EXPECT_EQ(fleet.publish(tenant("two")).code, 0);
 }
 
@@ -422,15 +422,15 @@
   fleet.kept_elsewhere.insert({2, 5});
   std::atomic<std::size_t> turn = 0;
   Server liar([&](Socket& socket) {
-    socket.more();  // its Hello
+    socket.receive();  // its Hello
     const auto now = turn++;
     if (now < std::size(kSaid)) socket.send(kSaid[now].first);
     socket.ended();
   });
-  const auto from = fleet.broker(0).lines();
+  const auto from = fleet.broker(0).line_count();
   fleet.network.place("c1", liar.address());
-  for (const auto& [bytes, problem] : kSaid) fleet.broker(0).said(problem, from);
-  fleet.broker(0).said(Fleet::in_force({2, 5}));
+  for (const auto& [bytes, problem] : kSaid) fleet.broker(0).wait_for_log(problem, from);
+  fleet.broker(0).wait_for_log(Fleet::in_force({2, 5}));
   EXPECT_EQ(fleet.ask(0, "good"), "");
   for (const auto* name : {"older", "mixed", "other", "stale", "second", "foreign", "unknown"})
     EXPECT_NE(fleet.ask(0, name), "") << name;
@@ -444,7 +444,7 @@
   options.nodes = {{"c1", "north"}, {"c2", "south"}};
   options.brokers = 0;
   Fleet fleet(options);
-  fleet.node("c2").said("follows c1, epoch 1");
+  fleet.node("c2").wait_for_log("follows c1, epoch 1");
   fleet.kill("c1");
   control::Version good{{1, 5}, "c1", "", tenant("good")};
   good.digest = control::compute_digest(good);
@@ -463,7 +463,7 @@
   std::atomic<int> turn = 0;
   std::atomic<bool> next = false;
   Server liar([&](Socket& socket) {
-    socket.more();
+    socket.receive();
     if (next) {
       socket.send(bytes({1, "c1"}, {}));
     } else {
@@ -472,13 +472,13 @@
     socket.ended();
   });
   fleet.network.place("c1", liar.address());
-  fleet.node("c2").said("version 1.5 kept");
-  fleet.node("c2").said("version 1.6 is damaged");
-  fleet.node("c2").said("disconnects from c1: epoch 1 has two writers");
+  fleet.node("c2").wait_for_log("version 1.5 kept");
+  fleet.node("c2").wait_for_log("version 1.6 is damaged");
+  fleet.node("c2").wait_for_log("disconnects from c1: epoch 1 has two writers");
   next = true;
   fleet.write_files({2, "c1"}, {"c2"});
   fleet.node("c2").signal(SIGHUP);
-  fleet.node("c2").said("disconnects from c1: it knows of epoch 1 only");
+  fleet.node("c2").wait_for_log("disconnects from c1: it knows of epoch 1 only");
   Operator tool(fleet, "c2");
   tool.send(control::StatusRequest{});
   EXPECT_EQ(tool.expect<control::NodeStatus>().committed, (VersionId{1, 5}));
--- a/tests/processes/fleet.hpp
+++ b/tests/processes/fleet.hpp
@@ -30,7 +30,7 @@
       : options_(std::move(options)), engine([](const Call& call) -> std::optional<std::string> {
           return call.method == "DELETE" ? http(204) : rows("x\ty\tz\n");
         }) {
-    directory_ = temporary("");
+    directory_ = write_temporary_file("");
     ::unlink(directory_.c_str());
     std::filesystem::create_directory(directory_);
     changes.push({server("s-00000001", engine.server.address())}, true);
@@ -42,7 +42,7 @@
     for (std::size_t i = 0; i < options_.brokers; ++i) brokers_[i].name = "n" + std::to_string(i);
     write_files(term);
     for (auto& [name, node] : nodes_) start(name);
-    for (auto& [name, node] : nodes_) node.program->said("listening on");
+    for (auto& [name, node] : nodes_) node.program->wait_for_log("listening on");
     for (auto& [i, broker] : brokers_) start(i);
     for (auto& [i, broker] : brokers_) await_up(i);
   }
@@ -116,8 +116,8 @@
   }
   void await_up(std::size_t broker) {
     auto& it = brokers_.at(broker);
-    it.address = it.program->listens("listen");
-    it.program->said("phase: serving");
+    it.address = it.program->listen_address("listen");
+    it.program->wait_for_log("phase: serving");
   }
   Program& node(const std::string& name) { return *nodes_.at(name).program; }
   Program& broker(std::size_t i) { return *brokers_.at(i).program; }
@@ -134,7 +134,7 @@
   void restart(const std::string& node) {
     if (nodes_.at(node).program) kill(node);
     start(node);
-    this->node(node).said("listening on");
+    this->node(node).wait_for_log("listening on");
   }
   void restart(std::size_t broker) {
     if (brokers_.at(broker).program) kill(broker);
@@ -144,7 +144,7 @@
 
   // ---- what is in force
   void connected(std::size_t broker, const std::string& node = "", std::size_t from = 0) {
-    this->broker(broker).said("control: connected to " + node, from);
+    this->broker(broker).wait_for_log("control: connected to " + node, from);
   }
   void all_connected() {
     for (const auto& [i, broker] : brokers_) connected(i);
@@ -153,7 +153,7 @@
     return "control: version " + control::to_text(place) + " in force";
   }
   void wait_in_force(VersionId place) {
-    for (auto& [i, broker] : brokers_) broker.program->said(in_force(place));
+    for (auto& [i, broker] : brokers_) broker.program->wait_for_log(in_force(place));
   }
   [[nodiscard]] bool has(std::size_t i, VersionId place) {
     const auto lines = broker(i).all_lines();
@@ -177,7 +177,7 @@
   void move(std::size_t i, const std::string& node) {
     connected(i);
     if (at(i) == node) return;
-    const auto from = broker(i).lines();
+    const auto from = broker(i).line_count();
     const auto others = [&](auto& who, auto& to) { return who == brokers_.at(i).name && to != node; };
     network.each(others, [](Link& link) { link.cut(); });
     connected(i, node + " ", from);
@@ -198,7 +198,7 @@
 
   // Asked again until it is so; empty if it never was.
   json status_when(const std::function<bool(const json&)>& so) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kTestTimeout;
     json out;
     do {
       status(&out);
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -47,7 +47,7 @@
   return to << "code " << ran.code << "\n" << ran.out << ran.err;
 }
 inline Ran run_program(const std::vector<std::string>& arguments) {
-  std::vector<std::string> files{temporary(""), temporary("")};
+  std::vector<std::string> files{write_temporary_file(""), write_temporary_file("")};
   std::vector<char*> argv{const_cast<char*>(BELLSTAIR_PROGRAM)};  // before the fork, as in Program
   for (const auto& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
@@ -82,7 +82,7 @@
   }
   control::Message receive() {
     while (bodies_.empty()) {
-      if (!socket.more()) throw std::runtime_error("the connection has ended");
+      if (!socket.receive()) throw std::runtime_error("the connection has ended");
       const auto error = decoder_.feed(std::exchange(socket.in, {}), [this](std::string_view body) {
         bodies_.emplace_back(body);
         return true;
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -86,7 +86,7 @@
       "    tenant = \"acme\"\n  }\n}\n";
   Fleet fleet(options);
   fleet.all_connected();
-  MysqlClient client(fleet.broker(0).listens("mysql.listen"));
+  MysqlClient client(fleet.broker(0).listen_address("mysql.listen"));
   // A statement without a limit of its own has its class's give-up time.
   const auto limit = [&](int number) {
     const auto text = "SELECT a FROM sales_17.orders WHERE b = " + std::to_string(number);
@@ -102,7 +102,7 @@
                                  "\"\nclass \"lookup\" {\n  give_up = \"3s\"\n  aim = \"1s\"\n}\n");
   EXPECT_EQ(ran.code, 0) << ran;
   EXPECT_LE(limit(2), 3000);
-  other.wait_until_told();
+  other.wait_until_applied();
 }
 
 TEST(Publish, ABadDocumentIsRefusedWithLineAndColumnAndNothingChanges) {
@@ -170,7 +170,7 @@
     EXPECT_EQ(broker["refused"], "1.2");
   }
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
-    fleet.broker(i).said("control: version 1.2 rejected: ");
+    fleet.broker(i).wait_for_log("control: version 1.2 rejected: ");
     EXPECT_EQ(fleet.ask(i, "new"), "");
     EXPECT_NE(fleet.ask(i, "newer"), "");
   }
@@ -224,9 +224,9 @@
   Fleet fleet(options);
   fleet.all_connected();
   ASSERT_EQ(fleet.publish(tenant("new")).code, 0);
-  const auto from = fleet.broker(0).lines();
+  const auto from = fleet.broker(0).line_count();
   fleet.broker(0).signal(SIGHUP);
-  fleet.broker(0).said("the configuration was read again", from);
+  fleet.broker(0).wait_for_log("the configuration was read again", from);
   EXPECT_EQ(fleet.ask(0, "new"), "");
   EXPECT_NE(fleet.ask(0, "acme"), "");
   ASSERT_EQ(fleet.publish(tenant("newer")).code, 0);
@@ -243,7 +243,7 @@
 TEST(Off, ServeAloneHoldsTheDescriptorsAndThreadsOfThisListAndNoMore) {
   HttpEngine engine([](const Call&) { return rows("x\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, nullptr);
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   const auto proc = "/proc/" + std::to_string(broker.program->pid());
   std::map<std::string, int> held;
   for (const auto& entry : std::filesystem::directory_iterator(proc + "/fd")) {
--- a/tests/processes/relay.hpp
+++ b/tests/processes/relay.hpp
@@ -104,7 +104,7 @@
   void adopt(Pair& pair, std::size_t which, net::Fd fd, bool dialling) {
     auto& side = pair.sides[which];
     side.stream = std::make_unique<net::Stream>(loop_, std::move(fd), dialling, kMost);
-    side.stream->handle({
+    side.stream->set_handlers({
         .connected = [this, &pair] { go_on(pair); },
         .data =
             [this, &pair, which](std::string_view bytes) {
--- a/tests/processes/relay_test.cpp
+++ b/tests/processes/relay_test.cpp
@@ -73,7 +73,7 @@
   socket.send("one\n");
   EXPECT_EQ(socket.line(), "one");
   echo.with([](Link& link) { link.silence(); });
-  echo.server.drain();
+  echo.server.stop_accepting();
   ::shutdown(socket.fd(), SHUT_WR);
   EXPECT_TRUE(quiet(socket));
   echo.with([](Link& link) { link.heal(); });
@@ -86,9 +86,9 @@
   socket.send("one\n");
   EXPECT_EQ(socket.line(), "one");
   echo.with([](Link& link) { link.cut(); });
-  EXPECT_FALSE(socket.more());
+  EXPECT_FALSE(socket.receive());
   auto refused = echo.dial();
-  EXPECT_FALSE(refused.more());
+  EXPECT_FALSE(refused.receive());
   echo.with([](Link& link) {
     link.heal();
     link.delay(50ms);
@@ -99,7 +99,7 @@
   EXPECT_EQ(late.line(), "two");
   EXPECT_GE(std::chrono::steady_clock::now() - from, 100ms);
   echo.with([](Link& link) { link.reset(); });
-  EXPECT_FALSE(late.more());
+  EXPECT_FALSE(late.receive());
   EXPECT_NO_THROW(echo.dial());
   std::uint64_t up = 0, down = 0;
   echo.with([&](Link& link) {
@@ -114,7 +114,7 @@
   Echo echo;
   echo.network.place("b", "");
   auto socket = echo.dial();
-  EXPECT_FALSE(socket.more());
+  EXPECT_FALSE(socket.receive());
   Echo other;
   echo.network.place("b", other.server.address());
   auto again = echo.dial();
--- a/tests/soak/client.cpp
+++ b/tests/soak/client.cpp
@@ -127,7 +127,7 @@
     while (!open_.empty()) {
       bool more = false;
       try {
-        more = socket.more();
+        more = socket.receive();
       } catch (const std::runtime_error&) {
         more = true;  // nothing yet
       }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -163,13 +163,13 @@
                       {"changelog", network_.address(broker.name, "changes")},
                       {"known", changes_.known()},
                       {"settings", settings(number, options_.brokers)}};
-    const auto file = files_.emplace_back(test::temporary(config.dump()));
+    const auto file = files_.emplace_back(test::write_temporary_file(config.dump()));
     const bool faulty = number % 2 == 1;
     broker.program = std::make_unique<test::Program>(
         std::vector<std::string>{"serve", "--config", file, "--log-level", "debug"},
         faulty ? broker.faults.environment() : std::map<std::string, std::string>{});
     try {
-      broker.program->said("phase: serving");
+      broker.program->wait_for_log("phase: serving");
     } catch (const std::exception& error) {
       broken_.push_back(broker.name + " did not start: " + error.what());
     }
