--- a/src/net/client_server.hpp
+++ b/src/net/client_server.hpp
@@ -1,4 +1,4 @@
-// The server side towards clients, whatever protocol they speak.
+// Interface of the servers that accept client connections, for any client protocol.
 #pragma once
 
 #include "core/events.hpp"
@@ -6,14 +6,15 @@
 
 namespace bellstair::net {
 
-// Reports each request as RequestReceived, and owes its client one answer until the client cancels or leaves.
+// Reports each request as RequestReceived. Its client gets exactly one answer unless it cancels or
+// disconnects.
 class ClientServer : public LoopComponent {
  public:
-  // Sends the answer; false: the client is not one of this server's.
+  // Sends the answer; returns false if the client is not one of this server's.
   virtual bool run(const core::Answer& answer) = 0;
-  // Begins the shutdown: every connection is closed once no answer is owed on it.
+  // Begins the shutdown: closes each connection once no request on it is unanswered.
   virtual void shut_down() = 0;
-  // True while bytes are unsent, or a closing client has still to read the last of them.
+  // True while bytes are unsent or a client whose connection is closing may not have read all of them.
   [[nodiscard]] virtual bool has_unsent_output() const = 0;
 };
 
--- a/src/net/connect_error.hpp
+++ b/src/net/connect_error.hpp
@@ -1,4 +1,4 @@
-// What a failed connect() says of the peer it was for (connect(2), "Errors").
+// Classifies the errors of connect() by their cause (connect(2), "Errors").
 #pragma once
 
 #include <cerrno>
@@ -6,10 +6,10 @@
 namespace bellstair::net {
 
 enum class ConnectError {
-  refused,      // the peer's machine answers, and nobody listens there
-  reset,        // accepted and reset, which says nothing of who listens
-  exhausted,    // this machine has no descriptor, port or memory for it now
-  unreachable,  // the network, here or on the way, did not carry it
+  refused,           // the peer's machine responds, but nothing listens on the port
+  reset,             // accepted, then reset: no evidence that the listener has failed
+  out_of_resources,  // this machine has no descriptor, port or memory for the connection now
+  unreachable,       // the network, on this machine or on the path, did not reach the peer
 };
 
 [[nodiscard]] inline ConnectError classify_connect_error(int error) {
@@ -25,7 +25,7 @@
     case EADDRNOTAVAIL:
     case EADDRINUSE:
     case EAGAIN:
-      return ConnectError::exhausted;
+      return ConnectError::out_of_resources;
     default:
       return ConnectError::unreachable;
   }
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -9,18 +9,19 @@
 using namespace std::chrono_literals;
 
 constexpr Time kSweepInterval = 1s;
-// A reset connect says nothing of its engine, unlike a refused one, and is retried so many times in a row.
+// A reset connect, unlike a refused one, is no evidence of a failed engine. It is retried up to this many
+// times in a row.
 constexpr int kMaxConnectRetries = 2;
-// A connect that takes longer than this part of the timeout gets another one beside it: most succeed within
-// milliseconds or late, and the waiter takes whichever is first.
-constexpr int kSlowConnectPart = 4;
+// When a connect has taken the timeout divided by this, another one is started in parallel: most connects
+// succeed either within milliseconds or late, and the waiter gets whichever succeeds first.
+constexpr int kSlowConnectDivisor = 4;
 constexpr std::size_t kMaxSlowConnectsPerWaiter = 2;
-// Without a descriptor, connects are retried after so long even if none of this pool's is closed.
+// While descriptors are short, connects are retried at this interval even if the pool closes no connection.
 constexpr Time kShortageRetryInterval = 100ms;
-// After the network did not carry a connect, before the next one to that engine.
+// Delay before the next connect to an engine that the network could not reach.
 constexpr Time kUnreachableRetryDelay = 10ms;
-// Bounds the work of one settle(), should handlers keep asking for connections.
-constexpr int kMaxRoundsPerTurn = 1000;
+// Bounds the work of one settle() in case handlers keep requesting connections.
+constexpr int kMaxRoundsPerSettle = 1000;
 }  // namespace
 
 ConnectionPool::ConnectionPool(ev::loop_ref loop, Limits limits, Handshake handshake)
@@ -30,7 +31,7 @@
 
 void ConnectionPool::set_endpoint(std::uint32_t id, const std::string& address) {
   auto& engine = engines_[id];
-  // Connections to a former address may lead to another engine by now.
+  // Connections to the previous address may lead to another engine by now.
   if (engine.address != address) {
     while (!engine.idle.empty()) remove(*engine.idle.front());
     std::vector<Connection*> connecting;
@@ -103,7 +104,7 @@
 
 // ---- descriptors
 
-void ConnectionPool::note_descriptor_shortage() {
+void ConnectionPool::begin_descriptor_shortage() {
   descriptor_shortage_ = true;
   shortage_since_ = now_;
 }
@@ -115,7 +116,7 @@
   }
 }
 
-bool ConnectionPool::make_room() {
+bool ConnectionPool::ensure_capacity() {
   if (connections_.size() < limits_.max_connections) return true;
   Connection* oldest = nullptr;
   for (auto& [id, engine] : engines_) {
@@ -145,7 +146,7 @@
   connection.state_since = now_;
   connections_.emplace(serial, std::move(made));
   ++engine.connecting;
-  connect_timers_.arm(now_ + limits_.connect_timeout / kSlowConnectPart, serial);
+  connect_timers_.arm(now_ + limits_.connect_timeout / kSlowConnectDivisor, serial);
   connection.stream.set_handlers(handlers_of(connection));
 }
 
@@ -162,9 +163,9 @@
           },
       .data =
           [this, &connection](std::string_view bytes) {
-            engines_[connection.engine].last_heard_at = now_;
-            if (!connection.on_data) return report_lost(connection, false);  // no call is out
-            const auto on_data = connection.on_data;                         // it may be replaced from within
+            engines_[connection.engine].last_received_at = now_;
+            if (!connection.on_data) return report_lost(connection, false);  // no call is in progress
+            const auto on_data = connection.on_data;  // a copy: the handler may replace it
             on_data(bytes);
           },
       .ended = [ended] { ended(true); },
@@ -173,7 +174,8 @@
   };
 }
 
-// Only a refused connect is evidence of the engine's own; others are retried until their waiters' timeout.
+// A refused connect is a failure of the engine, and so is a reset after kMaxConnectRetries retries in a row.
+// Other failed connects are retried until their waiters time out.
 void ConnectionPool::connect_failed(std::uint32_t id, Engine& engine, int error) {
   switch (classify_connect_error(error)) {
     case ConnectError::refused:
@@ -184,8 +186,8 @@
       ++engine.unreported_failures;
       engine.consecutive_resets = 0;
       return;
-    case ConnectError::exhausted:
-      return note_descriptor_shortage();
+    case ConnectError::out_of_resources:
+      return begin_descriptor_shortage();
     case ConnectError::unreachable:
       engine.next_connect_at = now_ + kUnreachableRetryDelay;
       unreachable_engines_.push_back(id);
@@ -196,13 +198,13 @@
 void ConnectionPool::finish_connect(Connection& connection, bool succeeded) {
   auto& engine = engines_[connection.engine];
   if (!succeeded) {
-    // A peer that closes in good form before the handshake is over leaves no error.
+    // A peer that closes the connection without a reset during the handshake leaves no errno.
     const int error = connection.stream.error();
     connect_failed(connection.engine, engine, error != 0 ? error : ECONNREFUSED);
     return remove(connection);
   }
   connection.established = true;
-  engine.last_heard_at = now_;
+  engine.last_received_at = now_;
   engine.consecutive_resets = 0;
   --engine.connecting;
   if (connection.slow_to_connect) --engine.connecting_slowly;
@@ -250,12 +252,13 @@
   for (const auto& handler : handlers) handler(nullptr);
 }
 
-// The timeout is the waiter's, however many connects were made meanwhile and for whom. An engine that is
-// heard on other connections has not failed: its waiters have more time.
+// The timeout runs from the waiter's checkout, however many connects were started since and for which waiter.
+// An engine from which data or a new connection was received since then has not failed, so that its waiters
+// get a longer timeout.
 void ConnectionPool::fail_waiters_past_connect_timeout(Engine& engine) {
   fail_waiters(engine, [&](const Waiter& waiter) {
-    const bool heard_since = engine.last_heard_at > waiter.since;
-    const Time limit = (heard_since ? 1 + kMaxConnectRetries : 1) * limits_.connect_timeout;
+    const bool received_since = engine.last_received_at > waiter.since;
+    const Time limit = (received_since ? 1 + kMaxConnectRetries : 1) * limits_.connect_timeout;
     return now_ >= waiter.since + limit;
   });
 }
@@ -274,17 +277,17 @@
   return waiter;
 }
 
-// The most recently used one first, so that the others reach their idle timeout.
+// Prefers the most recently used connection, so that the others reach their idle timeout.
 ConnectionPool::Connection* ConnectionPool::take_idle(Engine& engine) {
   while (true) {
     const auto found = std::ranges::find_if(engine.idle.rbegin(), engine.idle.rend(), [this](const auto* c) {
-      return !c->has_carried_call || c->state_since + limits_.reuse_delay <= now_;
+      return !c->has_been_used || c->state_since + limits_.reuse_delay <= now_;
     });
     if (found == engine.idle.rend()) return nullptr;
     auto* connection = *found;
     engine.idle.erase(std::next(found).base());
     connection->idle = false;
-    // The engine may have closed it, and the loop not have noticed yet.
+    // The engine may have closed it without the loop having read that yet.
     if (!connection->stream.stale()) return connection;
     remove(*connection);
   }
@@ -300,7 +303,7 @@
   if (std::exchange(engine.check_connect_timeouts, false)) fail_waiters_past_connect_timeout(engine);
   while (!engine.waiters.empty()) {
     if (auto* connection = take_idle(engine)) {
-      connection->has_carried_call = true;
+      connection->has_been_used = true;
       take_first_waiter(engine).handler(connection);
       continue;
     }
@@ -310,17 +313,17 @@
       continue;
     }
     if (!needs_another_connect(engine)) return;
-    if (!make_room()) return note_descriptor_shortage();
+    if (!ensure_capacity()) return begin_descriptor_shortage();
     connect(id, engine);
     if (descriptor_shortage_) return;
   }
   engine.unreported_failures = 0;
 }
 
-// ---- the loop
+// ---- event loop
 
 void ConnectionPool::settle() {
-  for (int round = 0; round < kMaxRoundsPerTurn && !changed_engines_.empty(); ++round) {
+  for (int round = 0; round < kMaxRoundsPerSettle && !changed_engines_.empty(); ++round) {
     const auto changed = std::exchange(changed_engines_, {});
     for (const auto id : changed) serve_waiters(id, engines_[id]);
   }
@@ -343,7 +346,7 @@
       remove(*engine.idle.front());
     fail_waiters_past_own_timeout(engine, now);
   }
-  // Engine ids are never used again.
+  // Engine ids are never reused.
   std::erase_if(engines_, [](const auto& entry) {
     const auto& engine = entry.second;
     return !engine.available && engine.idle.empty() && engine.waiters.empty() && engine.connecting == 0;
--- a/src/net/engine_driver.hpp
+++ b/src/net/engine_driver.hpp
@@ -1,4 +1,4 @@
-// The client side of engines, whatever protocol they speak.
+// Interface of the drivers that connect to engines, for any engine protocol.
 #pragma once
 
 #include "core/events.hpp"
@@ -7,11 +7,11 @@
 
 namespace bellstair::net {
 
-// Runs the core's effects on engines. Each StartAttempt is answered by exactly one AttemptEnded, each
-// SendHealthCheck by one HealthCheckEnded.
+// Executes the core's effects on engines. Each StartAttempt results in exactly one AttemptEnded event, each
+// SendHealthCheck in one HealthCheckEnded.
 class EngineDriver : public LoopComponent {
  public:
-  // Connects for an attempt; AttemptConnected follows, and the driver waits for Transmit.
+  // Connects for an attempt, reports AttemptConnected, and then waits for Transmit.
   virtual void run(const core::StartAttempt& effect) = 0;
   // Sends the statement; its body is moved out of the effect.
   virtual void run(core::Transmit& effect) = 0;
--- a/src/net/event_sink.hpp
+++ b/src/net/event_sink.hpp
@@ -1,4 +1,4 @@
-// Where the owners of sockets report what has happened.
+// The callback through which the owners of sockets report events to the core.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,8 @@
 
 namespace bellstair::net {
 
-// Queues the event and returns: the core handles it later in the same turn of the loop, never from within the
-// call. Safe from within any handler.
+// Queues the event and returns: the core handles it later in the same iteration of the loop, never from
+// within the call. May be called from within any handler.
 using EventSink = std::function<void(core::Event)>;
 
 }  // namespace bellstair::net
--- a/src/net/io_watch.hpp
+++ b/src/net/io_watch.hpp
@@ -1,9 +1,9 @@
-// Watches a descriptor on the loop, also while the system is short of memory.
+// Watches a descriptor on the event loop and resumes watching after a shortage of memory.
 //
-// The system may fail to take a descriptor into the loop's set (epoll_ctl: ENOMEM, ENOSPC). libev then stops
-// the watcher for good and says so once: whoever did not heed that would never hear of the descriptor again.
-// The same holds for calls that fail for want of memory, after which a level-triggered loop would go round
-// for nothing. In both cases the descriptor is left alone for a moment, and watched again.
+// The kernel may fail to add a descriptor to the loop's set (epoll_ctl: ENOMEM, ENOSPC). libev then stops the
+// watcher permanently and reports ev::ERROR once, and no event of the descriptor would be reported any more.
+// After calls that fail for lack of memory, a level-triggered loop would spin. In both cases the descriptor
+// is not watched for a short pause, and is then watched again.
 #pragma once
 
 #include <ev++.h>
@@ -12,25 +12,25 @@
 
 class IoWatch {
  public:
-  explicit IoWatch(ev::loop_ref loop) : io_(loop), resume_(loop) {
+  explicit IoWatch(ev::loop_ref loop) : io_(loop), resume_timer_(loop) {
     io_.set<IoWatch, &IoWatch::on_io>(this);
-    resume_.set<IoWatch, &IoWatch::on_resume>(this);
+    resume_timer_.set<IoWatch, &IoWatch::on_resume>(this);
   }
   IoWatch(const IoWatch&) = delete;
   IoWatch& operator=(const IoWatch&) = delete;
 
-  // `method` is called with ev::READ, ev::WRITE or both. It may destroy the object, and this with it.
+  // `method` is called with ev::READ, ev::WRITE or both. It may destroy the object, and this watch with it.
   template <class Object, void (Object::*method)(int events)>
   void set(Object* object) {
     object_ = object;
-    call_ = [](void* to, int events) { (static_cast<Object*>(to)->*method)(events); };
+    method_ = [](void* to, int events) { (static_cast<Object*>(to)->*method)(events); };
   }
 
-  // `events`: ev::READ, ev::WRITE or both; 0: none. During a pause it takes effect at its end.
+  // `events`: ev::READ, ev::WRITE or both; 0: none. During a pause, the change takes effect at its end.
   void watch(int fd, int events) {
     fd_ = fd;
     events_ = events;
-    if (resume_.is_active()) return;
+    if (resume_timer_.is_active()) return;
     if (events == 0) {
       io_.stop();
     } else if (!io_.is_active()) {
@@ -39,15 +39,15 @@
       io_.set(events);
     }
   }
-  // To be called before the descriptor is closed.
+  // Must be called before the descriptor is closed.
   void stop() {
     io_.stop();
-    resume_.stop();
+    resume_timer_.stop();
   }
-  // Nothing is reported for kPauseSeconds.
+  // Reports no events for kPauseSeconds.
   void pause() {
     io_.stop();
-    resume_.start(kPauseSeconds, 0);
+    resume_timer_.start(kPauseSeconds, 0);
   }
 
  private:
@@ -55,15 +55,15 @@
 
   void on_io(ev::io&, int events) {
     if ((events & ev::ERROR) != 0) return pause();
-    call_(object_, events);
+    method_(object_, events);
   }
   void on_resume(ev::timer&, int) { watch(fd_, events_); }
 
   ev::io io_;
-  ev::timer resume_;
+  ev::timer resume_timer_;
   int fd_ = -1, events_ = 0;
   void* object_ = nullptr;
-  void (*call_)(void*, int) = nullptr;
+  void (*method_)(void*, int) = nullptr;
 };
 
 }  // namespace bellstair::net
--- a/src/net/lingerer.cpp
+++ b/src/net/lingerer.cpp
@@ -5,9 +5,9 @@
 namespace bellstair::net {
 
 void Lingerer::take(Stream& stream) {
-  auto rest = stream.release();
-  if (!rest.fd) return;
-  lingering_.push_back(std::make_unique<Lingering>(loop_, std::move(rest.fd), now_ + kLingerTimeout));
+  auto detached = stream.release();
+  if (!detached.fd) return;
+  lingering_.push_back(std::make_unique<Lingering>(loop_, std::move(detached.fd), now_ + kLingerTimeout));
   const auto position = std::prev(lingering_.end());
   auto& lingering = **position;
   lingering.stream.set_handlers({
@@ -23,12 +23,12 @@
             if ((*position)->stream.ended()) close(position);
           },
   });
-  if (!rest.unwritten.empty()) lingering.stream.write(rest.unwritten);
+  if (!detached.unwritten.empty()) lingering.stream.write(detached.unwritten);
   lingering.stream.finish();
 }
 
 void Lingerer::reject(Fd fd, std::string_view message) {
-  Stream stream(loop_, std::move(fd), false, kMaxUnwritten);
+  Stream stream(loop_, std::move(fd), false, kMaxUnwrittenBytes);
   stream.write(message);
   take(stream);
 }
@@ -39,8 +39,8 @@
   lingering_.erase(position);
 }
 
-void Lingerer::trim(std::size_t most) {
-  while (lingering_.size() > most) close(lingering_.begin());
+void Lingerer::trim(std::size_t max_lingering) {
+  while (lingering_.size() > max_lingering) close(lingering_.begin());
 }
 
 void Lingerer::trim_beside(std::size_t open, std::size_t capacity) {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,20 +9,20 @@
 
 namespace bellstair::net {
 namespace {
-constexpr int kMaxAcceptsPerTurn = 64;  // of the loop
+constexpr int kMaxAcceptsPerIteration = 64;
 }  // namespace
 
 AcceptError classify_accept_error(int error) {
   switch (error) {
     case EAGAIN:
-      return AcceptError::none_waiting;
+      return AcceptError::queue_empty;
     case EMFILE:
-      return AcceptError::own_limit;
+      return AcceptError::process_limit;
     case EINTR:
     case ECONNABORTED:
     case EPERM:
     case ETIMEDOUT:
-    // Pending network errors of the new socket, which accept() returns.
+    // accept() also returns pending network errors of the new socket.
     case ENETDOWN:
     case EPROTO:
     case ENOPROTOOPT:
@@ -31,7 +31,7 @@
     case EHOSTUNREACH:
     case EOPNOTSUPP:
     case ENETUNREACH:
-      return AcceptError::this_connection;
+      return AcceptError::connection_failed;
     default:
       return AcceptError::system_limit;
   }
@@ -42,18 +42,18 @@
       fd_(std::move(fd)),
       on_accept_(std::move(on_accept)),
       free_descriptor_(std::move(free_descriptor)) {
-  open_reserve();
+  open_reserve_fd();
   io_.set<Listener, &Listener::on_io>(this);
   io_.watch(fd_.get(), ev::READ);
 }
 
-void Listener::open_reserve() {
-  if (!reserve_) reserve_ = Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
+void Listener::open_reserve_fd() {
+  if (!reserve_fd_) reserve_fd_ = Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
 void Listener::on_io(int) {
-  open_reserve();
-  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
+  open_reserve_fd();
+  for (int i = 0; i < kMaxAcceptsPerIteration; ++i) {
     if (!accept_one()) return;
   }
 }
@@ -67,28 +67,28 @@
     return true;
   }
   switch (classify_accept_error(errno)) {
-    case AcceptError::none_waiting:
+    case AcceptError::queue_empty:
       failing_since_.reset();
       return false;
-    case AcceptError::this_connection:
+    case AcceptError::connection_failed:
       return true;
-    case AcceptError::own_limit:
+    case AcceptError::process_limit:
       if (free_descriptor_ && free_descriptor_()) return true;
-      if (close_next()) return true;
+      if (accept_and_close()) return true;
       break;
     case AcceptError::system_limit:
       break;
   }
   if (!failing_since_) failing_since_ = steady_now();
-  io_.pause();  // the loop reports a waiting connection in each of its turns
+  io_.pause();  // otherwise the loop would report the waiting connection in each iteration
   return false;
 }
 
-bool Listener::close_next() {
-  if (!reserve_) return false;
-  reserve_.reset();
+bool Listener::accept_and_close() {
+  if (!reserve_fd_) return false;
+  reserve_fd_.reset();
   const bool closed = static_cast<bool>(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
-  open_reserve();
+  open_reserve_fd();
   return closed;
 }
 
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts TCP connections on the loop.
+// Accepts TCP connections on the event loop.
 #pragma once
 
 #include <ev++.h>
@@ -12,24 +12,24 @@
 
 namespace bellstair::net {
 
-// What a failed accept4() means for the connections that wait to be accepted (accept(2), "Errors").
+// What a failed accept4() means for the connections in the accept queue (accept(2), "Errors").
 enum class AcceptError {
-  none_waiting,
-  this_connection,  // that one has gone, or the call was interrupted: the next may be taken
-  own_limit,        // this process holds all the descriptors that it may
-  system_limit,     // the system is short of descriptors or memory for now: they can wait
+  queue_empty,
+  connection_failed,  // that connection is gone, or the call was interrupted: the next can be accepted
+  process_limit,      // this process has reached its limit on descriptors
+  system_limit,       // the system is short of descriptors or memory for now: the connections can wait
 };
 [[nodiscard]] AcceptError classify_accept_error(int error);
 
-// A connection that waits in the system's queue is not lost, so that errors of the system's are waited out.
-// Only where this process itself has no descriptor left, and its owner can free none, is a connection closed
-// at once, by way of a descriptor kept in reserve: left waiting, its client would never hear anything.
+// After a shortage in the system, accept() is retried: connections in the kernel's queue are not lost. If
+// this process has no descriptor left and its owner can free none, the listener accepts a connection with a
+// descriptor kept in reserve and closes it at once; in the queue, its client would wait without any response.
 class Listener {
  public:
-  // Called once for each connection, from the loop. `waited`: how long the connection may have waited, with
-  // what its peer has sent meanwhile, since the system did not let it be accepted.
+  // Called once for each connection, from the loop. `waited`: how long the connection, and what its peer has
+  // sent, may have been in the queue while accept() failed.
   using AcceptHandler = std::function<void(Fd, Time waited)>;
-  // Called from the loop; true: a descriptor has been freed.
+  // Called from the loop; returns true if it has freed a descriptor.
   using FreeDescriptor = std::function<bool()>;
 
   Listener(ev::loop_ref loop, Fd fd, AcceptHandler on_accept, FreeDescriptor free_descriptor = {});
@@ -38,14 +38,14 @@
 
  private:
   void on_io(int events);
-  [[nodiscard]] bool accept_one();  // false: no more in this turn of the loop
-  [[nodiscard]] bool close_next();  // by the reserve; false: not possible now
-  void open_reserve();
+  [[nodiscard]] bool accept_one();        // false: accept no more in this iteration of the loop
+  [[nodiscard]] bool accept_and_close();  // with the reserve; false: not possible now
+  void open_reserve_fd();
 
   IoWatch io_;
   Fd fd_;
-  Fd reserve_;
-  std::optional<Time> failing_since_;  // accept() has failed since, and has not found the queue empty
+  Fd reserve_fd_;
+  std::optional<Time> failing_since_;  // accept() has failed since then without emptying the queue
   AcceptHandler on_accept_;
   FreeDescriptor free_descriptor_;
 };
--- a/src/net/loop_component.hpp
+++ b/src/net/loop_component.hpp
@@ -1,17 +1,17 @@
-// What the event loop asks of a part of the program that owns sockets and timers.
+// Interface of the components on the event loop, which own sockets and timers.
 #pragma once
 
 #include "net/steady_clock.hpp"
 
 namespace bellstair::net {
 
-// A time in which the process did not run: it was stopped, or its machine was paused.
+// A period in which the process did not run, because it was stopped or its machine was paused.
 struct Stall {
-  Time since{};       // the last look at the sockets before it
+  Time since{};       // the last poll of the sockets before it
   Time resumed_at{};  // the first moment after it
 };
 
-// The time that a component goes by moves with tick() and resume() only.
+// A component's clock advances only by tick() and resume().
 class LoopComponent {
  public:
   LoopComponent() = default;
@@ -21,10 +21,11 @@
 
   // Sets the clock and fires the timers that are due.
   virtual void tick(Time now) = 0;
-  // Sets the clock to the end of a stall and fires no timer: what has arrived meanwhile is read first.
+  // Sets the clock to the end of a stall without firing timers, so that input that arrived during the stall
+  // is read first.
   virtual void resume(const Stall& stall) = 0;
-  // Once at the end of each turn of the loop, when no handler is running: continues what waits, frees what is
-  // closed.
+  // Called once at the end of each iteration of the loop, when no handler is running: continues work that is
+  // waiting and frees closed connections.
   virtual void settle() = 0;
 };
 
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Addresses and file descriptors.
+// IPv4 addresses, file descriptors and sockets.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,7 +11,7 @@
 
 namespace bellstair::net {
 
-// "10.0.0.4:8080"; there are no names to look up here.
+// Parses an address such as "10.0.0.4:8080"; host names are not resolved.
 [[nodiscard]] std::optional<sockaddr_in> parse_address(std::string_view text);
 
 class Fd {
@@ -37,14 +37,14 @@
   int fd_ = -1;
 };
 
-// All of these give non-blocking sockets; an empty Fd where the system says no (errno tells why).
-// These two are for the program's start: while the system is short of descriptors or memory they wait, for 2
-// s at the most.
-[[nodiscard]] Fd listen_tcp(const sockaddr_in& at);
-[[nodiscard]] Fd bind_udp(const sockaddr_in& at);
+// The functions that return an Fd open a non-blocking socket; on failure the Fd is empty and errno is set.
+// listen_tcp() and bind_udp() are for the program's start: while the system is short of descriptors or memory
+// they block and retry, for at most 2 s.
+[[nodiscard]] Fd listen_tcp(const sockaddr_in& address);
+[[nodiscard]] Fd bind_udp(const sockaddr_in& address);
 [[nodiscard]] std::string local_address(int fd);
 [[nodiscard]] std::string peer_address(int fd);
-[[nodiscard]] Fd begin_connect(const sockaddr_in& to);  // done once it is writable, see connect_error()
-[[nodiscard]] int connect_error(int fd);                // 0: connected
+[[nodiscard]] Fd begin_connect(const sockaddr_in& address);  // complete once writable, see connect_error()
+[[nodiscard]] int connect_error(int fd);                     // 0: connected
 
 }  // namespace bellstair::net
--- a/src/net/steady_clock.hpp
+++ b/src/net/steady_clock.hpp
@@ -1,4 +1,4 @@
-// The clock for spans of time within the program: the system's own may be set at any moment.
+// The monotonic clock for intervals within the program: the system clock may be set at any time.
 #pragma once
 
 #include <chrono>
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -8,9 +8,9 @@
 namespace bellstair::net {
 namespace {
 constexpr std::size_t kReadBufferBytes = std::size_t{64} * 1024;
-constexpr std::size_t kMaxIdleBufferBytes = std::size_t{16} * 1024;  // kept once all is written
-constexpr int kMaxReadsPerTurn = 4;                                  // of the loop, a buffer each
-// Temporary errors, which leave the connection as it was.
+constexpr std::size_t kMaxIdleBufferBytes = std::size_t{16} * 1024;  // retained once all is sent
+constexpr int kMaxReadsPerIteration = 4;                             // one buffer each
+// Temporary errors leave the connection intact.
 bool lacks_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
 bool is_temporary(int error) { return error == EAGAIN || error == EINTR || lacks_memory(error); }
 }  // namespace
@@ -34,7 +34,7 @@
     const auto sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     const int error = sent < 0 ? errno : 0;
     if (sent < 0 && !is_temporary(error)) {
-      failed_ = true;  // reported from the loop, not from within the caller
+      failed_ = true;  // reported from the loop, not from within this call
       error_ = error;
       watch();
       return false;
@@ -51,7 +51,7 @@
     watch();
     return false;
   }
-  out_.append(bytes);
+  output_.append(bytes);
   watch();
   return true;
 }
@@ -64,8 +64,8 @@
 }
 
 void Stream::abort() {
-  const linger at_once{1, 0};
-  if (fd_) ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger reset_on_close{1, 0};
+  if (fd_) ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   close();
 }
 
@@ -79,20 +79,20 @@
   if (fd_) watch();
 }
 
-Stream::Rest Stream::release() {
-  Rest out{std::move(fd_), out_.substr(out_at_)};
+Stream::Detached Stream::release() {
+  Detached detached{std::move(fd_), output_.substr(output_offset_)};
   io_.stop();
-  out_.clear();
-  out_at_ = 0;
+  output_.clear();
+  output_offset_ = 0;
   close();
-  return out;
+  return detached;
 }
 
 Stream::Unread Stream::unread() const {
   char byte = 0;
-  const auto got = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (got > 0) return Unread::bytes;
-  return got < 0 && is_temporary(errno) ? Unread::nothing : Unread::end;
+  const auto received = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  if (received > 0) return Unread::bytes;
+  return received < 0 && is_temporary(errno) ? Unread::nothing : Unread::end;
 }
 
 void Stream::fail(int error) {
@@ -100,7 +100,7 @@
   io_.stop();
   fd_.reset();
   if (handlers_.closed) {
-    const auto closed = handlers_.closed;  // it may destroy this stream
+    const auto closed = handlers_.closed;  // a copy: the handler may destroy this stream
     closed();
   }
 }
@@ -124,18 +124,19 @@
 }
 
 void Stream::read() {
-  static std::array<char, kReadBufferBytes> buffer;  // one loop, one thread
-  ssize_t got = 0;
-  // Several buffers in a turn, so that a flood does not hide its end; not all, or others would starve.
-  for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
-    got = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
-    if (got <= 0) break;
+  static std::array<char, kReadBufferBytes> buffer;  // shared: one thread runs the only loop
+  ssize_t received = 0;
+  // Reads several buffers per iteration, so that a flood of input doesn't delay the detection of its end, but
+  // not without limit, so that other connections are not starved.
+  for (int reads = 0; reads < kMaxReadsPerIteration; ++reads) {
+    received = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
+    if (received <= 0) break;
     const auto alive = alive_;
-    if (handlers_.data) handlers_.data({buffer.data(), static_cast<std::size_t>(got)});
-    if (!*alive || !fd_ || paused_ || static_cast<std::size_t>(got) < buffer.size()) return;
+    if (handlers_.data) handlers_.data({buffer.data(), static_cast<std::size_t>(received)});
+    if (!*alive || !fd_ || paused_ || static_cast<std::size_t>(received) < buffer.size()) return;
   }
-  if (got > 0) return;
-  if (got < 0) {
+  if (received > 0) return;
+  if (received < 0) {
     if (lacks_memory(errno)) return io_.pause();
     return is_temporary(errno) ? void() : fail(errno);
   }
@@ -146,21 +147,21 @@
 
 void Stream::flush() {
   while (unsent_bytes() > 0) {
-    const auto sent = ::send(fd_.get(), out_.data() + out_at_, unsent_bytes(), MSG_NOSIGNAL);
+    const auto sent = ::send(fd_.get(), output_.data() + output_offset_, unsent_bytes(), MSG_NOSIGNAL);
     if (sent < 0) {
       const int error = errno;
       if (!is_temporary(error)) return fail(error);
       if (lacks_memory(error)) io_.pause();
       break;
     }
-    out_at_ += static_cast<std::size_t>(sent);
+    output_offset_ += static_cast<std::size_t>(sent);
     written_ += static_cast<std::size_t>(sent);
   }
   if (unsent_bytes() == 0) {
     if (finishing_) ::shutdown(fd_.get(), SHUT_WR);
-    out_.clear();
-    out_at_ = 0;
-    if (out_.capacity() > kMaxIdleBufferBytes) out_.shrink_to_fit();
+    output_.clear();
+    output_offset_ = 0;
+    if (output_.capacity() > kMaxIdleBufferBytes) output_.shrink_to_fit();
   }
   watch();
   if (unsent_bytes() == 0 && handlers_.drained) handlers_.drained();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// One TCP connection on the loop: bounded buffers, no blocking.
+// A non-blocking TCP connection on the event loop, with a bounded output buffer.
 #pragma once
 
 #include <ev++.h>
@@ -19,11 +19,11 @@
   // Called from the loop, never from within a call on the stream; each may be empty. A handler may close or
   // destroy the stream.
   struct Handlers {
-    std::function<void()> connected;             // once, for streams that connect
-    std::function<void(std::string_view)> data;  // for each read; the bytes are valid within the call only
-    std::function<void()> ended;                 // once: the peer writes no more, and reading is over
-    std::function<void()> closed;                // once: broken, or never connected
-    std::function<void()> drained;               // each time that all that was written has left
+    std::function<void()> connected;             // once, for streams that were connecting
+    std::function<void(std::string_view)> data;  // for each read; the bytes are valid only during the call
+    std::function<void()> ended;                 // once: the peer has shut down its sending side
+    std::function<void()> closed;                // once: the connection failed or was never established
+    std::function<void()> drained;               // each time that all written bytes have been sent
   };
 
   Stream(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_unwritten);
@@ -31,39 +31,40 @@
   Stream& operator=(const Stream&) = delete;
 
   void set_handlers(Handlers handlers) { handlers_ = std::move(handlers); }
-  // False: it is broken or its peer does not read; `closed` follows from the loop, never from within.
+  // Returns false if the connection is broken or its peer does not read, so that the output buffer is full;
+  // the loop then calls `closed`, never from within write().
   bool write(std::string_view bytes);
-  // No handler is called any more; the descriptor is closed at once. Safe from within a handler.
+  // Closes the descriptor at once; no handler is called afterwards. May be called from within a handler.
   void close();
-  // As close(), and what the peer has not got by now it never gets: a machine that was cut off may come back,
-  // and the system would go on sending for it.
+  // Like close(), but resets the connection and discards what the peer has not received. After a plain
+  // close() the kernel would go on sending to a machine that was cut off from the network and may return.
   void abort();
   void pause(bool on);  // stops or resumes reading
-  // Shuts down writing once all has left. Reading goes on: closing over unread input would reset the
-  // connection, and destroy data that the peer has not read yet.
+  // Shuts down the sending side once all written bytes have been sent. Reading goes on: to close the
+  // connection over unread input would reset it and destroy data that the peer has not read yet.
   void finish();
 
-  // What was written and has not left yet, and the descriptor with it: for another owner. No handler of this
-  // one is called any more.
-  struct Rest {
+  // The descriptor and the bytes that are not sent yet, handed over to another owner. After release() no
+  // handler of this stream is called.
+  struct Detached {
     Fd fd;
     std::string unwritten;
   };
-  [[nodiscard]] Rest release();
+  [[nodiscard]] Detached release();
 
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
   [[nodiscard]] bool connecting() const { return connecting_; }
-  // errno of what broke it; 0: it is not broken, or its peer does not read what is written.
+  // errno of the failure; 0 if the connection has not failed, or failed because its peer does not read.
   [[nodiscard]] int error() const { return error_; }
-  [[nodiscard]] std::size_t unsent_bytes() const { return out_.size() - out_at_; }
-  [[nodiscard]] std::size_t written() const { return written_; }  // bytes that the system has taken
-  [[nodiscard]] bool ended() const { return ended_; }             // the peer writes no more
-  // What lies in the system's buffer, not yet read: the loop may not have come to it.
+  [[nodiscard]] std::size_t unsent_bytes() const { return output_.size() - output_offset_; }
+  [[nodiscard]] std::size_t written() const { return written_; }  // bytes that the kernel has accepted
+  [[nodiscard]] bool ended() const { return ended_; }             // the peer has shut down its sending side
+  // What the kernel's receive buffer holds that the loop has not read yet.
   enum class Unread { nothing, bytes, end };
   [[nodiscard]] Unread unread() const;
-  // For an idle stream: true if the peer has closed it, or sent something unasked.
+  // For an idle stream: true if the peer has closed it or sent unsolicited bytes.
   [[nodiscard]] bool stale() const { return unread() != Unread::nothing; }
-  // True if it has been reset since its peer's end was read, which reading can't show.
+  // True if the connection was reset after the end of its input was read; further reads don't show that.
   [[nodiscard]] bool reset() const { return fd_ && connect_error(fd_.get()) != 0; }
 
  private:
@@ -77,8 +78,8 @@
   int error_ = 0;
   bool connecting_, paused_ = false, ended_ = false, failed_ = false, finishing_ = false;
   std::size_t max_unwritten_;
-  std::string out_;
-  std::size_t out_at_ = 0, written_ = 0;
+  std::string output_;
+  std::size_t output_offset_ = 0, written_ = 0;
   Handlers handlers_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 
--- a/src/net/worker.cpp
+++ b/src/net/worker.cpp
@@ -5,8 +5,8 @@
 
 namespace bellstair::net {
 
-Worker::Worker(ev::loop_ref loop) : finished_watch_(loop) {
-  finished_watch_.set<Worker, &Worker::on_finished>(this);
+Worker::Worker(ev::loop_ref loop) : finished_signal_(loop) {
+  finished_signal_.set<Worker, &Worker::on_finished>(this);
 }
 
 Worker::~Worker() {
@@ -15,25 +15,25 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  changed_.notify_one();
+  queue_changed_.notify_one();
   thread_.join();
 }
 
 void Worker::post(Work work) {
   if (!thread_.joinable()) {
-    finished_watch_.start();
-    // Signals are the loop's.
-    sigset_t all, before;
+    finished_signal_.start();
+    // Signals are handled by the loop's thread only.
+    sigset_t all, previous;
     sigfillset(&all);
-    pthread_sigmask(SIG_BLOCK, &all, &before);
+    pthread_sigmask(SIG_BLOCK, &all, &previous);
     thread_ = std::thread([this] { run(); });
-    pthread_sigmask(SIG_SETMASK, &before, nullptr);
+    pthread_sigmask(SIG_SETMASK, &previous, nullptr);
   }
   {
     const std::lock_guard lock(mutex_);
     queued_.push_back(std::move(work));
   }
-  changed_.notify_one();
+  queue_changed_.notify_one();
 }
 
 void Worker::run() {
@@ -41,17 +41,17 @@
     Work next;
     {
       std::unique_lock lock(mutex_);
-      changed_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
+      queue_changed_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
       if (stopping_) return;
       next = std::move(queued_.front());
       queued_.pop_front();
     }
-    auto then = next();
+    auto completion = next();
     {
       const std::lock_guard lock(mutex_);
-      finished_.push_back(std::move(then));
+      finished_.push_back(std::move(completion));
     }
-    finished_watch_.send();
+    finished_signal_.send();
   }
 }
 
@@ -61,7 +61,7 @@
     const std::lock_guard lock(mutex_);
     finished.swap(finished_);
   }
-  for (const auto& then : finished) then();
+  for (const auto& completion : finished) completion();
 }
 
 }  // namespace bellstair::net
--- a/src/net/worker.hpp
+++ b/src/net/worker.hpp
@@ -1,4 +1,4 @@
-// Work that may block, beside the loop: a thread of its own, started with the first such work.
+// A background thread for work that would block the event loop. It starts with the first such work.
 #pragma once
 
 #include <ev++.h>
@@ -13,11 +13,11 @@
 
 class Worker {
  public:
-  // Runs in the thread, one at a time and in order; what it returns runs on the loop afterwards.
+  // Runs in the thread, one at a time and in order; the function that it returns runs on the loop afterwards.
   using Work = std::function<std::function<void()>()>;
 
   explicit Worker(ev::loop_ref loop);
-  // Waits for the work that has begun; what has not is dropped.
+  // Waits for work that is running and discards queued work.
   ~Worker();
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
@@ -28,9 +28,9 @@
   void run();
   void on_finished(ev::async&, int);
 
-  ev::async finished_watch_;
+  ev::async finished_signal_;
   std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable queue_changed_;
   std::deque<Work> queued_;
   std::deque<std::function<void()>> finished_;
   bool stopping_ = false;
