--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -63,7 +63,7 @@
   if (connections_.size() >= options_.max_connections) {
     const Error error{kTooManyConnections, "08004", "too many connections"};
     lingerer_.reject(std::move(fd), frame(0, write_error(error)));
-    return lingerer_.trim_beside(connections_.size(), options_.max_connections);
+    return lingerer_.trim_to_capacity(connections_.size(), options_.max_connections);
   }
   auto made = std::make_unique<Connection>(loop_, std::move(fd));
   auto& connection = *made;
@@ -116,7 +116,7 @@
 void MysqlServer::close_gracefully(Connection& connection) {
   lingerer_.take(connection.stream);
   close(connection);
-  lingerer_.trim_beside(connections_.size(), options_.max_connections);
+  lingerer_.trim_to_capacity(connections_.size(), options_.max_connections);
 }
 
 void MysqlServer::close_with_error(Connection& connection, const Error& error) {
--- a/src/net/lingerer.cpp
+++ b/src/net/lingerer.cpp
@@ -43,7 +43,7 @@
   while (lingering_.size() > max_lingering) close(lingering_.begin());
 }
 
-void Lingerer::trim_beside(std::size_t open, std::size_t capacity) {
+void Lingerer::trim_to_capacity(std::size_t open, std::size_t capacity) {
   if (!limited_) return;
   const auto limit = capacity + kMaxBeyondCapacity;
   trim(limit > open ? limit - open : 0);
--- a/src/net/lingerer.hpp
+++ b/src/net/lingerer.hpp
@@ -30,7 +30,7 @@
   void trim(std::size_t max_lingering);
   // Like trim(), for a server with `open` connections and a limit of `capacity`: the connections of both
   // kinds exceed the limit by at most kMaxBeyondCapacity. No-op after lift_limit().
-  void trim_beside(std::size_t open, std::size_t capacity);
+  void trim_to_capacity(std::size_t open, std::size_t capacity);
   // For the shutdown, when no new connections need descriptors.
   void lift_limit() { limited_ = false; }
 
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -40,7 +40,7 @@
   const bool within_capacity = make_room();
   if (!within_capacity && connections_.size() >= max_connections_ + kMaxOverCapacity) {
     lingerer_.reject(std::move(fd), rpc_error(std::nullopt, kRpcRejected, "too many connections"));
-    return lingerer_.trim_beside(connections_.size(), max_connections_);
+    return lingerer_.trim_to_capacity(connections_.size(), max_connections_);
   }
   auto made = std::make_unique<Connection>(loop_, std::move(fd));
   auto& connection = *made;
@@ -110,7 +110,7 @@
 void JsonRpcServer::close_gracefully(Connection& connection) {
   lingerer_.take(connection.stream);
   close(connection);
-  lingerer_.trim_beside(connections_.size(), max_connections_);
+  lingerer_.trim_to_capacity(connections_.size(), max_connections_);
 }
 
 void JsonRpcServer::close_with_error(Connection& connection, std::string_view reason) {
