--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -1,6 +1,6 @@
-// The real program as a process, and stand-ins for what it talks to: clients, engines, the change log. All on
-// loopback addresses, at ports that the system chooses. Nothing here waits for time to pass; what does not
-// come ends a test after kTestTimeout.
+// Test harness: runs the real program as a process, with test doubles for its clients, engines and change
+// log. All use loopback addresses and ports that the system chooses. The harness waits for events, not for a
+// fixed time; a wait fails after kTestTimeout.
 #pragma once
 
 #include <arpa/inet.h>
@@ -46,32 +46,33 @@
 class Socket {
  public:
   explicit Socket(int fd) : fd_(fd) {
-    const timeval patience{kTestTimeout / 1s, 0};
-    ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    const timeval timeout{kTestTimeout / 1s, 0};
+    ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   }
   static Socket to(const std::string& address) {
-    const auto at = net::parse_address(address).value();
+    const auto peer = net::parse_address(address).value();
     Socket out(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    if (::connect(out.fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
+    if (::connect(out.fd_.get(), reinterpret_cast<const sockaddr*>(&peer), sizeof peer) != 0)
       throw std::runtime_error("cannot connect to " + address);
     return out;
   }
   bool send(const std::string& bytes) {
     return ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
   }
-  // False at the connection's end.
+  // Returns false when the connection has ended.
   bool receive() {
     char buffer[16384];
-    const auto got = ::recv(fd_.get(), buffer, sizeof buffer, 0);
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) throw std::runtime_error("nothing came");
-    if (got <= 0) return false;
-    in.append(buffer, static_cast<std::size_t>(got));
+    const auto received = ::recv(fd_.get(), buffer, sizeof buffer, 0);
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+      throw std::runtime_error("timed out waiting for data");
+    if (received <= 0) return false;
+    in.append(buffer, static_cast<std::size_t>(received));
     return true;
   }
   std::string line() {
     std::size_t end = 0;
     while ((end = in.find('\n')) == std::string::npos) {
-      if (!receive()) throw std::runtime_error("the connection has ended");
+      if (!receive()) throw std::runtime_error("the connection was closed");
     }
     auto out = in.substr(0, end);
     in.erase(0, end + 1);
@@ -81,9 +82,9 @@
     while (receive()) in.clear();
     return true;
   }
-  void reset() {  // as a dying process does
-    const linger now{1, 0};
-    ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  void reset() {  // as when the process at this end dies
+    const linger reset_on_close{1, 0};
+    ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     fd_.reset();
   }
   [[nodiscard]] int fd() const { return fd_.get(); }
@@ -93,22 +94,23 @@
   net::Fd fd_;
 };
 
-// Calls `serve` for each connection, in a thread of its own.
+// A TCP server that calls `serve` for each connection, in a thread of its own.
 class Server {
  public:
   using Serve = std::function<void(Socket&)>;
   explicit Server(Serve serve)
       : serve_(std::move(serve)), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    if (::bind(fd_.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd_.get(), 64) != 0)
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    if (::bind(fd_.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
+        ::listen(fd_.get(), 64) != 0)
       throw std::runtime_error("cannot listen");
     address_ = net::local_address(fd_.get());
     acceptor_ = std::thread([this] { accept(); });
   }
   ~Server() { stop(); }
-  // Refuses later connections; the open ones go on.
+  // Refuses new connections and keeps the open ones.
   void stop_accepting() {
     if (!acceptor_.joinable()) return;
     stopped_ = true;
@@ -116,12 +118,12 @@
     acceptor_.join();
     fd_.reset();
   }
-  // Closes everything.
+  // Refuses new connections and closes the open ones.
   void stop() {
     stop_accepting();
     {
       const std::lock_guard lock(mutex_);
-      for (const int fd : open_) ::shutdown(fd, SHUT_RDWR);
+      for (const int fd : open_fds_) ::shutdown(fd, SHUT_RDWR);
     }
     for (auto& thread : std::exchange(threads_, {})) thread.join();
   }
@@ -136,15 +138,15 @@
         Socket socket(fd);
         {
           const std::lock_guard lock(mutex_);
-          open_.insert(fd);
+          open_fds_.insert(fd);
         }
         try {
           if (!stopped_) serve_(socket);
         } catch (const std::exception&) {
-          // the other end is gone
+          // the peer has closed the connection
         }
         const std::lock_guard lock(mutex_);
-        open_.erase(fd);
+        open_fds_.erase(fd);
       });
     }
   }
@@ -153,7 +155,7 @@
   std::string address_;
   std::atomic<bool> stopped_ = false;
   std::mutex mutex_;
-  std::set<int> open_;
+  std::set<int> open_fds_;
   std::vector<std::thread> threads_;
   std::thread acceptor_;
 };
@@ -165,7 +167,7 @@
 inline Call read_call(Socket& socket) {
   std::size_t end = 0;
   while ((end = socket.in.find("\r\n\r\n")) == std::string::npos) {
-    if (!socket.receive()) throw std::runtime_error("the connection has ended");
+    if (!socket.receive()) throw std::runtime_error("the connection was closed");
   }
   Call out;
   std::istringstream head(socket.in.substr(0, end + 2));
@@ -180,7 +182,7 @@
   }
   const auto size = out.headers.contains("Content-Length") ? std::stoul(out.headers["Content-Length"]) : 0;
   while (socket.in.size() < end + 4 + size) {
-    if (!socket.receive()) throw std::runtime_error("the connection has ended");
+    if (!socket.receive()) throw std::runtime_error("the connection was closed");
   }
   out.body = socket.in.substr(end + 4, size);
   socket.in.erase(0, end + 4 + size);
@@ -194,7 +196,7 @@
   return http(200, body, "Result-Pages: " + std::to_string(pages) + "\r\nQuery-Cost: 5\r\nQuery-Need: 8\r\n");
 }
 
-// Things that have happened, which a test can wait for.
+// A thread-safe record of events, which a test can wait for.
 template <class T>
 class Log {
  public:
@@ -203,22 +205,22 @@
     items_.push_back(std::move(item));
     changed_.notify_all();
   }
-  // The first that fits, from the `from`th on, once it has come.
-  T wait(const std::function<bool(const T&)>& fits, std::size_t from = 0) {
+  // Waits for an item that matches, at index `from` or later, and returns the first.
+  T wait(const std::function<bool(const T&)>& matches, std::size_t from = 0) {
     std::unique_lock lock(mutex_);
     std::optional<T> found;
     changed_.wait_for(lock, kTestTimeout, [&] {
       for (auto i = from; i < items_.size() && !found; ++i) {
-        if (fits(items_[i])) found = items_[i];
+        if (matches(items_[i])) found = items_[i];
       }
       return found.has_value();
     });
-    if (!found) throw std::runtime_error("what was waited for did not happen");
+    if (!found) throw std::runtime_error("timed out waiting for an event");
     return *found;
   }
-  std::size_t count(const std::function<bool(const T&)>& fits) {
+  std::size_t count(const std::function<bool(const T&)>& matches) {
     const std::lock_guard lock(mutex_);
-    return static_cast<std::size_t>(std::count_if(items_.begin(), items_.end(), fits));
+    return static_cast<std::size_t>(std::count_if(items_.begin(), items_.end(), matches));
   }
   std::vector<T> all() {
     const std::lock_guard lock(mutex_);
@@ -231,7 +233,8 @@
   std::vector<T> items_;
 };
 
-// An engine that speaks HTTP: `answer` gives the bytes to send for a call, or none to reset the connection.
+// An HTTP engine. `answer` returns the bytes to send in response to a call, or nullopt to reset the
+// connection.
 class HttpEngine {
  public:
   using Answer = std::function<std::optional<std::string>(const Call&)>;
@@ -270,23 +273,24 @@
     return {{"seq", events_.size()}, {"results", events_}};
   }
   [[nodiscard]] const std::string& address() const { return server_.address(); }
-  // Once the broker has asked for what follows the last event, it has dealt with all before.
+  // Waits until the broker polls for events after the last one: by then it has applied all of them.
   void wait_until_applied() {
     const auto last = "/changes?since=" + std::to_string(known()["seq"].get<int>()) + "&timeout=1000";
-    asked_.wait([&](const std::string& path) { return path == last; });
+    polls_.wait([&](const std::string& path) { return path == last; });
   }
 
  private:
   void serve(Socket& socket) {
     while (true) {
       const auto call = read_call(socket);
-      asked_.add(call.path);
+      polls_.add(call.path);
       const auto since = std::stoul(call.path.substr(call.path.find('=') + 1));
-      const auto hold = std::stoul(call.path.substr(call.path.rfind('=') + 1));
+      const auto timeout_ms = std::stoul(call.path.substr(call.path.rfind('=') + 1));
       json out;
       {
         std::unique_lock lock(mutex_);
-        changed_.wait_for(lock, std::min<std::chrono::milliseconds>(std::chrono::milliseconds(hold), 1s),
+        changed_.wait_for(lock,
+                          std::min<std::chrono::milliseconds>(std::chrono::milliseconds(timeout_ms), 1s),
                           [&] { return events_.size() > since; });
         out["seq"] = events_.size();
         out["results"] = json::array();
@@ -298,7 +302,7 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::vector<json> events_;
-  Log<std::string> asked_;
+  Log<std::string> polls_;
   Server server_;
 };
 
@@ -308,9 +312,9 @@
 }
 
 inline json settings() {
-  const auto cls = [](const char* name, const char* semantics, std::int64_t give_up_ms) {
+  const auto cls = [](const char* name, const char* semantics, std::int64_t client_timeout_ms) {
     return json{{"name", name},       {"aim", 1'000'000'000},
-                {"aim-stretch", 2.0}, {"give-up", give_up_ms * 1'000'000},
+                {"aim-stretch", 2.0}, {"give-up", client_timeout_ms * 1'000'000},
                 {"credit", 1.0},      {"semantics", semantics},
                 {"group", "all"},     {"window", 15'000'000'000},
                 {"late-share", 0.5},  {"in-order", std::string(name) == "load"}};
@@ -348,52 +352,53 @@
 
 struct Exit {
   int status = 0;
-  std::string said;  // to standard error
+  std::string standard_error;
 };
 
-// The program, from its start to its end.
+// A process of the program, which is killed at the end of the scope.
 class Program {
  public:
   Program(std::vector<std::string> arguments, std::map<std::string, std::string> environment = {},
-          rlim_t files = 0) {
+          rlim_t max_descriptors = 0) {
     int out[2];
-    if (::pipe2(out, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
-    // All that takes memory comes before the fork: another thread may hold the allocator's lock at that
-    // moment, and its copy in the child is never let go.
+    if (::pipe2(out, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
+    // Allocates all memory before the fork: another thread may hold the allocator's lock at that
+    // moment, and the child's copy of the lock would never be released.
     std::vector<char*> argv{const_cast<char*>(BELLSTAIR_PROGRAM)};
     for (auto& argument : arguments) argv.push_back(argument.data());
     argv.push_back(nullptr);
     std::vector<std::string> variables;
     for (const auto& [name, value] : environment) variables.push_back(name + "=" + value);
-    std::vector<char*> environ_of;
-    for (auto& variable : variables) environ_of.push_back(variable.data());
+    std::vector<char*> child_environment;
+    for (auto& variable : variables) child_environment.push_back(variable.data());
     for (char** old = ::environ; *old != nullptr; ++old) {
       const std::string_view name(*old, std::strcspn(*old, "="));
-      if (!environment.contains(std::string(name))) environ_of.push_back(*old);
+      if (!environment.contains(std::string(name))) child_environment.push_back(*old);
     }
-    environ_of.push_back(nullptr);
+    child_environment.push_back(nullptr);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // nothing is left behind by a test that is killed
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // the process doesn't outlive a killed test
       ::dup2(out[1], STDERR_FILENO);
-      const rlimit most{files, files};
-      if (files != 0) ::setrlimit(RLIMIT_NOFILE, &most);
-      ::execve(argv[0], argv.data(), environ_of.data());
+      const rlimit limit{max_descriptors, max_descriptors};
+      if (max_descriptors != 0) ::setrlimit(RLIMIT_NOFILE, &limit);
+      ::execve(argv[0], argv.data(), child_environment.data());
       ::_exit(127);
     }
     ::close(out[1]);
     out_ = out[0];
     reader_ = std::thread([this, fd = out[0]] {
       const net::Fd owner(fd);
-      std::string rest;
+      std::string unparsed;
       char buffer[4096];
       while (true) {
-        while (unread_) std::this_thread::sleep_for(2ms);
-        const auto got = ::read(fd, buffer, sizeof buffer);
-        if (got <= 0) return;
-        rest.append(buffer, static_cast<std::size_t>(got));
-        for (std::size_t end = 0; (end = rest.find('\n')) != std::string::npos; rest.erase(0, end + 1))
-          lines_.add(rest.substr(0, end));
+        while (reading_stopped_) std::this_thread::sleep_for(2ms);
+        const auto received = ::read(fd, buffer, sizeof buffer);
+        if (received <= 0) return;
+        unparsed.append(buffer, static_cast<std::size_t>(received));
+        for (std::size_t end = 0; (end = unparsed.find('\n')) != std::string::npos;
+             unparsed.erase(0, end + 1))
+          lines_.add(unparsed.substr(0, end));
       }
     });
   }
@@ -403,36 +408,38 @@
       wait();
     }
   }
-  std::string wait_for_log(const std::string& what, std::size_t from = 0) {
+  // Waits for a log line that contains `text`, at index `from` or later.
+  std::string wait_for_log(const std::string& text, std::size_t from = 0) {
     try {
-      return lines_.wait([&](const std::string& line) { return line.find(what) != std::string::npos; }, from);
+      return lines_.wait([&](const std::string& line) { return line.find(text) != std::string::npos; }, from);
     } catch (const std::exception&) {
       std::string all;
       for (const auto& line : all_lines()) all += "\n  " + line;
-      throw std::runtime_error("it was not said: " + what + "; but" + (all.empty() ? " nothing" : all));
+      throw std::runtime_error("no log line contains: " + text +
+                               "; logged:" + (all.empty() ? " nothing" : all));
     }
   }
   std::string listen_address(const std::string& field) {
     const auto line = wait_for_log("bellstair: " + field + " on ");
     return line.substr(line.rfind(' ') + 1);
   }
-  // To it alone: after its end there is nobody, and kill(-1) would reach every process there is.
+  // After the end of the process, pid_ is -1, and kill() would signal every process.
   void signal(int number) {
     if (pid_ > 0) ::kill(pid_, number);
   }
   int wait() {
     int status = 0;
-    if (pid_ <= 0) throw std::runtime_error("it has been waited for");
+    if (pid_ <= 0) throw std::runtime_error("the process has already been waited for");
     ::waitpid(pid_, &status, 0);
     pid_ = -1;
-    unread_ = false;
+    reading_stopped_ = false;
     reader_.join();
     return status;
   }
-  // Nobody reads what it says any more, of which the system holds a page at the most, until its end.
+  // Stops reading standard error until the process ends. The pipe then holds one page of it at most.
   void stop_reading() {
     ::fcntl(out_, F_SETPIPE_SZ, 4096);
-    unread_ = true;
+    reading_stopped_ = true;
   }
   std::size_t line_count() { return lines_.all().size(); }
   std::vector<std::string> all_lines() { return lines_.all(); }
@@ -441,22 +448,23 @@
  private:
   pid_t pid_ = -1;
   int out_ = -1;  // owned by the reader
-  std::atomic<bool> unread_ = false;
+  std::atomic<bool> reading_stopped_ = false;
   Log<std::string> lines_;
   std::thread reader_;
 };
 
-// A broker that serves, with its change log; `environment` for its process alone.
+// A serving broker and its change log; `environment` is for the broker's process only.
 class Broker {
  public:
-  // `patch`: for the settings, as RFC 7396 merges it in; `member`: so for each engine of the list.
+  // `patch` is merged into the settings (RFC 7396), `endpoint_patch` into each record of the endpoint list.
   explicit Broker(const std::vector<std::pair<std::string, std::string>>& engines, const json& fronts = {},
-                  rlim_t files = 0, const json& patch = json::object(), const json& member = json::object(),
+                  rlim_t max_descriptors = 0, const json& patch = json::object(),
+                  const json& endpoint_patch = json::object(),
                   std::map<std::string, std::string> environment = {}) {
     json all = json::array();
-    for (const auto& [id, at] : engines) {
-      all.push_back(server(id, at));
-      all.back().merge_patch(member);
+    for (const auto& [id, engine_address] : engines) {
+      all.push_back(server(id, engine_address));
+      all.back().merge_patch(endpoint_patch);
     }
     changes.push(std::move(all), true);
     config = {{"name", "n0"},
@@ -474,11 +482,11 @@
       arguments.push_back(files_.emplace_back(write_temporary_file(fronts.dump())));
     }
     environment.try_emplace("TEST_SECRET", "secret");
-    program = std::make_unique<Program>(arguments, std::move(environment), files);
+    program = std::make_unique<Program>(arguments, std::move(environment), max_descriptors);
     address = program->listen_address("listen");
     program->wait_for_log("phase: serving");
   }
-  // Replaces the configuration's file, and says so to the program.
+  // Replaces the configuration file and sends SIGHUP to the program.
   void reload(const std::string& text) {
     std::ofstream(files_.front()) << text;
     program->signal(SIGHUP);
@@ -495,16 +503,16 @@
   std::vector<std::string> files_;
 };
 
-// A client of the platform's front.
+// A client of the platform's JSON-RPC protocol.
 class Client {
  public:
   explicit Client(const std::string& address) : socket(Socket::to(address)) {}
-  void ask(int id, const std::string& cls, const std::string& statement, json more = json::object()) {
+  void ask(int id, const std::string& cls, const std::string& statement, json extra_params = json::object()) {
     json params{{"txn", "9b1f03aa5c7e2d41"},
                 {"limit", 15000},
                 {"team", "acme"},
                 {"data", platform::to_base64(statement)}};
-    params.update(more);
+    params.update(extra_params);
     socket.send(json{{"jsonrpc", "2.0"}, {"id", id}, {"method", cls}, {"params", params}}.dump() + "\n");
   }
   json answer() { return json::parse(socket.line()); }
