--- a/tests/net/stall_test.cpp
+++ b/tests/net/stall_test.cpp
@@ -1,5 +1,5 @@
-// A process that does not run for a while, as under SIGSTOP or on a machine that is paused: what has happened
-// meanwhile is read before anything is decided, sent or given up.
+// Tests of a process that does not run for a while, because of SIGSTOP or because its machine is paused.
+// After the stall, the broker reads all input before it decides, sends or cancels anything.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -9,14 +9,14 @@
 
 const std::string kSelect = "SELECT a FROM sales_17.orders";
 const std::string kRow = "x\ty\tz\n";
-constexpr auto kSettle = 400ms;  // in which whatever a broker would still begin has begun
+constexpr auto kSettleTime = 400ms;  // enough for a broker to send what it would send
 
 bool is_post(const Call& call) { return call.method == "POST"; }
 
-// Stops a process, and has it run on at the end of the scope.
-class Stall {
+// Stops a process, and continues it at the end of the scope.
+class ScopedStall {
  public:
-  explicit Stall(Program& program) : program_(program) {
+  explicit ScopedStall(Program& program) : program_(program) {
     program_.signal(SIGSTOP);
     const auto path = "/proc/" + std::to_string(program_.pid()) + "/stat";
     while (true) {
@@ -26,24 +26,24 @@
       std::this_thread::sleep_for(1ms);
     }
   }
-  ~Stall() { program_.signal(SIGCONT); }
-  Stall(const Stall&) = delete;
-  Stall& operator=(const Stall&) = delete;
+  ~ScopedStall() { program_.signal(SIGCONT); }
+  ScopedStall(const ScopedStall&) = delete;
+  ScopedStall& operator=(const ScopedStall&) = delete;
 
  private:
   Program& program_;
 };
 
-class Stalls : public ::testing::Test {
+class StalledBroker : public ::testing::Test {
  protected:
   HttpEngine engine_{[](const Call& call) { return call.method == "DELETE" ? http(204) : rows(kRow); }};
   Broker broker_{{{"s-00000001", engine_.server.address()}}};
 };
 
-TEST_F(Stalls, TheDeadlineToldToAnEngineIsWhatTheClientHasLeft) {
+TEST_F(StalledBroker, SendsRemainingClientTimeoutToEngine) {
   Client client(broker_.address);
   {
-    const Stall stall(*broker_.program);
+    const ScopedStall stall(*broker_.program);
     client.ask(1, "lookup", kSelect, {{"limit", 2000}});
     std::this_thread::sleep_for(800ms);
   }
@@ -52,36 +52,36 @@
   EXPECT_EQ(body(client.answer()), kRow);
 }
 
-// Whatever the client did after its request had come by the time it was read.
-TEST_F(Stalls, NothingIsBegunForAClientThatHasLeftMeanwhile) {
-  enum class Way { closes, resets, cancels };
-  Client first(broker_.address);  // leaves a connection to the engine, on which the next would go at once
+// The end of the client arrives during the stall, like its request, and is read together with it.
+TEST_F(StalledBroker, SendsNothingForClientThatLeftDuringStall) {
+  enum class ClientEnd { closes, resets, cancels };
+  Client first(broker_.address);  // leaves an open connection to the engine for the next request
   first.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(first.answer()), kRow);
-  for (const auto way : {Way::closes, Way::resets, Way::cancels}) {
+  for (const auto client_end : {ClientEnd::closes, ClientEnd::resets, ClientEnd::cancels}) {
     auto client = std::make_unique<Client>(broker_.address);
     ASSERT_TRUE(client->is_healthy());
     {
-      const Stall stall(*broker_.program);
+      const ScopedStall stall(*broker_.program);
       client->ask(1, "lookup", kSelect, {{"txn", "00000000000000aa"}});
       std::this_thread::sleep_for(100ms);
-      if (way == Way::resets) client->socket.reset();
-      if (way == Way::cancels)
+      if (client_end == ClientEnd::resets) client->socket.reset();
+      if (client_end == ClientEnd::cancels)
         client->socket.send("{\"jsonrpc\":\"2.0\",\"method\":\"cancel\",\"params\":{\"id\":1}}\n");
-      if (way == Way::closes) client.reset();
+      if (client_end == ClientEnd::closes) client.reset();
       std::this_thread::sleep_for(200ms);
     }
-    std::this_thread::sleep_for(kSettle);
-    EXPECT_EQ(engine_.posts(), 1U) << "way " << static_cast<int>(way);
+    std::this_thread::sleep_for(kSettleTime);
+    EXPECT_EQ(engine_.posts(), 1U) << "client end " << static_cast<int>(client_end);
   }
 }
 
-TEST_F(Stalls, NothingIsSentToAnEngineThatWasToldToDrainMeanwhile) {
+TEST_F(StalledBroker, SendsNothingToEngineThatBeganToDrainDuringStall) {
   broker_.changes.wait_until_applied();
   Client client(broker_.address);
   ASSERT_TRUE(client.is_healthy());
   {
-    const Stall stall(*broker_.program);
+    const ScopedStall stall(*broker_.program);
     broker_.changes.push({server("s-00000001", engine_.server.address(), "terminating")});
     client.ask(1, "lookup", kSelect, {{"limit", 1500}});
     std::this_thread::sleep_for(800ms);
@@ -90,24 +90,24 @@
   EXPECT_EQ(engine_.posts(), 0U);
 }
 
-// The time for a first request ran out while nobody could read it.
-TEST_F(Stalls, ANewClientsRequestIsAnswered) {
+// Guards against a timeout of a new client's first request that expires during the stall.
+TEST_F(StalledBroker, AnswersFirstRequestReceivedDuringStall) {
   Client client(broker_.address);
   std::this_thread::sleep_for(100ms);
   {
-    const Stall stall(*broker_.program);
+    const ScopedStall stall(*broker_.program);
     client.ask(1, "lookup", kSelect);
     std::this_thread::sleep_for(2500ms);
   }
   EXPECT_EQ(body(client.answer()), kRow);
 }
 
-// The time for an engine's answer ran out while nobody could read it.
-TEST(Stall, AnAnswerThatCameMeanwhileIsUsed) {
-  std::promise<void> go_on;
-  auto may_go_on = go_on.get_future().share();
+// Guards against a timeout of an engine's answer that expires during the stall.
+TEST(ProcessStall, UsesEngineAnswerReceivedDuringStall) {
+  std::promise<void> answer;
+  auto may_answer = answer.get_future().share();
   HttpEngine engine([&](const Call&) {
-    may_go_on.wait();
+    may_answer.wait();
     return rows(kRow);
   });
   Broker broker({{"s-00000001", engine.server.address()}});
@@ -115,19 +115,19 @@
   client.ask(1, "once", kSelect);
   engine.calls.wait(is_post);
   {
-    const Stall stall(*broker.program);
-    go_on.set_value();
+    const ScopedStall stall(*broker.program);
+    answer.set_value();
     std::this_thread::sleep_for(1500ms);
   }
   EXPECT_EQ(body(client.answer()), kRow);
-  EXPECT_EQ(engine.calls.all().size(), 1U) << "it is not asked for again";
+  EXPECT_EQ(engine.calls.all().size(), 1U) << "the answer is not polled for again";
 }
 
-TEST_F(Stalls, WhatCameAfterTheRequestToStopIsAnswered) {
+TEST_F(StalledBroker, AnswersRequestReceivedAfterSigterm) {
   Client client(broker_.address);
   ASSERT_TRUE(client.is_healthy());
   {
-    const Stall stall(*broker_.program);
+    const ScopedStall stall(*broker_.program);
     broker_.program->signal(SIGTERM);
     std::this_thread::sleep_for(200ms);
     client.ask(1, "lookup", kSelect);
@@ -138,8 +138,9 @@
   EXPECT_EQ(broker_.program->wait(), 0);
 }
 
-// A client that has connected before the loop's first turn has its 2 s as any other.
-TEST(Stall, AClientThatConnectsBeforeTheFirstTurnIsNotDismissed) {
+// A client that connects before the first iteration of the event loop has 2 s for its request, like any
+// other.
+TEST(ProcessStall, KeepsClientThatConnectsBeforeFirstIteration) {
   HttpEngine engine([](const Call&) { return rows(kRow); });
   Broker first({{"s-00000001", engine.server.address()}});
   for (int n = 0; n < 5; ++n) {
@@ -153,22 +154,22 @@
   }
 }
 
-// The platform's kill counts from when it asked the program to stop, whenever that one hears of it: 3.7 s for
-// deadlines of 3 s and more.
-TEST(Stall, ARequestToStopCountsFromWhenItMayHaveCome) {
-  HttpEngine silent([](const Call& call) { return http(call.method == "DELETE" ? 204 : 202); });
-  Broker broker({{"s-00000001", silent.server.address()}});
+// The platform kills the program a fixed time after SIGTERM, even if the program handles the signal
+// later: 3.7 s for deadlines of 3 s and more.
+TEST(ProcessStall, ShutdownDeadlineCountsFromArrivalOfSigterm) {
+  HttpEngine engine([](const Call& call) { return http(call.method == "DELETE" ? 204 : 202); });
+  Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
-  silent.calls.wait(is_post);
-  const auto asked = std::chrono::steady_clock::now();
+  engine.calls.wait(is_post);
+  const auto stop_requested_at = std::chrono::steady_clock::now();
   {
-    const Stall stall(*broker.program);
+    const ScopedStall stall(*broker.program);
     broker.program->signal(SIGTERM);
     std::this_thread::sleep_for(1500ms);
   }
   EXPECT_TRUE(client.answer().contains("error"));
-  EXPECT_LT(std::chrono::steady_clock::now() - asked, 3600ms);
+  EXPECT_LT(std::chrono::steady_clock::now() - stop_requested_at, 3600ms);
   EXPECT_EQ(broker.program->wait(), 0);
 }
 
