--- a/benchmarks/control_at_size.cpp
+++ b/benchmarks/control_at_size.cpp
@@ -237,7 +237,7 @@
 class Fleet {
  public:
   explicit Fleet(std::size_t size) : size_(size) {
-    directory_ = test::temporary("");
+    directory_ = test::write_temporary_file("");
     ::unlink(directory_.c_str());
     std::filesystem::create_directory(directory_);
     changes_.push({test::server("s-00000001", "127.0.0.1:9")}, true);
--- a/benchmarks/control_isolation.cpp
+++ b/benchmarks/control_isolation.cpp
@@ -30,21 +30,21 @@
     return rows("a\tb\tc\n");
   });
   const auto address = free_address();
-  const auto store = temporary("");
+  const auto store = write_temporary_file("");
   ::unlink(store.c_str());
-  const auto document = temporary("");
+  const auto document = write_temporary_file("");
   const json control{{"control",
                       {{"fleet", "isolation"},
                        {"epoch", 1},
                        {"writer", "c1"},
                        {"classes", {"lookup", "load", "once"}},
                        {"node", {{"c1", {{"address", address}, {"store", store}}}}}}}};
-  const auto file = temporary(control.dump());
+  const auto file = write_temporary_file(control.dump());
   Program node({"control", file, "--node", "c1"});
-  node.said("control node c1: listening on");
+  node.wait_for_log("control node c1: listening on");
   Broker broker({{"s-00000001", engine.server.address()}}, control, 0,
                 {{"tenants", {{{"name", "acme"}, {"portion", 1.0}, {"quota-rps", 100000.0}}}}});
-  broker.program->said("control: connected to c1");
+  broker.program->wait_for_log("control: connected to c1");
 
   std::vector<double> took[2];
   std::size_t lost = 0, versions = 0, failed = 0;
--- a/benchmarks/hooks_isolation.cpp
+++ b/benchmarks/hooks_isolation.cpp
@@ -31,7 +31,7 @@
     Client client(broker.address);
     while (!over) {
       const auto from = Clock::now();
-      client.green();
+      client.is_healthy();
       out.stall = std::max(out.stall, ms(Clock::now() - from));
       std::this_thread::sleep_for(1ms);
     }
@@ -46,7 +46,7 @@
   health.join();
   if (!hooks.empty()) {
     broker.program->signal(SIGTERM);
-    const auto line = broker.program->said("loop: longest turn ");
+    const auto line = broker.program->wait_for_log("loop: longest turn ");
     std::sscanf(line.c_str() + line.find("longest turn "), "longest turn %lf ms, most of hooks in one %lf",
                 &out.turn, &out.hooks);
   }
@@ -69,8 +69,8 @@
   using namespace bellstair::test;
   const int pairs = argc > 1 ? std::clamp(std::atoi(argv[1]), 1, 20) : 5;
   const double seconds = argc > 2 ? std::clamp(std::atof(argv[2]), 1.0, 30.0) : 4;
-  const auto script =
-      temporary("function on_request(r) if r.statement ~= 'SELECT 1' then while true do end end end");
+  const auto script = write_temporary_file(
+      "function on_request(r) if r.statement ~= 'SELECT 1' then while true do end end end");
   json hook{{"script", script}, {"match", {{"statement_contains", "wild"}}}, {"instructions", 1000000000}};
   // Taken out by the breaker as usual, and one that the breaker never takes out: the worst that can be set.
   const json usual{{"hook", {{"wild", hook}}}};
--- a/benchmarks/scale/hollow_slopes.cpp
+++ b/benchmarks/scale/hollow_slopes.cpp
@@ -182,9 +182,9 @@
       if (caller.next > now) continue;
       ++calls[turn];
       if (now < kAway) {
-        caller.next = now + caller.backoff.after_failure();
+        caller.next = now + caller.backoff.next_delay();
       } else {
-        caller.backoff.succeeded();
+        caller.backoff.reset();
         caller.next = now + kHold;
       }
     }
--- a/benchmarks/scale/stand_ins.cpp
+++ b/benchmarks/scale/stand_ins.cpp
@@ -74,11 +74,11 @@
       if (held > seen.most) seen.most = held;
     };
     database < kMaxDatabases ? count(board_.databases[database]) : count(board_.changelog);
-    c.stream.handle({.connected = {},
-                     .data = [this, &c](std::string_view bytes) { take(c, bytes); },
-                     .ended = [this, &c] { close(c); },
-                     .closed = [this, &c] { close(c); },
-                     .drained = {}});
+    c.stream.set_handlers({.connected = {},
+                           .data = [this, &c](std::string_view bytes) { take(c, bytes); },
+                           .ended = [this, &c] { close(c); },
+                           .closed = [this, &c] { close(c); },
+                           .drained = {}});
   }
   void close(Connection& c) {
     const auto found = connections_.find(c.serial);
@@ -243,18 +243,18 @@
     if (!fd) return;
     auto& c = *all_.emplace_back(std::make_unique<Connection>());
     c.stream = std::make_unique<net::Stream>(loop_, std::move(fd), true, kMaxUnwritten);
-    c.stream->handle({.connected =
-                          [this, &c] {
-                            c.up = true;
-                            // One that has not said a whole line in two seconds is closed.
-                            c.stream->write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"health\"}\n");
-                            ++board_.held;
-                            ++board_.opened;
-                          },
-                      .data = [this, &c](std::string_view bytes) { take(c, bytes); },
-                      .ended = [this, &c] { lost(c); },
-                      .closed = [this, &c] { lost(c); },
-                      .drained = {}});
+    c.stream->set_handlers({.connected =
+                                [this, &c] {
+                                  c.up = true;
+                                  // One that has not said a whole line in two seconds is closed.
+                                  c.stream->write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"health\"}\n");
+                                  ++board_.held;
+                                  ++board_.opened;
+                                },
+                            .data = [this, &c](std::string_view bytes) { take(c, bytes); },
+                            .ended = [this, &c] { lost(c); },
+                            .closed = [this, &c] { lost(c); },
+                            .drained = {}});
   }
   void lost(Connection& c) {
     if (std::exchange(c.up, false)) --board_.held;
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -41,7 +41,7 @@
   const bool within_capacity = ensure_capacity();
   if (!within_capacity && connections_.size() >= max_connections_ + kMaxOverCapacity) {
     lingerer_.reject(std::move(fd), rpc_error(std::nullopt, kRpcRejected, "too many connections"));
-    return lingerer_.trim_beside(connections_.size(), max_connections_);
+    return lingerer_.trim_to_capacity(connections_.size(), max_connections_);
   }
   auto owner = std::make_unique<Connection>(loop_, std::move(fd));
   auto& connection = *owner;
@@ -52,7 +52,7 @@
   eviction_order_.add(connection);
   connections_.emplace(connection.serial, std::move(owner));
   arm_timer(connection, now_ + kLineTimeout);
-  connection.stream.handle(handlers_of(connection));
+  connection.stream.set_handlers(handlers_of(connection));
 }
 
 net::Stream::Handlers JsonRpcServer::handlers_of(Connection& connection) {
@@ -111,7 +111,7 @@
 void JsonRpcServer::close_gracefully(Connection& connection) {
   lingerer_.take(connection.stream);
   close(connection);
-  lingerer_.trim_beside(connections_.size(), max_connections_);
+  lingerer_.trim_to_capacity(connections_.size(), max_connections_);
 }
 
 void JsonRpcServer::close_with_error(Connection& connection, std::string_view reason) {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -200,14 +200,14 @@
     net::Backoff backoff(100ms, 800ms, seed);
     core::Time now{}, last{};
     while (now < 5s) {
-      now += backoff.after_failure();
+      now += backoff.next_delay();
       EXPECT_LE(now - last, 800ms);
       last = now;
       ++retries[now / 50ms];
       late_retries += now > 2s ? 1 : 0;
     }
-    backoff.succeeded();
-    EXPECT_LE(backoff.after_failure(), 100ms);
+    backoff.reset();
+    EXPECT_LE(backoff.next_delay(), 100ms);
   }
   EXPECT_LT(late_retries, 700) << "more than about two retries a second from each broker";
   for (const auto& [interval, count] : retries)
--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -86,7 +86,7 @@
                      "\n");
   engine.calls.wait(
       [](const Call& c) { return has_method(c, "DELETE") && c.path == "/v1/store/9b1f03aa5c7e2d41"; });
-  EXPECT_TRUE(client.green());  // the next line answers the health call, not the query
+  EXPECT_TRUE(client.is_healthy());  // the next line answers the health call, not the query
 }
 
 TEST(Platform, DoesNotAnswerCancelUnderIdOfRequest) {
@@ -99,7 +99,7 @@
     client.socket.send(R"({"jsonrpc":"2.0","id":7,"method":"cancel"})"
                        "\n");
   engine.calls.wait([](const Call& c) { return has_method(c, "DELETE"); });
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
 }
 
 TEST(Platform, DoesNotServeIncompleteResult) {
@@ -121,7 +121,7 @@
   EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
   broker.changes.push({server("s-00000001", one.server.address(), "terminating"),
                        server("s-00000002", two.server.address())});
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   for (int id = 2; id < 12; ++id) {
     client.ask(id, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
@@ -143,7 +143,7 @@
   for (int n = 1; n <= kFleetSize; ++n) engines.emplace_back(id(n), first_engine.server.address());
   Broker broker(engines, {}, 0, {{"balancers", kFleetSize}, {"me", kFleetSize - 1}});
   Client client(broker.address);
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
   for (int n = 1; n <= 50; ++n) {
     client.ask(n, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
@@ -154,7 +154,7 @@
   for (int n = 1; n <= kFleetSize; ++n)
     update.push_back(server(id(kFleetSize + n), second_engine.server.address()));
   broker.changes.push(update);
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   for (int n = 51; n <= 100; ++n) {
     client.ask(n, "lookup", kSelect);
     EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
@@ -166,13 +166,13 @@
   HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
   client.ask(1, "lookup", kSelect);
   engine.calls.wait(is_poll);
   broker.program->signal(SIGTERM);
-  broker.program->said("phase: draining");
+  broker.program->wait_for_log("phase: draining");
   Client late(broker.address);  // still accepted, and served
-  EXPECT_FALSE(late.green());
+  EXPECT_FALSE(late.is_healthy());
   late.ask(5, "lookup", kSelect, {{"txn", "00000000000000aa"}});
   done = true;
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
@@ -185,7 +185,7 @@
   HttpEngine one([&](const Call&) { return done ? rows("1\t1\t1\n") : http(202); });
   HttpEngine two([](const Call&) { return rows("2\t2\t2\n"); });
   Broker broker({{"s-00000001", one.server.address()}});
-  broker.changes.wait_until_told();
+  broker.changes.wait_until_applied();
   Client client(broker.address);
   client.ask(1, "lookup", kSelect);
   one.calls.wait(is_poll);
@@ -194,11 +194,11 @@
   broker.config["changelog"] = other_log.address();
   broker.config["peers_all"] = "127.0.0.1:9";
   for (int i = 0; i < 3; ++i) broker.reload(broker.config.dump());
-  other_log.wait_until_told();
-  broker.program->said("a restart: peers_all");
+  other_log.wait_until_applied();
+  broker.program->wait_for_log("a restart: peers_all");
   other_log.push({server("s-00000001", one.server.address(), "terminating"),
                   server("s-00000002", two.server.address())});
-  other_log.wait_until_told();
+  other_log.wait_until_applied();
   client.ask(2, "lookup", kSelect, {{"txn", "00000000000000aa"}});
   EXPECT_EQ(body(client.answer()), "2\t2\t2\n");
   done = true;
@@ -213,13 +213,13 @@
   client.ask(1, "lookup", kSelect);
   engine.calls.wait(is_poll);
   broker.reload(R"({"listen": "127.0.0.1:0", "changelog": )");
-  broker.program->said("the configuration stays as it was: configuration: is not a JSON object");
+  broker.program->wait_for_log("the configuration stays as it was: configuration: is not a JSON object");
   broker.changes.push({server("s-00000002", engine.server.address())});
-  broker.changes.wait_until_told();  // changes are still applied
+  broker.changes.wait_until_applied();  // changes are still applied
   broker.program->signal(SIGTERM);
-  broker.program->said("phase: draining");
+  broker.program->wait_for_log("phase: draining");
   broker.reload(broker.config.dump());
-  broker.program->said("the configuration was read again");
+  broker.program->wait_for_log("the configuration was read again");
   done = true;
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
   EXPECT_EQ(broker.program->wait(), 0);
@@ -287,7 +287,7 @@
   EXPECT_TRUE(deep.answer().contains("error"));
   for (int i = 0; i < 1000; ++i) persistent.socket.send("{}\n");
   int replies = 0;
-  while (persistent.socket.more()) replies += 1;
+  while (persistent.socket.receive()) replies += 1;
   EXPECT_GT(replies, 0);
   valid.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(valid.answer()), "x\ty\tz\n");
@@ -326,7 +326,7 @@
   Client client(broker.address);
   client.ask(1, "once", kSelect);
   EXPECT_TRUE(client.answer().contains("error"));
-  EXPECT_TRUE(client.green());
+  EXPECT_TRUE(client.is_healthy());
 }
 
 TEST(CommandLine, ReportsInvalidConfigurationInOneLineWithField) {
@@ -339,11 +339,11 @@
     json config{
         {"listen", "127.0.0.1:0"}, {"changelog", "127.0.0.1:1"}, {"seed", "1"}, {"settings", settings()}};
     config.update(change);
-    const auto file = temporary(config.dump());
+    const auto file = write_temporary_file(config.dump());
     Program program({"check-config", "--config", file});
-    program.said(message);
+    program.wait_for_log(message);
     EXPECT_NE(program.wait(), 0);
-    EXPECT_EQ(program.lines(), 1U);
+    EXPECT_EQ(program.line_count(), 1U);
     ::unlink(file.c_str());
   }
 }
