--- a/src/app/broker_configuration.cpp
+++ b/src/app/broker_configuration.cpp
@@ -1,5 +1,4 @@
-// How the broker takes up versions of its settings from the control nodes, and reads its files again on
-// SIGHUP.
+// Applies versions of the settings from the control nodes, and reloads the broker's own files on SIGHUP.
 #include <memory>
 
 #include "app/broker.hpp"
@@ -9,7 +8,7 @@
 
 // ---- versions from the control nodes
 
-// Pending events hold tenant positions of the settings in force: they are handled before those change.
+// Handles pending events first: they hold positions of tenants in the active settings.
 void Broker::apply_version(const control::Version& version) {
   handle_events();
   core::SettingsOffered offered;
@@ -28,8 +27,8 @@
   const auto label = "version " + control::to_text(version.id);
   auto document = config::parse_document(version.text, label, config_.names.class_names);
   const auto tenants_in_use = reducer_.referenced_tenants();
-  const config::Overlay in_force{config_.settings, config_.names, config_.changelog};
-  auto overlay = config::overlay(start_, in_force, document,
+  const config::Overlay active{config_.settings, config_.names, config_.changelog};
+  auto overlay = config::overlay(start_, active, document,
                                  [&](std::uint32_t slot) { return tenants_in_use.contains(slot); });
   core::SettingsOffered offered;
   offered.epoch = version.id.epoch;
@@ -56,14 +55,14 @@
 
 // ---- the broker's own files
 
-// Scripts are loaded and tried in a thread beside the loop, which sees copies: versions of the settings may
-// come into force meanwhile.
+// Loads and tries scripts on a worker thread. The thread works on copies, since a version of the settings may
+// become active meanwhile.
 void Broker::run(const core::ReadConfiguration&) {
   ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.words()};
-  // The platform's own tenants keep their positions, also while a version leaves them out.
+  // The platform's own tenants keep their positions, even while a version does not name them.
   source.names.tenants.insert(start_.names.tenants.begin(), start_.names.tenants.end());
   const net::Worker::Work work = [this, source = std::move(source), applied_before = versions_applied_] {
-    const auto reloaded = std::make_shared<ReloadedConfiguration>(read_again(source));
+    const auto reloaded = std::make_shared<ReloadedConfiguration>(reload_configuration(source));
     return [this, reloaded, applied_before] {
       on_configuration_read(std::move(reloaded->read), reloaded->hooks, applied_before);
     };
@@ -74,7 +73,8 @@
 
 void Broker::on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
                                    std::uint64_t versions_applied_before) {
-  // Another tenant may have taken the place of one that a hook names.
+  // Reads the files again if a version was applied meanwhile: the position of a tenant that a hook names may
+  // now belong to another tenant.
   if (versions_applied_before != versions_applied_) return post(core::ReloadRequested{});
   if (read.problem.empty()) {
     start_.changelog = read.changelog;
--- a/src/app/config_publish.cpp
+++ b/src/app/config_publish.cpp
@@ -1,4 +1,4 @@
-// `bellstair config publish`.
+// Implements `bellstair config publish`.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -15,9 +15,9 @@
 using net::steady_now;
 
 constexpr Time kFindLeaderTimeout = 4s;
-constexpr Time kCommitTimeout = 10s;  // for the leader's disk
+constexpr Time kCommitTimeout = 10s;  // includes the write to the leader's disk
 
-// A node does not know the document's file: its name for it becomes the file's.
+// Replaces the node's name for the document by the file's name, which is not sent to the node.
 std::string with_file_name(const std::string& errors, const std::string& file) {
   const std::string prefix = std::string(kDocumentName) + ':';
   std::string out;
@@ -56,7 +56,7 @@
 
   void fail_without_leader(const NodePoller::Node& leader);
   void on_committed(Time now);
-  // Every node that can be reached has been polled since the commit.
+  // Whether every reachable node has been polled since the commit.
   [[nodiscard]] bool all_polled_since_commit(Time now) const;
   void print_progress(const BrokerCount& count, bool all_polled);
   void print_result(const BrokerCount& count, Outcome outcome, Time now);
@@ -82,11 +82,12 @@
   const auto& leader = *poller_.find(config_.leader);
   if (const auto& rejection = poller_.rejection())
     return finish(Outcome::rejected,
-                  "refused by " + config_.leader + ":\n" + with_file_name(*rejection, document_));
+                  "document rejected by " + config_.leader + ":\n" + with_file_name(*rejection, document_));
   if (sent_on_ != 0) return await_answer(leader, now);
-  // A leader that was cut off does not know that it is none any more; the others do.
+  // A leader that was cut off from the other nodes still reports that it leads; the others report the newer
+  // epoch.
   if (const auto newer = poller_.newer_term(config_.epoch))
-    return finish(Outcome::unreachable, config_.leader + " is not the writer any more: " + *newer);
+    return finish(Outcome::unreachable, config_.leader + " is not the leader any more: " + *newer);
   if (leader.welcomed && leader.status && leader.status->is_leader && poller_.all_polled()) {
     sent_on_ = leader.channel;
     sent_at_ = now;
@@ -100,26 +101,27 @@
 
 bool Publication::await_answer(const NodePoller::Node& leader, Time now) {
   if (leader.channel == sent_on_ && now - sent_at_ < kCommitTimeout) return false;
-  return finish(Outcome::unreachable, config_.leader + " has not said whether it kept the document (" +
+  return finish(Outcome::unreachable, config_.leader + " has not confirmed that it committed the document (" +
                                           (leader.error.empty() ? "no answer" : leader.error) +
-                                          "): see 'config status'");
+                                          "): check with 'config status' whether it did");
 }
 
 void Publication::fail_without_leader(const NodePoller::Node& leader) {
   if (!leader.status) {
     exit_status_ =
-        fail(Outcome::unreachable, "the writer, " + config_.leader + ", is " + leader.unreachable_reason());
+        fail(Outcome::unreachable, "the leader, " + config_.leader + ", is " + leader.unreachable_reason());
     return;
   }
   const auto& term = leader.status->term;
-  exit_status_ = fail(Outcome::unreachable, config_.leader + " does not write: it knows of epoch " +
-                                                std::to_string(term.epoch) + " of " + term.leader);
+  exit_status_ =
+      fail(Outcome::unreachable, config_.leader + " does not lead: the newest epoch that it knows is " +
+                                     std::to_string(term.epoch) + " with leader " + term.leader);
 }
 
 void Publication::on_committed(Time now) {
   committed_at_ = now;
   digest_ = control::compute_digest({*poller_.published(), config_.leader, "", text_});
-  std::printf("%s: kept by %s after %s\n", version_name().c_str(), config_.leader.c_str(),
+  std::printf("%s: committed by %s after %s\n", version_name().c_str(), config_.leader.c_str(),
               show_milliseconds(now - sent_at_).c_str());
 }
 
@@ -130,7 +132,7 @@
   const auto brokers = poller_.brokers();
   const BrokerCount count(brokers, id, digest_);
   if (const auto newer = poller_.newer_term(id.epoch))
-    return finish(Outcome::unreachable, version_name() + " comes into force nowhere: " + *newer);
+    return finish(Outcome::unreachable, version_name() + " will not become active at any broker: " + *newer);
   const bool all_polled = all_polled_since_commit(now);
   print_progress(count, all_polled);
   const bool timed_out = now - *committed_at_ >= wait_;
@@ -153,7 +155,7 @@
 }
 
 void Publication::print_progress(const BrokerCount& count, bool all_polled) {
-  const auto line = version_name() + ": " + std::to_string(count.active) + " of " +
+  const auto line = version_name() + ": active at " + std::to_string(count.active) + " of " +
                     std::to_string(count.connected) + " brokers";
   if (line == progress_ || (!all_polled && count.connected == 0)) return;
   progress_ = line;
@@ -165,14 +167,14 @@
   const auto version = version_name();
   for (const auto& node : poller_.nodes()) {
     if (node.welcomed) continue;
-    std::printf("%s: %s is %s; brokers that only it has heard are not counted\n", version.c_str(),
+    std::printf("%s: %s is %s; brokers that are connected only to it are not counted\n", version.c_str(),
                 node.config.name.c_str(), node.unreachable_reason().c_str());
   }
   print_rejecting(count.rejecting);
   if (!count.behind.empty())
     std::printf("%s: behind: %s\n", version.c_str(), join(count.behind, show_behind).c_str());
   if (outcome == Outcome::done)
-    std::printf("%s: in force at all %zu connected brokers after %s\n", version.c_str(), count.connected,
+    std::printf("%s: active at all %zu connected brokers after %s\n", version.c_str(), count.connected,
                 show_milliseconds(now - *committed_at_).c_str());
 }
 
@@ -184,10 +186,11 @@
   if (text.size() > control::kMaxDocumentBytes)
     return fail(Outcome::rejected,
                 document + ":1:1: is longer than " + std::to_string(control::kMaxDocumentBytes) + " bytes");
-  // Early where that can be done; the leader checks it all the same, by its own classes.
+  // Finds errors early if the operator's file lists the classes; the leader validates the document in any
+  // case, against its own list.
   if (!config.classes.empty()) {
     if (const auto invalid = check_document(text, document, config.classes))
-      return fail(Outcome::rejected, std::string("refused:\n") + invalid->what());
+      return fail(Outcome::rejected, std::string("document rejected:\n") + invalid->what());
   }
   try {
     (void)control::encode(control::Publish{text});
--- a/src/app/config_report.cpp
+++ b/src/app/config_report.cpp
@@ -9,7 +9,7 @@
 namespace bellstair::app::config_tool {
 namespace {
 
-constexpr std::size_t kMaxNamed = 20;  // brokers by name in one list
+constexpr std::size_t kMaxNamed = 20;  // brokers listed by name at once
 
 }  // namespace
 
@@ -18,7 +18,7 @@
   for (const auto& [name, broker] : brokers) {
     const auto& status = broker.status;
     if (!status.connected) {
-      gone.push_back(&broker);
+      disconnected.push_back(&broker);
       continue;
     }
     ++connected;
@@ -47,7 +47,7 @@
   return id == control::VersionId{} ? "none" : control::to_text(id);
 }
 
-// Where it shows the version itself, the broker has that one with another text.
+// If this shows the expected version itself, the broker has that version with another text.
 std::string show_behind(const Broker& broker) {
   return broker.status.name + " (" + show_version(broker.status.active_version) + ", at " + broker.node + ")";
 }
@@ -59,10 +59,11 @@
 void print_rejecting(const std::vector<const Broker*>& brokers) {
   for (std::size_t i = 0; i < std::min(brokers.size(), kMaxNamed); ++i) {
     const auto& status = brokers[i]->status;
-    std::printf("%s: refused by %s (%s): %s\n", control::to_text(status.rejected_version).c_str(),
+    std::printf("%s: rejected by %s (%s): %s\n", control::to_text(status.rejected_version).c_str(),
                 status.name.c_str(), status.region.c_str(), status.reason.c_str());
   }
-  if (brokers.size() > kMaxNamed) std::printf("and by %zu more\n", brokers.size() - kMaxNamed);
+  if (brokers.size() > kMaxNamed)
+    std::printf("and rejected by %zu more brokers\n", brokers.size() - kMaxNamed);
 }
 
 int exit_status(Outcome outcome) { return static_cast<int>(outcome); }
--- a/src/app/config_report.hpp
+++ b/src/app/config_report.hpp
@@ -1,4 +1,4 @@
-// What `bellstair config` prints of brokers, nodes and its own outcome.
+// Counts, formats and prints the results of `bellstair config`.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,20 @@
 
 namespace bellstair::app::config_tool {
 
-// Brokers by what is active at them, against one version. One of a later epoch does not contain it: the
-// leader of that epoch may never have seen the version.
+// Sorts brokers by whether one version is active at them. A broker with a version of a later epoch does not
+// count as active: the leader of that epoch may never have received this version.
 struct BrokerCount {
   std::size_t connected = 0, active = 0;
-  std::vector<const Broker*> rejecting, behind, gone;  // of `brokers`, which outlives this
+  std::vector<const Broker*> rejecting, behind,
+      disconnected;  // point into `brokers`, which must outlive this
 
   BrokerCount(const std::map<std::string, Broker>& brokers, control::VersionId id, const std::string& digest);
 };
 
-// The first of them by name, and how many more.
+// Lists the first brokers, each formatted by `show`, and how many more there are.
 [[nodiscard]] std::string join(const std::vector<const Broker*>& brokers,
                                const std::function<std::string(const Broker&)>& show);
-[[nodiscard]] std::string show_version(control::VersionId id);  // "none" without one
+[[nodiscard]] std::string show_version(control::VersionId id);  // "none" if there is no version
 [[nodiscard]] std::string show_behind(const Broker& broker);
 [[nodiscard]] std::string show_milliseconds(Time time);
 void print_rejecting(const std::vector<const Broker*>& brokers);
--- a/src/app/config_status.cpp
+++ b/src/app/config_status.cpp
@@ -1,4 +1,4 @@
-// `bellstair config status`.
+// Implements `bellstair config status`.
 #include <algorithm>
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -17,7 +17,7 @@
 using Brokers = std::map<std::string, Broker>;
 using Row = std::vector<std::string>;
 
-// The newest committed version of all nodes.
+// The newest version that any node has committed.
 struct NewestVersion {
   control::VersionId id;
   std::string digest;
@@ -77,9 +77,9 @@
 std::string show_role(const NodePoller::Node& node) {
   if (!node.status) return node.unreachable_reason();
   const auto& term = node.status->term;
-  if (node.status->is_leader) return "writes";
-  if (term.epoch == 0) return "knows of no epoch";
-  if (term.leader == node.config.name) return "does not write";
+  if (node.status->is_leader) return "leads";
+  if (term.epoch == 0) return "knows no epoch";
+  if (term.leader == node.config.name) return "does not lead";
   return "follows " + term.leader;
 }
 
@@ -121,8 +121,8 @@
   if (counts.empty()) std::printf("-          0\n");
 }
 
-std::string show_gone(const Broker& broker) {
-  return broker.status.name + " (" + show_version(broker.status.active_version) + ", heard " +
+std::string show_disconnected(const Broker& broker) {
+  return broker.status.name + " (" + show_version(broker.status.active_version) + ", last message " +
          hcl::show_duration(std::chrono::floor<std::chrono::seconds>(broker.status.age)) + " ago)";
 }
 
@@ -135,20 +135,21 @@
   print_versions(brokers);
   if (!count.behind.empty()) std::printf("behind: %s\n", join(count.behind, show_behind).c_str());
   print_rejecting(count.rejecting);
-  if (!count.gone.empty()) std::printf("gone: %s\n", join(count.gone, show_gone).c_str());
+  if (!count.disconnected.empty())
+    std::printf("disconnected: %s\n", join(count.disconnected, show_disconnected).c_str());
 }
 
 int outcome(const config::Control& config, const NodePoller& poller, const BrokerCount& count) {
   if (const auto newer = poller.newer_term(config.epoch))
-    return fail(Outcome::unreachable, config.leader + " is not the writer any more: " + *newer);
+    return fail(Outcome::unreachable, config.leader + " is not the leader any more: " + *newer);
   if (std::ranges::none_of(poller.nodes(), [](const auto& node) { return node.status.has_value(); }))
-    return fail(Outcome::unreachable, "no node is in reach");
+    return fail(Outcome::unreachable, "no control node is reachable");
   const auto& leader = *poller.find(config.leader);
   if (!leader.status)
-    return fail(Outcome::unreachable, "the writer, " + config.leader + ", is " + leader.unreachable_reason());
+    return fail(Outcome::unreachable, "the leader, " + config.leader + ", is " + leader.unreachable_reason());
   if (!leader.status->is_leader)
-    return fail(Outcome::unreachable, config.leader + " does not write: it knows of epoch " +
-                                          std::to_string(leader.status->term.epoch) + " of " +
+    return fail(Outcome::unreachable, config.leader + " does not lead: the newest epoch that it knows is " +
+                                          std::to_string(leader.status->term.epoch) + " with leader " +
                                           leader.status->term.leader);
   if (!count.rejecting.empty()) return exit_status(Outcome::rejected);
   return exit_status(count.behind.empty() ? Outcome::done : Outcome::behind);
--- a/src/app/config_tool.cpp
+++ b/src/app/config_tool.cpp
@@ -18,24 +18,25 @@
 
 int control_command(int argc, char** argv) {
   using namespace config_tool;
-  CLI::App app("The control plane: numbered versions of the configuration for all brokers", "bellstair");
+  CLI::App app("Distributes numbered versions of the configuration to all brokers", "bellstair");
   app.require_subcommand(1);
   std::string file, node, document, wait = "18s";
   bool as_json = false;
 
   auto* control = app.add_subcommand("control", "Run a control node, in the foreground, until SIGTERM");
   control->add_option("file", file, "The operator's file, in HCL")->required();
-  control->add_option("--node", node, "The node of the file that this is")->required();
+  control->add_option("--node", node, "The name of this node in the operator's file")->required();
 
-  auto* config = app.add_subcommand("config", "Publish a configuration, or see what is in force");
+  auto* config = app.add_subcommand("config", "Publish a configuration, or show which versions are active");
   config->require_subcommand(1);
-  auto* publish = config->add_subcommand("publish", "Have a document kept, and wait until it is in force");
+  auto* publish =
+      config->add_subcommand("publish", "Commit a document as a new version, and wait until it is active");
   publish->add_option("document", document, "The document, in HCL")->required();
   publish->add_option("--file", file, "The operator's file, in HCL")->required();
-  publish->add_option("--wait", wait, "For all connected brokers; 18s if absent");
-  auto* status = config->add_subcommand("status", "Nodes, and brokers by the version in force");
+  publish->add_option("--wait", wait, "How long to wait for all connected brokers; 18s if absent");
+  auto* status = config->add_subcommand("status", "Show the nodes, and the brokers by active version");
   status->add_option("--file", file, "The operator's file, in HCL")->required();
-  status->add_flag("--json", as_json, "All of it, as JSON");
+  status->add_flag("--json", as_json, "Print the whole status as JSON");
 
   try {
     app.parse(argc, argv);
@@ -47,7 +48,7 @@
     if (status->parsed()) return config_status(file, as_json);
     const auto span = hcl::parse_duration(wait);
     if (!span || *span > kMaxWait)
-      return fail(Outcome::usage, "--wait: expected a duration, as \"18s\", up to 24h");
+      return fail(Outcome::usage, "--wait: expected a duration of at most 24h, such as \"18s\"");
     return config_publish(document, file, *span);
   } catch (const std::exception& error) {
     return fail(Outcome::usage, error.what());
--- a/src/app/configuration_reload.cpp
+++ b/src/app/configuration_reload.cpp
@@ -26,7 +26,7 @@
 }
 }  // namespace
 
-ReloadedConfiguration read_again(const ReloadSource& source) {
+ReloadedConfiguration reload_configuration(const ReloadSource& source) {
   ReloadedConfiguration out;
   try {
     read_platform_file(source, out.read);
--- a/src/app/configuration_reload.hpp
+++ b/src/app/configuration_reload.hpp
@@ -1,4 +1,4 @@
-// Reads the configuration again while the broker runs. Takes a while; meant for a worker thread.
+// Reloads the broker's configuration files while it runs. Loading hooks is slow; meant for a worker thread.
 #pragma once
 
 #include <memory>
@@ -13,8 +13,9 @@
 
 struct ReloadSource {
   std::string file;
-  std::string fronts_file;  // the operator's own; may be empty
-  // Of the start, to tell which fields have changed that need a restart. Must outlive the read.
+  std::string fronts_file;  // the operator's file; empty: there is none
+  // The configuration from the start, to find changed fields that need a restart. Both must outlive the
+  // reload.
   const config::Config* running_config = nullptr;
   const config::OperatorConfig* running_fronts = nullptr;
   config::Names names;                               // that the files may refer to
@@ -22,11 +23,11 @@
 };
 
 struct ReloadedConfiguration {
-  core::ConfigurationRead read;  // with the problem, if there is one: then nothing is of use
+  core::ConfigurationRead read;  // if its `problem` is set, the rest must not be used
   hooks::Loaded hooks;
 };
 
-// As strict as at the start. Never throws for what the files hold.
-[[nodiscard]] ReloadedConfiguration read_again(const ReloadSource& source);
+// Validates as strictly as at the start. Reports invalid files in `read.problem` and does not throw.
+[[nodiscard]] ReloadedConfiguration reload_configuration(const ReloadSource& source);
 
 }  // namespace bellstair::app
--- a/src/app/control_client.cpp
+++ b/src/app/control_client.cpp
@@ -18,9 +18,9 @@
 using namespace std::chrono_literals;
 using net::steady_now;
 
-// Its own messages are short: a node that leaves so much unread is of no use.
+// A broker sends only short messages: a node that leaves this much unread is not working.
 constexpr std::size_t kMaxUnsentBytes = std::size_t{256} << 10;
-constexpr core::Time kTickInterval = 100ms;  // of the subscriber
+constexpr core::Time kTickInterval = 100ms;  // of control::Subscriber
 
 control::SubscriberOptions subscriber_options(const config::Control& config, const std::string& name,
                                               std::uint64_t seed) {
@@ -37,13 +37,13 @@
   log::write(level, "bellstair " + broker + ": " + text);
 }
 
-// Nodes know brokers by their names. One without a valid name is a new one after each start.
+// Nodes identify brokers by name. A broker without a valid name counts as a new broker after each start.
 std::string name_or_default(const std::string& name) {
   if (!name.empty() && name.size() <= control::kMaxNameBytes) return name;
   auto out = "broker-" + std::to_string(::getpid());
   write_log(log::Level::warning, out,
-            std::string("control: called so, since its configuration gives it ") +
-                (name.empty() ? "no name" : "too long a name"));
+            std::string("control: the broker uses this generated name, since its configuration has ") +
+                (name.empty() ? "no name" : "a name that is too long"));
   return out;
 }
 
@@ -69,7 +69,7 @@
         channels(loop, {control::kMaxMessageBytes, control::kMaxMessageBytes, kMaxUnsentBytes}, 0,
                  handlers()) {}
 
-  // Events of a channel other than the latest are late, and are ignored.
+  // The handlers ignore late events: those of any channel other than the latest.
   link::ChannelManager::Handlers handlers() {
     link::ChannelManager::Handlers out;
     out.on_accepted = [](link::ChannelId) {};
@@ -107,13 +107,13 @@
   std::string name;
   OnVersion on_version;
   LastVersionFile file;
-  std::optional<control::Version> last_version;  // that the file held at the start
+  std::optional<control::Version> last_version;  // as read from the file at the start
   LastVersionWriter writer;
   std::vector<config::ControlNode> nodes;
   control::Subscriber subscriber;
   link::ChannelManager channels;
-  link::ChannelId channel = 0;                // of the latest Connect; 0: none
-  std::deque<control::Version> due_versions;  // for on_version, from settle()
+  link::ChannelId channel = 0;                // opened by the latest Connect; 0: none
+  std::deque<control::Version> due_versions;  // not yet passed to on_version
   core::Time next_tick{};
   bool started = false, stopped = false;
 };
@@ -130,7 +130,8 @@
 }
 
 void ControlClient::tick(core::Time) {
-  // Read now, not the broker's: messages that came since the last tick count from when they came.
+  // Uses the current time, not the broker's tick time, so that messages received since the last tick count
+  // from their arrival.
   const auto now = steady_now();
   impl_->channels.tick(now);
   impl_->writer.tick(now);
--- a/src/app/control_node.cpp
+++ b/src/app/control_node.cpp
@@ -21,15 +21,15 @@
 using namespace std::chrono_literals;
 using net::steady_now;
 
-// The store with its journal, the listener, connections that are closing, and what libraries open.
+// For the store and its journal, the listener, closing connections, and files opened by libraries.
 constexpr std::size_t kReservedDescriptors = 320;
 constexpr std::size_t kMinPeers = 16;
 constexpr core::Time kCountsInterval = 1s;
-constexpr std::size_t kMaxLoggedErrors = 10;  // of channels, in one kCountsInterval
-// A version in flight to a slow peer, its answers, and room for a status.
+constexpr std::size_t kMaxLoggedErrors = 10;  // of channels, per kCountsInterval
+// Enough for a version that a slow peer has not read yet, the replies to that peer, and a status.
 constexpr std::size_t kMaxUnsentBytes = 2 * control::kMaxMessageBytes;
 
-// Peers at once, by the descriptors that the system allows: all of them are asked for.
+// Raises the soft limit of open files to the hard limit; returns how many peers it allows at once.
 std::size_t max_peers() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return kMinPeers;
@@ -69,13 +69,14 @@
   terminate_.set<ControlNode, &ControlNode::on_terminate>(this);
   interrupt_.set<ControlNode, &ControlNode::on_terminate>(this);
   hangup_.set<ControlNode, &ControlNode::on_hangup>(this);
-  // After the sockets: what came while the process stood still is read before anybody counts as silent.
+  // The tick runs after the socket handlers, so that messages received while the process was suspended are
+  // read before any peer counts as silent.
   ev_set_priority(static_cast<ev_timer*>(&tick_), EV_MINPRI);
 }
 
 void ControlNode::run() {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a file over its limit is a disk that is full
+  std::signal(SIGXFSZ, SIG_IGN);  // a write above the file size limit fails with an error, as on a full disk
   terminate_.start(SIGTERM);
   interrupt_.start(SIGINT);
   hangup_.start(SIGHUP);
@@ -84,7 +85,7 @@
   tick_.start(0, std::chrono::duration<double>(kTickInterval).count());
   prepare_.start();
   loop_.run(0);
-  log("ends");
+  log("stopped");
 }
 
 const config::ControlNode* ControlNode::find(const std::string& name) const {
@@ -156,7 +157,8 @@
   if (leader_connection_.owns(effect.peer)) leader_connection_.on_closed(steady_now());
 }
 
-// On the event loop, which waits for the disk: versions are few, and peers leave a node whose disk hangs.
+// Writes on the event loop, which blocks until the disk is done: versions are rare, and peers disconnect from
+// a node whose disk hangs.
 void ControlNode::run(const control::PersistVersion& effect) {
   const auto error = store_.persist(effect.version);
   node_.on_version_persisted(steady_now(), effect.version, error, effects_);
@@ -169,7 +171,8 @@
 
 void ControlNode::run(const control::LogLine& effect) { log::write(log::Level::info, effect.text); }
 
-// The first few of each second: whoever connects could cause a line each time.
+// Logs only the first kMaxLoggedErrors of each second, since any client that connects could cause a line each
+// time.
 void ControlNode::log_channel_error(const std::string& address, const link::ChannelError& error) {
   if (error.code() == link::ChannelFault::closed_by_peer) return;
   if (++channel_errors_ <= kMaxLoggedErrors) log("connection error: " + address + ": " + error.what());
@@ -179,10 +182,11 @@
   if (now < next_counts_) return;
   next_counts_ = now + kCountsInterval;
   if (std::exchange(channel_errors_, 0) > kMaxLoggedErrors)
-    log("connection errors: more than " + std::to_string(kMaxLoggedErrors) + " in a second");
+    log("connection errors: more than " + std::to_string(kMaxLoggedErrors) +
+        " in one second, the others are not logged");
   const auto rejected = channels_.rejected_count() - logged_rejected_count_;
   if (rejected == 0) return;
-  log("full with " + std::to_string(channels_.accepted_count()) +
+  log("connection limit reached with " + std::to_string(channels_.accepted_count()) +
       " connections: " + std::to_string(rejected) + " rejected");
   logged_rejected_count_ = channels_.rejected_count();
 }
@@ -202,17 +206,18 @@
 
 void ControlNode::on_terminate(ev::sig&, int) { loop_.break_loop(ev::ALL); }
 
-// What the running node cannot change; logged.
+// Returns true, and logs why, if the file changes a setting that a running node cannot change.
 bool ControlNode::needs_restart(const config::Control& config) const {
   const auto differs = [&](const auto& after, const auto& before, const char* what) {
     if (after == before) return false;
-    log(std::string("the operator's file is not taken up: ") + what + " needs a restart");
+    log(std::string("reload failed, the node keeps its configuration: changing ") + what +
+        " needs a restart");
     return true;
   };
   const auto& node = *std::ranges::find(config.nodes, name_, &config::ControlNode::name);
-  return differs(config.fleet, config_.fleet, "another fleet") ||
-         differs(node.address, find(name_)->address, "another address of this node") ||
-         differs(node.store, find(name_)->store, "another store of this node");
+  return differs(config.fleet, config_.fleet, "the fleet") ||
+         differs(node.address, find(name_)->address, "the address of this node") ||
+         differs(node.store, find(name_)->store, "the store of this node");
 }
 
 void ControlNode::on_hangup(ev::sig&, int) {
@@ -221,15 +226,15 @@
     if (needs_restart(config)) return;
     config_ = std::move(config);
     leader_connection_.dial_at_once();
-    log("the operator's file is read again");
+    log("operator's file reloaded");
     decide([&](auto& effects) { node_.reconfigure(steady_now(), options(), effects); });
   } catch (const std::exception& error) {
-    log(std::string("the operator's file is not taken up: ") + error.what());
+    log(std::string("reload failed, the node keeps its configuration: ") + error.what());
   }
 }
 
 int run_control_node(const std::string& file, const std::string& node) {
-  block_signals({SIGHUP, SIGTERM, SIGINT});  // ControlNode::run() lets them through
+  block_signals({SIGHUP, SIGTERM, SIGINT});  // ControlNode::run() unblocks them
   log::start();
   try {
     auto config = config::read_control(config::read_file(file, "operator's file"), file, node);
--- a/src/app/control_node.hpp
+++ b/src/app/control_node.hpp
@@ -1,4 +1,5 @@
-// A control node on its event loop: control::Node and control::Store with sockets, timers and signals.
+// Runs a control node on an event loop: connects control::Node and control::Store to sockets, timers and
+// signals.
 #pragma once
 
 #include <ev++.h>
@@ -16,14 +17,14 @@
 
 class ControlNode {
  public:
-  // Of an unknown peer's first message: Hello takes far less.
+  // Limit for the first message of a peer that is not identified yet; a Hello is far smaller.
   static constexpr std::size_t kMaxFirstMessageBytes = std::size_t{64} << 10;
   static constexpr core::Time kTickInterval = std::chrono::milliseconds(100);
 
-  // `file` is read again on SIGHUP. Throws control::StoreError, or std::runtime_error where the address
-  // cannot be listened on.
+  // Reads `file` again on SIGHUP. Throws control::StoreError, or std::runtime_error if the node cannot listen
+  // on its address.
   ControlNode(ev::loop_ref loop, config::Control config, std::string file, std::string name);
-  void run();  // until SIGTERM or SIGINT
+  void run();  // returns after SIGTERM or SIGINT
 
  private:
   void on_tick(ev::timer& timer, int events);
@@ -39,7 +40,7 @@
   void log_channel_error(const std::string& address, const link::ChannelError& error);
   void log_connection_counts(core::Time now);
 
-  // Runs the node's decision, then the effects that it and its consequences ask for.
+  // Calls `decision`, then runs the effects that it and the decisions caused by them have added.
   template <class Decide>
   void decide(Decide decision);
   void run(const control::Send& effect) { channels_.send(effect.peer, effect.body); }
@@ -55,7 +56,7 @@
   control::Node node_;
   link::ChannelManager channels_;
   LeaderConnection leader_connection_;
-  control::NodeEffects effects_;  // not run yet
+  control::NodeEffects effects_;  // not yet run
   bool running_effects_ = false;
   std::uint64_t logged_rejected_count_ = 0;
   std::size_t channel_errors_ = 0;  // since the last log_connection_counts()
@@ -65,7 +66,7 @@
   ev::sig terminate_, interrupt_, hangup_;
 };
 
-// `bellstair control FILE --node NAME`: the exit status of the process.
+// Runs `bellstair control FILE --node NAME`; returns the exit status of the process.
 [[nodiscard]] int run_control_node(const std::string& file, const std::string& node);
 
 }  // namespace bellstair::app
--- a/src/app/document_check.hpp
+++ b/src/app/document_check.hpp
@@ -1,4 +1,4 @@
-// Whether a document can be a version of the configuration.
+// Checks whether a document is valid as a version of the configuration.
 #pragma once
 
 #include <optional>
@@ -9,11 +9,11 @@
 
 namespace bellstair::app {
 
-// How nodes name a document in errors, since they do not know its file.
+// The name of a document in errors of control nodes, which do not receive its file name.
 inline constexpr const char* kDocumentName = "document";
 
-// `name`: of the document in errors, which stand one a line as NAME:LINE:COLUMN: ...; `classes`: that it may
-// name. None: it is valid.
+// Returns the errors, one per line as NAME:LINE:COLUMN: ...; none: the document is valid. `name`: of the
+// document in errors; `classes`: that the document may name.
 [[nodiscard]] std::optional<control::InvalidDocument> check_document(const std::string& text,
                                                                      const std::string& name,
                                                                      const std::vector<std::string>& classes);
--- a/src/app/last_version.cpp
+++ b/src/app/last_version.cpp
@@ -16,7 +16,7 @@
 namespace bellstair::app {
 namespace {
 
-constexpr std::size_t kHeaderBytes = 1024;  // at most, of digest and fleet
+constexpr std::size_t kHeaderBytes = 1024;  // limit for the lines of digest and fleet
 constexpr std::size_t kMaxFileBytes = control::kMaxMessageBytes + kHeaderBytes;
 constexpr std::size_t kReadBytes = 16384;
 
@@ -26,11 +26,11 @@
 
 std::string digest_of(const std::string& body) { return control::compute_digest({{}, "", "", body}); }
 
-// Up to the first byte too many.
+// Stops soon after kMaxFileBytes; parse() rejects a longer file.
 std::optional<LastVersionError> read_all(const std::string& path, int fd, std::string& out) {
   struct stat found {};
   if (::fstat(fd, &found) != 0 || !S_ISREG(found.st_mode))
-    return LastVersionError(LastVersionFault::io, path + ": is not a file");
+    return LastVersionError(LastVersionFault::io, path + ": is not a regular file");
   char buffer[kReadBytes];
   while (out.size() <= kMaxFileBytes) {
     const auto got = ::read(fd, buffer, sizeof buffer);
@@ -54,12 +54,12 @@
   return std::nullopt;
 }
 
-// A renamed file is durable only once its directory is.
+// A rename is durable only after the directory is synced.
 std::optional<LastVersionError> sync_directory_of(const std::string& path) {
   const auto parent = std::filesystem::path(path).parent_path();
   const net::Fd fd(::open(parent.empty() ? "." : parent.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (fd && ::fsync(fd.get()) == 0) return std::nullopt;
-  return io_error(path + ": its folder", errno);
+  return io_error(path + ": its directory", errno);
 }
 
 }  // namespace
@@ -75,8 +75,9 @@
   const auto renamed = path_ + ".damaged";
   const bool done = ::rename(path_.c_str(), renamed.c_str()) == 0;
   return {std::nullopt, LastVersionError(LastVersionFault::damaged,
-                                         path_ + " is damaged" + (done ? ", and is now " + renamed : "") +
-                                             ": no version is known until a node is in reach")};
+                                         path_ + " is damaged or of another fleet" +
+                                             (done ? ", and was renamed to " + renamed : "") +
+                                             ": the broker has no version until it reaches a control node")};
 }
 
 std::optional<LastVersionError> LastVersionFile::write(const control::Version& version) const {
@@ -95,7 +96,7 @@
   return sync_directory_of(path_);
 }
 
-// None: it is damaged, or of another fleet.
+// Returns none if the file is damaged or of another fleet.
 std::optional<control::Version> LastVersionFile::parse(const std::string& text) const {
   const auto digest_end = text.find('\n');
   if (digest_end == std::string::npos || text.size() > kMaxFileBytes) return std::nullopt;
--- a/src/app/last_version.hpp
+++ b/src/app/last_version.hpp
@@ -1,8 +1,8 @@
-// The file in which a broker persists the last active version of the fleet's configuration, for a restart
-// with no control node in reach.
+// The file in which a broker persists the last active version of the fleet's configuration, so that it can
+// restart while no control node is reachable.
 //
-// A line with the digest of all that follows it, a line with the fleet's name, the version as control nodes
-// send it. After a loss of power the old one or the new one is there, complete.
+// Format: a line with the digest of the rest of the file, a line with the fleet's name, and the version as
+// control nodes send it. After a power failure the file holds either the old or the new version, complete.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 enum class LastVersionFault {
   io,
-  damaged,  // or of another fleet; renamed, where that could be done
+  damaged,  // or of another fleet; the file was renamed if that was possible
 };
 using LastVersionError = CodedError<LastVersionFault>;
 
@@ -26,11 +26,11 @@
 
   struct Loaded {
     std::optional<control::Version> version;
-    std::optional<LastVersionError> error;  // neither: there is no file
+    std::optional<LastVersionError> error;  // neither is set: there is no file
   };
-  // A damaged file is renamed, so that its content is not lost.
+  // Renames a damaged file, so that its content is not lost.
   [[nodiscard]] Loaded load() const;
-  // Durable without an error; blocks for as long as the disk takes.
+  // The version is durable if no error is returned. Blocks until the disk is done.
   [[nodiscard]] std::optional<LastVersionError> write(const control::Version& version) const;
   [[nodiscard]] bool is_enabled() const { return !path_.empty(); }
 
--- a/src/app/last_version_writer.hpp
+++ b/src/app/last_version_writer.hpp
@@ -1,4 +1,4 @@
-// Writes a broker's last version beside the event loop.
+// Writes a broker's last version to its file on a worker thread.
 #pragma once
 
 #include <ev++.h>
@@ -14,26 +14,26 @@
 
 namespace bellstair::app {
 
-// Persists the newest version, and retries with a backoff for as long as the disk does not take it.
+// Persists the newest version; retries with a backoff until the write succeeds.
 class LastVersionWriter {
  public:
   using WriteLog = std::function<void(const std::string& line)>;
 
-  // `persisted`: the version that the file holds; `seed`: of the backoff's jitter.
+  // `persisted`: the version that the file holds. `seed`: of the backoff's jitter.
   LastVersionWriter(ev::loop_ref loop, LastVersionFile file, control::VersionId persisted, std::uint64_t seed,
                     WriteLog write_log);
 
-  // What is still to be written is tried once more, and waited for.
+  // Tries once more to write a pending version, and blocks until that is done.
   ~LastVersionWriter();
   LastVersionWriter(const LastVersionWriter&) = delete;
   LastVersionWriter& operator=(const LastVersionWriter&) = delete;
 
-  void persist(const control::Version& version);  // in place of any older one
+  void persist(const control::Version& version);  // replaces an older pending version
   void tick(core::Time now);                      // steady clock
 
-  // In the file, durably.
+  // The version that the file holds durably.
   [[nodiscard]] const control::VersionId& persisted() const { return persisted_; }
-  // Logged as not persisted; none where it, or a newer one, has been since.
+  // The version whose failed write was logged; none once it or a newer one is persisted.
   [[nodiscard]] const std::optional<control::VersionId>& unpersisted() const { return logged_failure_; }
 
  private:
--- a/src/app/leader_connection.hpp
+++ b/src/app/leader_connection.hpp
@@ -1,5 +1,5 @@
-// A control node's one dialled connection, to its leader: dialled again with a backoff, given up after a time
-// limit.
+// A control node's connection to its leader: dials the leader, closes an attempt that times out, and dials
+// again after a backoff.
 #pragma once
 
 #include <functional>
@@ -15,19 +15,20 @@
 class LeaderConnection {
  public:
   static constexpr core::Time kConnectTimeout = std::chrono::seconds(1);
-  // A connection that has lasted so long resets the backoff.
+  // A connection that has lasted this long resets the backoff.
   static constexpr core::Time kStableAfter = std::chrono::seconds(4);
 
-  // The address of a node by its name; none: the operator's file has not heard of it yet.
+  // Returns the address of a node by its name; none: the operator's file does not name that node yet.
   using FindAddress = std::function<std::optional<std::string>(const std::string& node)>;
 
-  // `channels` outlives the connection. `seed`: of the backoff's jitter.
+  // `channels` must outlive the connection. `seed`: of the backoff's jitter.
   LeaderConnection(link::ChannelManager& channels, std::uint64_t seed);
 
-  // Dials where it is time to. `leader`: whom the node wants to follow; none: nobody.
+  // Dials `leader` if an attempt is due; closes an attempt that has timed out or is to another node.
+  // `leader`: the node to follow; none: there is no node to follow.
   void tick(core::Time now, const std::optional<std::string>& leader, const FindAddress& find_address);
   void on_connected() { connected_ = true; }
-  // It has failed, or is closed.
+  // The attempt has failed, or the connection is closed.
   void on_closed(core::Time now);
   void dial_at_once() { next_dial_ = {}; }
 
@@ -39,7 +40,7 @@
   link::ChannelManager& channels_;
   net::Backoff backoff_;
   link::ChannelId channel_ = 0;  // 0: none
-  std::string leader_;           // that it was dialled to
+  std::string leader_;           // the node that was dialled
   bool connected_ = false;
   core::Time dialled_at_{}, next_dial_{};
 };
--- a/src/app/node_poller.cpp
+++ b/src/app/node_poller.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 std::string NodePoller::Node::unreachable_reason() const {
-  return "out of reach: " + (error.empty() ? std::string("no answer yet") : error);
+  return "unreachable: " + (error.empty() ? std::string("no answer yet") : error);
 }
 
 NodePoller::NodePoller(ev::loop_ref loop, const config::Control& config)
@@ -68,8 +68,8 @@
   }
   if (newest == nullptr) return std::nullopt;
   const auto& term = newest->status->term;
-  return newest->config.name + " knows of epoch " + std::to_string(term.epoch) + " of " + term.leader +
-         ", the operator's file here of epoch " + std::to_string(epoch);
+  return newest->config.name + " reports epoch " + std::to_string(term.epoch) + " with leader " +
+         term.leader + "; update the operator's file used here, which has epoch " + std::to_string(epoch);
 }
 
 std::map<std::string, Broker> NodePoller::brokers() const {
@@ -124,8 +124,8 @@
 
 void NodePoller::handle(Node& node, const control::Welcome& message) {
   if (message.protocol != control::kProtocolVersion)
-    return disconnect(node, "speaks protocol " + std::to_string(message.protocol));
-  if (message.name != node.config.name) return disconnect(node, "is " + message.name);
+    return disconnect(node, "uses protocol " + std::to_string(message.protocol));
+  if (message.name != node.config.name) return disconnect(node, "answers as node " + message.name);
   node.welcomed = true;
   node.error.clear();
   node.next_action = {};
@@ -159,7 +159,7 @@
   node.next_action = steady_now() + kRedialInterval;
 }
 
-// What is due: to dial, to poll, or to give up an answer.
+// Dials the node, polls it, or disconnects it after a timeout, whichever is due.
 void NodePoller::poll(Node& node, Time now) {
   if (node.channel == 0) {
     if (now < node.next_action) return;
@@ -167,7 +167,7 @@
     node.dialled_at = now;
   } else if (!node.welcomed) {
     if (now - node.dialled_at >= kAnswerTimeout)
-      disconnect(node, node.connected ? "does not answer" : "can't be connected to");
+      disconnect(node, node.connected ? "does not answer" : "connection timed out");
   } else if (node.polled_at) {
     if (now - *node.polled_at >= kAnswerTimeout) disconnect(node, "does not answer");
   } else if (now >= node.next_action) {
--- a/src/app/node_poller.hpp
+++ b/src/app/node_poller.hpp
@@ -1,5 +1,5 @@
-// The control nodes of the operator's file as `bellstair config` sees them: each is polled for its status,
-// and one of them is given a document to publish.
+// Connects `bellstair config` to the control nodes of the operator's file: polls each for its status, and
+// sends a document to the leader.
 #pragma once
 
 #include <ev++.h>
@@ -19,7 +19,7 @@
 
 using core::Time;
 
-// A broker as the node reports it that has heard from it last.
+// A broker, as reported by the node that received a message from it last.
 struct Broker {
   control::BrokerStatus status;
   std::string node;
@@ -27,11 +27,11 @@
 
 class NodePoller {
  public:
-  static constexpr Time kAnswerTimeout = std::chrono::seconds(2);        // to connect, or to answer
-  static constexpr Time kPollInterval = std::chrono::milliseconds(100);  // of one node
+  static constexpr Time kAnswerTimeout = std::chrono::seconds(2);  // to a connection attempt, or to a message
+  static constexpr Time kPollInterval = std::chrono::milliseconds(100);  // between polls of one node
   static constexpr Time kRedialInterval = std::chrono::milliseconds(500);
-  // Nodes close a broker's connection sooner. One silent for longer is gone, though the node that it was
-  // connected to, and cannot be reached any more, last reported it as connected.
+  // A broker that is silent for longer counts as disconnected, even if the node that it was connected to has
+  // become unreachable and last reported it as connected. Nodes close a silent broker's connection sooner.
   static constexpr Time kBrokerTimeout = std::chrono::seconds(10);
 
   struct Node {
@@ -39,33 +39,34 @@
     link::ChannelId channel = 0;  // 0: none
     bool connected = false, welcomed = false;
     Time dialled_at{};
-    std::optional<Time> polled_at;  // an answer is due since
+    std::optional<Time> polled_at;  // set while an answer is awaited
     Time next_action{};             // when to dial, or to poll
-    std::string error;              // why it cannot be reached; empty: it can, or it is not known yet
+    std::string error;              // why it is unreachable; empty: it is reachable, or not tried yet
     std::optional<control::NodeStatus> status;
     Time status_polled_at{}, status_received_at{};
 
-    // Why there is no status of it, for operators.
+    // Why the node has no status, for operators.
     [[nodiscard]] std::string unreachable_reason() const;
   };
 
   NodePoller(ev::loop_ref loop, const config::Control& config);
 
-  // Until `done` returns true; it is called in each turn of the loop.
+  // Runs the event loop until `done`, which is called once per iteration, returns true.
   void run(std::function<bool()> done);
   void publish(const Node& node, const std::string& text);
 
-  // The answer to publish(): at most one of them.
+  // The answer to publish(): at most one of the two is set.
   [[nodiscard]] const std::optional<control::VersionId>& published() const { return published_; }
   [[nodiscard]] const std::optional<std::string>& rejection() const { return rejection_; }
 
   [[nodiscard]] const std::vector<Node>& nodes() const { return nodes_; }
   [[nodiscard]] const Node* find(const std::string& name) const;
-  // Whether each has answered, or cannot be reached.
+  // Whether each node has answered or is unreachable.
   [[nodiscard]] bool all_polled() const;
-  // For operators: which node knows of an epoch above `epoch`; none: none does.
+  // A text for operators that names the newest epoch above `epoch` and the node that reports it; none: no
+  // node reports a newer epoch.
   [[nodiscard]] std::optional<std::string> newer_term(std::uint64_t epoch) const;
-  // By name.
+  // All brokers that the nodes report, by name.
   [[nodiscard]] std::map<std::string, Broker> brokers() const;
 
  private:
@@ -80,7 +81,7 @@
   void handle(Node& node, const control::PublishRejected& message);
   template <class Other>
   void handle(Node& node, const Other&) {
-    disconnect(node, "says what no node says to a tool");
+    disconnect(node, "sent a message that is not meant for this tool");
   }
   void disconnect(Node& node, const std::string& error);
   void poll(Node& node, Time now);
--- a/tests/control_client_test.cpp
+++ b/tests/control_client_test.cpp
@@ -155,7 +155,8 @@
     testing::internal::CaptureStderr();
     client = make();
     const auto said = testing::internal::GetCapturedStderr();
-    EXPECT_NE(said.find("control: " + last + " is damaged, and is now " + last + ".damaged"),
+    EXPECT_NE(said.find("control: " + last + " is damaged or of another fleet, and was renamed to " + last +
+                        ".damaged"),
               std::string::npos)
         << said;
     EXPECT_FALSE(fs::exists(last));
--- a/tests/control_tool_test.cpp
+++ b/tests/control_tool_test.cpp
@@ -65,7 +65,7 @@
 
   const auto kept = tool("config publish " + good + " --file " + operators);
   EXPECT_EQ(kept.first, 0);
-  EXPECT_SAYS(kept, "1.1: kept by c1 after ");
+  EXPECT_SAYS(kept, "1.1: committed by c1 after ");
   writer->said("control node c1: version 1.1 kept");
   follower->said("control node c2: version 1.1 kept");
 
@@ -77,7 +77,7 @@
   // The writer's own word, under the document's own name: this file has no classes to check by.
   const auto there = tool("config publish " + bad + " --file " + file("none.hcl", 1, "c1", ""));
   EXPECT_EQ(there.first, 1);
-  EXPECT_SAYS(there, "refused by c1:\n");
+  EXPECT_SAYS(there, "document rejected by c1:\n");
   EXPECT_SAYS(there, mistakes);
 
   const auto status = tool("config status --file " + operators);
@@ -92,7 +92,7 @@
   EXPECT_EQ(writer->wait(), 0);
   const auto gone = tool("config publish " + good + " --file " + operators);
   EXPECT_EQ(gone.first, 4);
-  EXPECT_SAYS(gone, "the writer, c1, is out of reach: Connection refused");
+  EXPECT_SAYS(gone, "the leader, c1, is unreachable: Connection refused");
   EXPECT_EQ(tool("config status --file " + operators).first, 4);
 }
 
@@ -104,7 +104,7 @@
   for (const std::string& command : {"config publish " + good, std::string("config status")}) {
     const auto said = tool(command + " --file " + old);
     EXPECT_EQ(said.first, 4) << command;
-    EXPECT_SAYS(said, "c1 is not the writer any more: c2 knows of epoch 2 of c2");
+    EXPECT_SAYS(said, "c1 is not the leader any more: c2 reports epoch 2 with leader c2");
   }
   EXPECT_EQ(json::parse(tool("config status --json --file " + now).second)["newest"], nullptr);
   // Its file is set right, and it follows.
@@ -120,7 +120,7 @@
   const auto writer = node(operators, "c1");
   (void)file("ops.hcl", 0, "c1");
   writer->signal(SIGHUP);
-  writer->said("the operator's file is not taken up: " + operators +
+  writer->said("reload failed, the node keeps its configuration: " + operators +
                ":3:11: control.epoch: 0 is out of range");
   (void)file("ops.hcl", 3, "c1");
   writer->signal(SIGHUP);
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -36,7 +36,7 @@
   // The place of what was published; 0.0: none.
   [[nodiscard]] VersionId place() const {
     VersionId at;
-    const auto end = out.find(": kept by ");
+    const auto end = out.find(": committed by ");
     if (end == std::string::npos) return at;
     const auto from = out.rfind('\n', end) + 1;  // npos + 1 == 0
     std::sscanf(out.c_str() + from, "%lu.%lu", &at.epoch, &at.number);
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -29,7 +29,7 @@
   const auto ran = fleet.publish(tenant("acme"));
   EXPECT_EQ(ran.code, 0) << ran;
   EXPECT_EQ(ran.place(), (VersionId{1, 1}));
-  EXPECT_NE(ran.out.find("in force at all 5 connected brokers"), std::string::npos) << ran;
+  EXPECT_NE(ran.out.find("active at all 5 connected brokers"), std::string::npos) << ran;
   fleet.wait_in_force({1, 1});
   json status;
   EXPECT_EQ(fleet.status(&status).code, 0);
@@ -122,7 +122,7 @@
     EXPECT_EQ(ran.place(), VersionId{}) << ran;
     EXPECT_NE(ran.err.find(".hcl:2:3: "), std::string::npos) << ran;
     EXPECT_NE(ran.err.find(".hcl:5:"), std::string::npos) << ran;  // all that is wrong, at once
-    EXPECT_EQ(ran.err.find("refused by c1") != std::string::npos, at_the_writer) << ran;
+    EXPECT_EQ(ran.err.find("rejected by c1") != std::string::npos, at_the_writer) << ran;
   }
   for (const auto* text :
        {"tenant \"acme\" {", "\x01\x02\xff", "tenant \"a\" {\n  share = 1\n  share = 2\n}\n"})
@@ -161,7 +161,7 @@
   const auto ran = fleet.publish(tenant("newer") + "class \"extra\" {\n  worth = 2\n}\n");
   EXPECT_EQ(ran.code, 1) << ran;
   EXPECT_EQ(ran.place(), (VersionId{1, 2})) << ran;
-  EXPECT_NE(ran.out.find("refused by n0"), std::string::npos) << ran;
+  EXPECT_NE(ran.out.find("rejected by n0"), std::string::npos) << ran;
   EXPECT_NE(ran.out.find(":5:"), std::string::npos) << ran;
   json status;
   EXPECT_EQ(fleet.status(&status).code, 1);
