--- a/src/common/error.hpp
+++ b/src/common/error.hpp
@@ -1,4 +1,4 @@
-// Base of the errors that one part of the program reports to another.
+// Base classes of the errors that one module reports to another.
 #pragma once
 
 #include <stdexcept>
@@ -6,14 +6,14 @@
 
 namespace bellstair {
 
-// An error whose what() names the place and the reason, as an operator may read it. Parts derive their own
-// types; an operation that fails in the ordinary course returns std::optional<ItsError>, others throw.
+// An error whose what() names the place and the reason in words for operators. Modules derive their own
+// types. An operation whose failure is expected returns std::optional<ItsError>; others throw.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// An error that callers tell apart by a code, an enum of the part that reports it.
+// An error that callers distinguish by a code, an enum of the module that reports it.
 template <class Code>
 class CodedError : public Error {
  public:
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,7 +22,7 @@
   return value;
 }
 
-// The same number for an engine at every broker, since brokers name engines to one another by it.
+// Every broker computes the same id for an engine: brokers refer to engines by id in messages to one another.
 policy::EngineId engine_id(std::string_view name) {
   const auto dash = name.rfind('-');
   if (dash != std::string_view::npos && name.size() - dash == 9) {
@@ -37,24 +37,25 @@
   if (name == "in_service") return policy::EngineState::ready;
   if (name == "terminating") return policy::EngineState::draining;
   if (name == "terminated") return policy::EngineState::gone;
-  fail("servers[].state", "holds an unknown word");
+  fail("servers[].state", "has an unknown value");
 }
 
 core::EndpointRecord parse_endpoint(const json& in, const Names& names) {
   object(in, "servers[]");
   core::EndpointRecord out;
-  out.endpoint.engine = engine_id(text(need(in, "id"), "servers[].id"));
-  out.endpoint.state = parse_engine_state(text(need(in, "state"), "servers[].state"));
-  out.address = text_or_none(in, "addr");
+  out.endpoint.engine = engine_id(text(require_member(in, "id"), "servers[].id"));
+  out.endpoint.state = parse_engine_state(text(require_member(in, "state"), "servers[].state"));
+  out.address = text_or_empty(in, "addr");
   if (out.address.empty() && out.endpoint.state != policy::EngineState::gone)
     fail("servers[].addr", "is missing");
   const auto index = [](const auto& map, const std::string& key) {
     const auto found = map.find(key);
     return found == map.end() ? static_cast<std::uint16_t>(0) : static_cast<std::uint16_t>(found->second);
   };
-  out.endpoint.zone = index(names.zones, text_or_none(in, "zone"));
-  const auto kind = text_or_none(in, "kind");
-  if (!kind.empty() && !names.kinds.contains(kind)) fail("servers[].kind", "is in no settings");
+  out.endpoint.zone = index(names.zones, text_or_empty(in, "zone"));
+  const auto kind = text_or_empty(in, "kind");
+  if (!kind.empty() && !names.kinds.contains(kind))
+    fail("servers[].kind", "is not one of the kinds in the settings");
   out.endpoint.kind = index(names.kinds, kind);
   if (const auto cell = in.find("cell"); cell != in.end() && cell->is_number_unsigned())
     out.endpoint.cell = cell->get<std::uint16_t>();
@@ -68,15 +69,15 @@
 Changes parse_changes(const json& in, const Names& names) {
   object(in, "changes");
   Changes out;
-  out.seq = integer(need(in, "seq"), "seq");
-  for (const json& result : list(need(in, "results"), "results")) {
+  out.seq = integer(require_member(in, "seq"), "seq");
+  for (const json& result : list(require_member(in, "results"), "results")) {
     object(result, "results[]");
     const auto fleet = result.find("fleet");
-    if (fleet == result.end()) continue;  // other kinds of events are of no concern here
+    if (fleet == result.end()) continue;  // an event that is not about engines
     core::EndpointUpdate change;
     if (const auto full = object(*fleet, "fleet").find("full"); full != fleet->end() && full->is_boolean())
       change.full = full->get<bool>();
-    for (const json& server : list(need(*fleet, "servers"), "servers"))
+    for (const json& server : list(require_member(*fleet, "servers"), "servers"))
       change.endpoints.push_back(parse_endpoint(server, names));
     out.changes.push_back(std::move(change));
   }
@@ -90,7 +91,7 @@
     if (found == settings.end() || found->is_null()) return;
     for (const json& item : list(*found, key)) {
       const auto index = static_cast<std::uint16_t>(map.size());
-      map[named ? text(need(object(item, key), "name"), key) : text(item, key)] = index;
+      map[named ? text(require_member(object(item, key), "name"), key) : text(item, key)] = index;
     }
   };
   fill("classes", out.classes, true);
@@ -109,10 +110,10 @@
 }
 
 void parse_addresses(const json& in, Config& out) {
-  out.listen = text(need(in, "listen"), "listen");
-  out.changelog = text(need(in, "changelog"), "changelog");
-  out.peer_listen = text_or_none(in, "peer_listen");
-  out.peers_all = text_or_none(in, "peers_all");
+  out.listen = text(require_member(in, "listen"), "listen");
+  out.changelog = text(require_member(in, "changelog"), "changelog");
+  out.peer_listen = text_or_empty(in, "peer_listen");
+  out.peers_all = text_or_empty(in, "peers_all");
   if (const auto peers = in.find("peers"); peers != in.end() && !peers->is_null()) {
     for (const json& peer : list(*peers, "peers")) out.peers.push_back(text(peer, "peers[]"));
   }
@@ -136,7 +137,7 @@
 void parse_settings(const json& in, Config& out) {
   try {
     out.settings = simulator::settings_from_json(in);
-    policy::check_settings(out.settings);  // contradictions are errors before anything starts
+    policy::check_settings(out.settings);  // rejects contradictions before anything starts
   } catch (const std::exception& error) {
     throw Invalid(error.what());
   }
@@ -144,7 +145,7 @@
 }
 
 void parse_timeouts(const json& settings, Config& out) {
-  const json& ceilings = object(need(settings, "ceilings"), "settings.ceilings");
+  const json& ceilings = object(require_member(settings, "ceilings"), "settings.ceilings");
   const auto time_or = [&](const char* key, core::Time fallback) {
     const auto found = ceilings.find(key);
     return found == ceilings.end() ? fallback : core::Time(static_cast<std::int64_t>(integer(*found, key)));
@@ -166,13 +167,13 @@
 Config parse(std::string_view in) {
   const json all = parse_json(in, "configuration");
   Config out;
-  out.name = text_or_none(all, "name");
+  out.name = text_or_empty(all, "name");
   parse_addresses(all, out);
-  const auto seed = parse_hex<std::uint64_t>(text(need(all, "seed"), "seed"));
+  const auto seed = parse_hex<std::uint64_t>(text(require_member(all, "seed"), "seed"));
   if (!seed) fail("seed", "is not a number in hex digits");
   out.seed = *seed;
   parse_limits(all, out);
-  const json& settings = object(need(all, "settings"), "settings");
+  const json& settings = object(require_member(all, "settings"), "settings");
   parse_settings(settings, out);
   parse_timeouts(settings, out);
   for (const char* field : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"})
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-// What the program is told: the platform's JSON, read once into plain values.
+// Parses the platform's configuration and change log, in JSON, into plain values.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,21 @@
 
 namespace bellstair::config {
 
-// The text names the field; one line.
+// An invalid configuration; what() is one line that names the field.
 struct Invalid : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Names on the wire, to positions in the settings' lists.
+// Maps names on the wire to positions in the settings' lists.
 struct Names {
   std::map<std::string, std::uint16_t, std::less<>> classes, zones, kinds;
   std::map<std::string, std::uint32_t, std::less<>> tenants;
-  std::uint32_t no_tenant = 0;  // of requests that name none: the platform's first, or one beyond the list
+  std::uint32_t no_tenant = 0;  // for requests that name none: the platform's first, or one beyond the list
   std::vector<std::string> class_names;
   std::vector<std::string> load_fields;
 };
 
-// Events of the change log.
+// Events of the change log, up to number `seq`.
 struct Changes {
   std::uint64_t seq = 0;
   std::vector<core::EndpointUpdate> changes;
@@ -42,10 +42,10 @@
   policy::Settings settings;
   Names names;
   Changes initial_changes;
-  std::map<std::string, std::string> restart_only;  // what needs a restart to change, as text, by field
+  std::map<std::string, std::string> restart_only;  // JSON text of fields that need a restart, by name
 };
 
-// Reads the file at `path`; throws Invalid, also where there is none.
+// Reads the file at `path`; throws Invalid if it cannot be read. `what` names the file in the error.
 [[nodiscard]] std::string read_file(const std::string& path, const char* what);
 [[nodiscard]] Config parse(std::string_view json);
 [[nodiscard]] Changes parse_changes(std::string_view json, const Names& names);
--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -14,13 +14,13 @@
 namespace {
 using hcl::Reader;
 
-// What keeps it from standing in log lines, tables and messages; none: it can.
+// Returns why a name cannot be used in log lines, tables and messages; none: it can.
 std::optional<std::string> name_error(const std::string& name) {
   if (name.empty()) return "is empty";
   if (name.size() > control::kMaxNameBytes)
     return "is longer than " + std::to_string(control::kMaxNameBytes) + " bytes";
   const auto is_printable = [](unsigned char c) { return c > 0x20 && c != 0x7F; };
-  if (!std::ranges::all_of(name, is_printable)) return "holds a space or a control character";
+  if (!std::ranges::all_of(name, is_printable)) return "contains a space or a control character";
   return std::nullopt;
 }
 
@@ -67,45 +67,46 @@
   std::set<std::string> seen;
   for (const auto& name : out) {
     if (const auto error = name_error(name)) in.wrong("classes", "'" + name + "' " + *error);
-    if (!seen.insert(name).second) in.wrong("classes", "'" + name + "' stands twice");
+    if (!seen.insert(name).second) in.wrong("classes", "'" + name + "' is listed twice");
   }
   return out;
 }
 
-// `reader`: the control node that reads the file, which needs its store.
+// `own_node`: the control node that reads the file; it needs its store.
 std::vector<ControlNode> read_nodes(Reader& in, const std::string& file,
-                                    const std::optional<std::string>& reader) {
+                                    const std::optional<std::string>& own_node) {
   std::vector<ControlNode> out;
   std::set<std::string> names;
   std::map<std::string, std::string> names_by_address;
   for (auto& block : in.blocks("node", 1)) {
     auto node = read_node(block.reader, block.labels[0], file);
-    if (!names.insert(node.name).second) block.reader.wrong("", "stands a second time");
+    if (!names.insert(node.name).second) block.reader.wrong("", "is defined twice");
     const auto [other, is_new] = names_by_address.try_emplace(node.address, node.name);
     if (!is_new && !node.address.empty())
-      block.reader.wrong("address", node.address + " is that of node \"" + other->second + "\" too");
-    if (reader == node.name && node.store.empty() && !block.reader.has("store"))
-      block.reader.wrong("store", "is missing: a node keeps its versions there");
+      block.reader.wrong("address", node.address + " is also the address of node \"" + other->second + "\"");
+    if (own_node == node.name && node.store.empty() && !block.reader.has("store"))
+      block.reader.wrong("store", "is missing: the node needs a file to store its versions in");
     out.push_back(std::move(node));
   }
   return out;
 }
 
-// With the name that was most likely meant.
+// The error for an unknown node, with the most similar known name as a suggestion.
 std::string unknown_node(const std::string& name, const std::set<std::string>& known) {
-  const auto meant = hcl::nearest(name, known);
-  return "no node '" + name + "' stands here" + (meant ? ": did you mean '" + *meant + "'?" : "");
+  const auto suggestion = hcl::nearest(name, known);
+  return "no node '" + name + "' is defined here" +
+         (suggestion ? ": did you mean '" + *suggestion + "'?" : "");
 }
 
-void check_nodes(Reader& in, const Control& control, const std::optional<std::string>& reader) {
+void check_nodes(Reader& in, const Control& control, const std::optional<std::string>& own_node) {
   std::set<std::string> names;
   for (const auto& node : control.nodes) names.insert(node.name);
-  if (control.nodes.empty()) in.wrong("", "names no node");
+  if (control.nodes.empty()) in.wrong("", "defines no node");
   if (control.nodes.size() > kMaxControlNodes)
     in.wrong("node", "there are more than " + std::to_string(kMaxControlNodes));
   if (!control.leader.empty() && !control.nodes.empty() && !names.contains(control.leader))
     in.wrong("writer", unknown_node(control.leader, names));
-  if (reader && !names.contains(*reader)) in.wrong("", unknown_node(*reader, names));
+  if (own_node && !names.contains(*own_node)) in.wrong("", unknown_node(*own_node, names));
 }
 
 }  // namespace
@@ -122,7 +123,7 @@
   check_nodes(in, out, node);
   // Without classes, a node would reject every document that names one.
   if (node && out.classes.empty())
-    in.wrong("classes", "names none: a node checks by them what documents may name");
+    in.wrong("classes", "is empty: a control node needs the classes to validate documents");
   in.finish();
   return out;
 }
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -1,4 +1,4 @@
-// The operator's `control` block in HCL: which control nodes there are, and which is the leader.
+// Parses the operator's `control` block in HCL: the control nodes, and which of them is the leader.
 //
 //     control {
 //       fleet   = "tunis"
@@ -43,12 +43,13 @@
 
 inline constexpr std::size_t kMaxControlNodes = 64;
 
-// The block as a part of the operator's file (parse_operator_config). Relative paths are relative to the
-// directory of `file`. `node`: the control node that reads it, which needs its store and the classes.
-// Mistakes go to `in`.
+// Parses the block as a part of the operator's file (see parse_operator_config). Relative paths are relative
+// to the directory of `file`. `node`: the control node that reads the file; it needs its store and the
+// classes. Reports errors to `in`.
 [[nodiscard]] Control parse_control(hcl::Reader& in, const std::string& file,
                                     const std::optional<std::string>& node = std::nullopt);
-// The block alone; the rest of the file is ignored. Throws hcl::Invalid, also where there is no such block.
+// Parses the block alone and ignores the rest of the file. Throws hcl::Invalid, also if there is no such
+// block.
 [[nodiscard]] Control read_control(std::string_view text, const std::string& file,
                                    const std::optional<std::string>& node = std::nullopt);
 
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -17,11 +17,11 @@
 using hcl::Reader;
 
 constexpr std::size_t kMaxTenantName = 256;    // bytes
-constexpr hcl::Durations kTimeouts{0ns, 24h};  // more would pass the clock's range when added to it
+constexpr hcl::Durations kTimeouts{0ns, 24h};  // a longer one could overflow the clock when added to it
 constexpr hcl::Range<double> kWeights{0, 1e9};
 
-// Settings of the platform's file, of the operator's own, and of a class there: known here, so that the error
-// is not the one of a misspelt name.
+// Settings of the platform's file, of the operator's file, and of a class there. A document that has one is
+// rejected with an error of its own, not as if the name were misspelt.
 constexpr std::array kFixedSettings{
     "name",    "listen", "peer_listen", "peers",     "peers_all",     "limits",          "settings",
     "seed",    "mysql",  "user",        "directory", "mysql_engines", "control",         "balancers",
@@ -40,8 +40,9 @@
 
 void check_class_name(Reader& in, const std::string& name, const std::vector<std::string>& classes) {
   if (std::ranges::find(classes, name) != classes.end()) return;
-  const auto meant = hcl::nearest(name, {classes.begin(), classes.end()});
-  in.wrong("", "is no class of the settings" + (meant ? ": did you mean '" + *meant + "'?" : std::string()));
+  const auto suggestion = hcl::nearest(name, {classes.begin(), classes.end()});
+  in.wrong("", "is not a class of the settings" +
+                   (suggestion ? ": did you mean '" + *suggestion + "'?" : std::string()));
 }
 
 Document::Class parse_class(Reader& in, const std::string& name, const std::vector<std::string>& classes) {
@@ -61,10 +62,10 @@
 Document::Tenant parse_tenant(Reader& in, const std::string& name) {
   const auto control = [](unsigned char c) { return c < 0x20 || c == 0x7f; };
   if (name.empty() || name.size() > kMaxTenantName || std::ranges::any_of(name, control))
-    in.wrong("", "a tenant's name has 1 to 256 bytes, no control characters among them");
+    in.wrong("", "a tenant's name has 1 to 256 bytes and no control characters");
   Document::Tenant out;
   out.name = name;
-  // Left out, it would starve the tenant without a word.
+  // A default of 0 would leave the tenant without a share, and nothing would report it.
   if (!in.has("share")) in.wrong("share", "is missing");
   out.quota_fraction = in.number("share", 0, kWeights);
   out.quota_per_s = in.number("quota", 0, kWeights);
@@ -93,17 +94,17 @@
   return out;
 }
 
-// Goes through the slots in force: tenants that keep theirs are taken from `unplaced`. Returns the slots that
-// may be given to others, the highest first.
-std::vector<Slot> keep_slots(const Overlay& start, const Overlay& in_force, bool has_tenants,
-                             const std::function<bool(std::uint32_t)>& held, TenantsByName& unplaced,
-                             Overlay& out) {
+// Goes through the active slots, and removes the tenants that keep theirs from `unplaced`. Returns the slots
+// that are free for other tenants, the highest first.
+std::vector<Slot> reuse_slots(const Overlay& start, const Overlay& active, bool has_tenants,
+                              const std::function<bool(std::uint32_t)>& is_referenced,
+                              TenantsByName& unplaced, Overlay& out) {
   std::vector<Slot> free;
   auto& slots = out.settings.tenants;
   for (Slot slot = 0; slot < slots.size(); ++slot) {
     auto& tenant = slots[slot];
-    const bool of_start = slot < start.settings.tenants.size();
-    if (of_start && !has_tenants) {
+    const bool is_initial = slot < start.settings.tenants.size();
+    if (is_initial && !has_tenants) {
       tenant = start.settings.tenants[slot];
       continue;
     }
@@ -114,13 +115,14 @@
       continue;
     }
     tenant.quota_fraction = tenant.quota_per_s = 0;
-    if (!of_start && !in_force.names.tenants.contains(tenant.name) && !held(slot)) free.push_back(slot);
+    if (!is_initial && !active.names.tenants.contains(tenant.name) && !is_referenced(slot))
+      free.push_back(slot);
   }
   std::ranges::reverse(free);
   return free;
 }
 
-// New tenants get the lowest free slots, and then slots at the end.
+// Gives new tenants the lowest free slots, then new slots at the end.
 void place_new_tenants(TenantsByName& unplaced, std::vector<Slot>& free, Overlay& out) {
   auto& slots = out.settings.tenants;
   for (auto& [name, tenant] : unplaced) {
@@ -134,7 +136,7 @@
   }
 }
 
-// Free slots at the end go: a version with very many tenants leaves nothing behind.
+// Removes free slots at the end, so that those of a version with very many tenants do not remain for ever.
 void remove_trailing_slots(std::vector<Slot>& free, std::vector<policy::TenantSettings>& slots) {
   while (!free.empty() && free.front() + 1 == slots.size()) {
     slots.pop_back();
@@ -158,33 +160,33 @@
   std::set<std::string> seen;
   for (auto& section : top.blocks("class", 1)) {
     const auto& name = section.labels[0];
-    if (!seen.insert(name).second) section.reader.wrong("", "stands a second time");
+    if (!seen.insert(name).second) section.reader.wrong("", "is defined twice");
     out.classes.push_back(parse_class(section.reader, name, classes));
   }
   seen.clear();
   for (auto& section : top.blocks("tenant", 1)) {
     const auto& name = section.labels[0];
-    if (!seen.insert(name).second) section.reader.wrong("", "stands a second time");
+    if (!seen.insert(name).second) section.reader.wrong("", "is defined twice");
     if (!out.tenants) out.tenants.emplace();
     out.tenants->push_back(parse_tenant(section.reader, name));
   }
   reject_settings(top, kFixedSettings, "needs a restart: it can't change in a running broker");
   reject_settings(top, kHookSettings,
-                  "needs a restart, or a reload of each broker's own file: hooks are not of a version");
+                  "needs a restart, or a reload of each broker's own file: hooks are not part of a version");
   top.finish();
   if (!problems.empty()) throw hcl::Invalid(file, std::move(problems));
   return out;
 }
 
-Overlay overlay(const Overlay& start, const Overlay& in_force, const Document& document,
-                const std::function<bool(std::uint32_t)>& held) {
+Overlay overlay(const Overlay& start, const Overlay& active, const Document& document,
+                const std::function<bool(std::uint32_t)>& is_referenced) {
   Overlay out = start;
   if (document.changelog) out.changelog = *document.changelog;
   apply_classes(document, out);
-  out.settings.tenants = in_force.settings.tenants;
+  out.settings.tenants = active.settings.tenants;
   if (document.tenants) out.names.tenants.clear();
   auto unplaced = tenants_by_name(document);
-  auto free = keep_slots(start, in_force, document.tenants.has_value(), held, unplaced, out);
+  auto free = reuse_slots(start, active, document.tenants.has_value(), is_referenced, unplaced, out);
   place_new_tenants(unplaced, free, out);
   remove_trailing_slots(free, out.settings.tenants);
   const bool has_default =
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -1,6 +1,6 @@
-// A document of the configuration as control nodes distribute it, in HCL: the settings that may change in a
-// running fleet. Others are as in the platform's own configuration, so that the settings in force depend on
-// one version alone.
+// Parses a document of the configuration, in HCL, as control nodes distribute it: the settings that may
+// change in a running fleet. All other settings are those of the platform's own configuration, so that the
+// active settings depend on one version alone.
 //
 //     changelog = "10.2.0.1:9092"
 //     class "lookup" {
@@ -9,7 +9,7 @@
 //       worth      = 1
 //       late_share = 0.3
 //     }
-//     tenant "lycee-ennour" {      # with any tenant in it, the document names all that there are
+//     tenant "lycee-ennour" {      # a document that names a tenant must name all of them
 //       share = 0.59
 //       quota = 60                 # requests a second, over all brokers
 //     }
@@ -43,25 +43,26 @@
   std::optional<std::vector<Tenant>> tenants;
 };
 
-// What a version may change, as a broker has it in force. Made of the configuration the broker began with and
-// one document.
+// The settings that a version may change, as they are active at a broker: those of the configuration that the
+// broker started with, changed by one document.
 struct Overlay {
   policy::Settings settings;
   Names names;
   std::string changelog;
 };
 
-// Classes keep their positions. Tenants keep theirs too ("slots"), since requests, hooks and the module know
-// them by it: one that the document lacks stays in its slot with share and quota 0, and only its name is
-// unknown from now on; the name coming back gets the slot back. Slots of the platform's own tenants are never
-// given to others; any other slot is, once its tenant is neither in `in_force` nor in the document and `held`
-// says that nothing refers to it. So there are never more than the platform's, those of two versions in a
-// row, and those held.
-[[nodiscard]] Overlay overlay(const Overlay& start, const Overlay& in_force, const Document& document,
-                              const std::function<bool(std::uint32_t slot)>& held);
+// Applies `document` to the configuration from the start. Classes keep their positions. Tenants keep theirs
+// too ("slots"), since requests, hooks and the policy module refer to tenants by slot: a tenant that the
+// document does not name stays in its slot with share and quota 0, and its name is unknown; if a later
+// version names it again, it gets that slot. Slots of the platform's own tenants are never given to others.
+// Any other slot is, once its tenant is named neither in `active` nor in the document and `is_referenced` is
+// false for it. So there are never more slots than the platform's, those of two consecutive versions, and
+// those still referenced.
+[[nodiscard]] Overlay overlay(const Overlay& start, const Overlay& active, const Document& document,
+                              const std::function<bool(std::uint32_t slot)>& is_referenced);
 
-// `file` is for errors. `classes`: the names that a class may have. What can't change in a running broker
-// (listeners, names, threads, hooks, ...) is refused by its name. Throws hcl::Invalid with all that is wrong.
+// `file`: its name in errors. `classes`: the names that a class may have. Rejects settings that cannot change
+// in a running broker (listeners, names, threads, hooks, ...) by name. Throws hcl::Invalid with all errors.
 [[nodiscard]] Document parse_document(std::string_view text, const std::string& file,
                                       const std::vector<std::string>& classes);
 
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -31,36 +31,37 @@
   return out;
 }
 
-// The position of one of the settings' names; what is none of them is noted.
+// The position of a name in the settings; reports an unknown name to `in`, with a suggestion.
 template <class Map>
 std::optional<typename Map::mapped_type> position(Reader& in, const char* field, const std::string& value,
                                                   const Map& names, const char* what) {
   if (const auto found = names.find(value); found != names.end()) return found->second;
   std::set<std::string> known;
   for (const auto& [name, index] : names) known.insert(name);
-  const auto meant = hcl::nearest(value, known);
-  in.wrong(field, "'" + value + "' is no " + what + " of the settings" +
-                      (meant ? ": did you mean '" + *meant + "'?" : ""));
+  const auto suggestion = hcl::nearest(value, known);
+  in.wrong(field, "'" + value + "' is not a " + what + " of the settings" +
+                      (suggestion ? ": did you mean '" + *suggestion + "'?" : ""));
   return std::nullopt;
 }
 
 MysqlFront parse_mysql(Reader& in, const Names& names, bool directory) {
   MysqlFront out;
   out.listen = address(in, "listen");
-  // A directory takes passwords as they are, and there is no TLS here to hide them.
+  // With a directory, clients send their passwords in clear text, and this listener has no TLS.
   if (directory && !out.listen.empty() && !out.listen.starts_with("127."))
-    in.wrong("listen", "must be a loopback address beside a directory");
+    in.wrong("listen", "must be a loopback address if there is a directory");
   const auto add = [&](Reader& user, std::string name) {
     out.users.push_back({std::move(name), secret(user, "password_env"), user.text("tenant")});
     (void)position(user, "tenant", out.users.back().tenant, names.tenants, "tenant");
     user.finish();
   };
   for (auto& user : in.blocks("user", 1)) add(user.reader, user.labels[0]);
-  for (auto& user : in.blocks("users")) {  // the form of older files
+  for (auto& user : in.blocks("users")) {  // the syntax of older files
     auto name = user.reader.text("name");
     add(user.reader, std::move(name));
   }
-  if (out.users.empty() && !directory) in.wrong("", "names no user, and there is no directory");
+  if (out.users.empty() && !directory)
+    in.wrong("", "defines no user, and there is no directory to look users up in");
   in.finish();
   return out;
 }
@@ -127,7 +128,7 @@
   for (const auto& phase : phases) {
     const auto found = std::ranges::find(hooks::kPhaseNames, phase);
     if (found == hooks::kPhaseNames.end()) {
-      in.wrong("phases", "'" + phase + R"(' is no phase: expected "request", "answer" or "timer")");
+      in.wrong("phases", "'" + phase + R"(' is not a phase: expected "request", "answer" or "timer")");
     } else {
       out.phases[static_cast<std::size_t>(found - hooks::kPhaseNames.begin())] = true;
     }
@@ -170,10 +171,10 @@
   for (auto& hook : top.blocks("hook", 1)) {
     auto spec = parse_hook(hook.reader, hook.labels[0], names, file);
     if (std::ranges::find(out.hooks, spec.name, &hooks::Spec::name) != out.hooks.end())
-      hook.reader.wrong("", "stands a second time");
+      hook.reader.wrong("", "is defined twice");
     out.hooks.push_back(std::move(spec));
   }
-  // The one script of older files.
+  // Older files have at most one script, in this block.
   if (auto plugin = top.block("plugin"))
     out.hooks.push_back(parse_hook(plugin->reader, "plugin", names, file));
   if (out.hooks.size() > hooks::kMaxHooks)
@@ -204,14 +205,14 @@
   return out;
 }
 
-hooks::Set parse_hooks(std::string_view text, const std::string& file, Names& names, bool open) {
+hooks::Set parse_hooks(std::string_view text, const std::string& file, Names& names, bool add_names) {
   const auto body = hcl::parse(text, file);
   std::vector<hcl::Problem> problems;
   Reader top(body, "", problems);
-  if (open) {
+  if (add_names) {
     std::vector<hcl::Problem> ignored;
-    Reader look(body, "", ignored);
-    for (auto& hook : look.blocks("hook", 1)) {
+    Reader hooks_only(body, "", ignored);
+    for (auto& hook : hooks_only.blocks("hook", 1)) {
       auto match = hook.reader.block("match");
       if (!match) continue;
       for (const auto& name : match->reader.texts("class"))
--- a/src/config/fronts.hpp
+++ b/src/config/fronts.hpp
@@ -1,4 +1,5 @@
-// What is off on the platform: the operator's own file in HCL, `deploy/bellstair.hcl` in this repository.
+// Parses the operator's file in HCL, `deploy/bellstair.hcl` in this repository: features that are off on the
+// platform.
 #pragma once
 
 #include <optional>
@@ -21,7 +22,7 @@
   std::vector<MysqlUser> users;
   bool operator==(const MysqlFront&) const = default;
 };
-struct MysqlEngines {  // the engines of the change log speak MySQL too
+struct MysqlEngines {  // if set, brokers use MySQL to the engines of the change log
   std::string user, password;
   bool operator==(const MysqlEngines&) const = default;
 };
@@ -41,11 +42,13 @@
 // The names of fronts in settings and scripts, by core::FrontKind.
 inline const std::vector<std::string> kFrontNames{"platform", "mysql"};
 
-// Secrets are named by the environment variable that holds them. Throws hcl::Invalid, with all that is wrong.
+// Reads secrets from the environment variables that the file names. Throws hcl::Invalid with all errors.
 [[nodiscard]] OperatorConfig parse_operator_config(std::string_view text, const std::string& file,
                                                    const Names& names);
 
-// Only what is about hooks. `open`: classes and tenants that `names` does not hold are added to it.
-[[nodiscard]] hooks::Set parse_hooks(std::string_view text, const std::string& file, Names& names, bool open);
+// Parses only the settings of hooks. `add_names`: adds unknown classes and tenants to `names`, instead of
+// reporting them as errors.
+[[nodiscard]] hooks::Set parse_hooks(std::string_view text, const std::string& file, Names& names,
+                                     bool add_names);
 
 }  // namespace bellstair::config
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -8,18 +8,18 @@
 
 void fail(const std::string& field, const char* what) { throw Invalid(field + ": " + what); }
 
-const json& need(const json& in, const char* key) {
+const json& require_member(const json& in, const char* key) {
   const auto found = in.find(key);
   if (found == in.end() || found->is_null()) fail(key, "is missing");
   return *found;
 }
 
 std::string text(const json& value, const char* key) {
-  if (!value.is_string()) fail(key, "is not a text");
+  if (!value.is_string()) fail(key, "is not a string");
   return value.get<std::string>();
 }
 
-std::string text_or_none(const json& in, const char* key) {
+std::string text_or_empty(const json& in, const char* key) {
   const auto found = in.find(key);
   return found == in.end() || found->is_null() ? std::string() : text(*found, key);
 }
--- a/tests/control_config_test.cpp
+++ b/tests/control_config_test.cpp
@@ -61,25 +61,25 @@
       {with("  fleet   = \"tunis\"\n", ""), "f:2:1: control.fleet: is missing"},
       {with("\"tunis\"", "\"\""), "f:3:13: control.fleet: is empty"},
       {with("\"tunis\"", "\"" + long_name + "\""), "f:3:13: control.fleet: is longer than 128 bytes"},
-      {with("\"tunis\"", "\"a b\""), "f:3:13: control.fleet: holds a space or a control character"},
+      {with("\"tunis\"", "\"a b\""), "f:3:13: control.fleet: contains a space or a control character"},
       {with("  epoch   = 3\n", ""), "f:2:1: control.epoch: is missing"},
       {with("epoch   = 3", "epoch   = 0"), "f:4:13: control.epoch: 0 is out of range: expected 1 to "},
       {with("epoch   = 3", "epoch   = -2"), "f:4:13: control.epoch: -2 is out of range: expected 1 to "},
       {with("epoch   = 3", "epoch   = 3.5"), "f:4:13: control.epoch: expected a whole number"},
-      {with("\"c1\"\n", "\"c3\"\n"), "f:5:13: control.writer: no node 'c3' stands here: did you mean 'c1'?"},
+      {with("\"c1\"\n", "\"c3\"\n"), "f:5:13: control.writer: no node 'c3' is defined here: did you mean 'c1'?"},
       {with("  writer  = \"c1\"\n", ""), "f:2:1: control.writer: is missing"},
-      {with("\"report\"]", "\"lookup\"]"), "f:6:13: control.classes: 'lookup' stands twice"},
+      {with("\"report\"]", "\"lookup\"]"), "f:6:13: control.classes: 'lookup' is listed twice"},
       {with("\"report\"]", "7]"), "f:6:24: control.classes: expected a text, not a whole number"},
       {with("\"report\"]", "\"\"]"), "f:6:13: control.classes: '' is empty"},
       {with("\"north\"", "\"" + long_name + "\""), "f:7:13: control.region: is longer than 128 bytes"},
       {with("/last-version", "/"), "f:8:13: control.last: is not the path of a file"},
-      {with("node \"c2\"", "node \"c1\""), "f:14:3: control.node \"c1\": stands a second time"},
+      {with("node \"c2\"", "node \"c1\""), "f:14:3: control.node \"c1\": is defined twice"},
       {with("node \"c2\"", "node \"" + long_name + "\""),
        "f:14:3: control.node \"" + long_name + "\": its name is longer than 128 bytes"},
       {with("node \"c2\"", "node \"\""), "f:14:3: control.node \"\": its name is empty"},
       {with("node \"c2\"", "node"), "f:14:3: control.node: expected 1 labels, not 0"},
       {with("10.0.0.2:7101", "10.0.0.1:7101"),
-       "f:14:25: control.node \"c2\".address: 10.0.0.1:7101 is that of node \"c1\" too"},
+       "f:14:25: control.node \"c2\".address: 10.0.0.1:7101 is also the address of node \"c1\""},
       {with("10.0.0.2:7101", "10.0.0.2"),
        "f:14:25: control.node \"c2\".address: is not an address with a port"},
       {with("10.0.0.2:7101", "10.0.0.2:0"),
@@ -93,7 +93,7 @@
        "f:7:3: control: unknown attribute 'regoin': did you mean 'region'?"},
       {with("control {", "kontrol {"), "f:1:1: control: the block is missing"},
       {kWhole + "control {}\n", "f:16:1: control: stands a second time"},
-      {"control {\n  fleet = \"x\"\n  epoch = 1\n  writer = \"c1\"\n}\n", "f:1:1: control: names no node"},
+      {"control {\n  fleet = \"x\"\n  epoch = 1\n  writer = \"c1\"\n}\n", "f:1:1: control: defines no node"},
       {with("epoch   = 3", "epoch   = "), "f:4:"},
   };
   for (const auto& [text, said] : kMistakes) {
@@ -106,7 +106,7 @@
   const auto found =
       problems("control {\n  epoch = 0\n  writer = \"x\"\n  node \"a\" { address = \"y\" }\n}\n");
   for (const char* part : {"f:1:1: control.fleet: is missing", "f:2:11: control.epoch: 0 is out of range",
-                           "f:3:12: control.writer: no node 'x' stands here",
+                           "f:3:12: control.writer: no node 'x' is defined here",
                            "f:4:24: control.node \"a\".address: is not an address with a port"})
     EXPECT_NE(found.find(part), std::string::npos) << part << "\n--\n" << found;
 }
@@ -114,12 +114,12 @@
 TEST(ControlBlock, ANodeNeedsItsStoreAndTheClasses) {
   EXPECT_EQ(problems(kWhole, "c1"), "");
   EXPECT_EQ(problems(kWhole, "c2"),
-            "f:14:3: control.node \"c2\".store: is missing: a node keeps its versions there");
-  EXPECT_EQ(problems(kWhole, "c"), "f:2:1: control: no node 'c' stands here: did you mean 'c1'?");
+            "f:14:3: control.node \"c2\".store: is missing: the node needs a file to store its versions in");
+  EXPECT_EQ(problems(kWhole, "c"), "f:2:1: control: no node 'c' is defined here: did you mean 'c1'?");
   const auto none = with("  classes = [\"lookup\", \"report\"]\n", "");
   EXPECT_EQ(problems(none), "");  // brokers and the tool need none
   EXPECT_EQ(problems(none, "c1"),
-            "f:2:1: control.classes: names none: a node checks by them what documents may name");
+            "f:2:1: control.classes: is empty: a control node needs the classes to validate documents");
 }
 
 TEST(ControlBlock, HoldsSixtyFourNodes) {
--- a/tests/control_tool_test.cpp
+++ b/tests/control_tool_test.cpp
@@ -135,7 +135,7 @@
   EXPECT_EQ(tool("config publish " + good + " --wait 5 --file " + file("ops.hcl", 1, "c1")).first, 2);
   EXPECT_EQ(tool("config --help").first, 0);
   Program node({"control", file("ops.hcl", 1, "c1"), "--node", "c3"});
-  node.said("ops.hcl:1:1: control: no node 'c3' stands here");
+  node.said("ops.hcl:1:1: control: no node 'c3' is defined here");
   EXPECT_EQ(WEXITSTATUS(node.wait()), 1);
 }
 
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -66,7 +66,7 @@
       {"class \"lookup\" { worth = -1 }", "class \"lookup\".worth: -1 is out of range: expected 0 to 1e+09"},
       {"class \"lookup\" { late_share = 1.5 }", "late_share: 1.5 is out of range: expected 0 to 1"},
       {"class \"lokup\" { worth = 1 }",
-       "class \"lokup\": is no class of the settings: did you mean 'lookup'?"},
+       "class \"lokup\": is not a class of the settings: did you mean 'lookup'?"},
       {"class \"lookup\" { wroth = 1 }", "unknown attribute 'wroth': did you mean 'worth'?"},
       {"class \"lookup\" {}\nclass \"lookup\" {}", "version 3.17:2:"},
       {"class { worth = 1 }", "expected 1 labels, not 0"},
@@ -76,7 +76,7 @@
       {"tenant \"a\" { quota = 1 }", "tenant \"a\".share: is missing"},
       {"tenant \"\" { share = 1 }", "a tenant's name has 1 to 256 bytes"},
       {"tenant \"a\\nb\" { share = 1 }", "no control characters"},
-      {"tenant \"a\" { share = 1 }\ntenant \"a\" { share = 1 }", "tenant \"a\": stands a second time"},
+      {"tenant \"a\" { share = 1 }\ntenant \"a\" { share = 1 }", "tenant \"a\": is defined twice"},
       {"tenannt \"a\" { share = 1 }", "version 3.17:1:1: unknown block 'tenannt': did you mean 'tenant'?"},
       {"changelog = \"${x}\"", "version 3.17:1:14: templates are not supported"},
   };
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -127,8 +127,8 @@
                              "f:2:1: hook \"a b\": a hook's name has",
                              "f:4:3: hook \"a b\": unknown attribute 'tiem': did you mean 'time'?",
                              "f:5:12: hook \"a b\".time: expected a duration",
-                             "f:6:12: hook \"a b\".phases: 'answers' is no phase",
-                             "f:7:20: hook \"a b\".match.tenant: 'lycee-enour' is no tenant of the settings: "
+                             "f:6:12: hook \"a b\".phases: 'answers' is not a phase",
+                             "f:7:20: hook \"a b\".match.tenant: 'lycee-enour' is not a tenant of the settings: "
                              "did you mean 'lycee-ennour'?",
                              "f:9:1: unknown block 'hock': did you mean 'hook'?"})
       EXPECT_NE(said.find(part), std::string::npos) << part << "\n--\n" << said;
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -143,7 +143,7 @@
       {"mysql {\n  listen = \"127.0.0.1:1\"\n}\n", ".hcl:1:1: mysql: needs a restart"},
       {"hook \"h\" {\n  script = \"h.lua\"\n}\n", ".hcl:1:1: hook: needs a restart"},
       {"class \"lookup\" {\n  threads = 4\n}\n", ".hcl:2:13: class \"lookup\".threads: needs a restart"},
-      {"class \"another\" {\n  worth = 1\n}\n", ".hcl:1:1: class \"another\": is no class"}};
+      {"class \"another\" {\n  worth = 1\n}\n", ".hcl:1:1: class \"another\": is not a class"}};
   for (const auto& [text, problem] : kFixed) {
     const auto ran = fleet.publish(text);
     EXPECT_EQ(ran.code, 1) << ran;
