--- a/tests/faults/last_version_test.cpp
+++ b/tests/faults/last_version_test.cpp
@@ -36,7 +36,7 @@
 TEST(LastVersion, IsSyncedWithItsFolderBeforeItCountsAsKept) {
   Faults faults;
   Fleet fleet(with_file(faults));
-  fleet.connected(0);
+  fleet.await_connected(0);
   EXPECT_EQ(fleet.publish(tenant("beta")).code, 0);
   ASSERT_TRUE(comes_to_hold(fleet, "beta"));
   const auto until = std::chrono::steady_clock::now() + kPatience;
@@ -53,7 +53,7 @@
     SCOPED_TRACE(std::strerror(error));
     Faults faults;
     Fleet fleet(with_file(faults));
-    fleet.connected(0);
+    fleet.await_connected(0);
     EXPECT_EQ(fleet.publish(tenant("beta")).code, 0);
     ASSERT_TRUE(comes_to_hold(fleet, "beta"));
     const auto before = content(fleet);
--- a/tests/faults/store_test.cpp
+++ b/tests/faults/store_test.cpp
@@ -18,8 +18,8 @@
   options.brokers = 1;
   options.node_environment = faults.environment();
   Fleet fleet(options);
-  fleet.all_connected();
-  ASSERT_EQ(fleet.publish(numbered(0)).place(), (VersionId{1, 1}));
+  fleet.await_all_connected();
+  ASSERT_EQ(fleet.publish(numbered(0)).version_id(), (VersionId{1, 1}));
   faults.fail(FaultyCall::sync, 4, {EIO, ENOSPC});
   VersionId last{1, 1};
   int rejected = 0;
@@ -30,17 +30,18 @@
       EXPECT_EQ(ran.err.find("UNIQUE"), std::string::npos) << ran;
       continue;
     }
-    EXPECT_EQ(ran.place(), (VersionId{1, last.number + 1})) << "no number is used up by what is not kept";
-    last = ran.place();
+    EXPECT_EQ(ran.version_id(), (VersionId{1, last.number + 1}))
+        << "no number is used up by what is not kept";
+    last = ran.version_id();
   }
   faults.stop(FaultyCall::sync);
   EXPECT_GT(rejected, 3);
   EXPECT_GT(last.number, 3U);
   const auto after = fleet.publish(numbered(99));
   EXPECT_EQ(after.code, 0) << after;
-  EXPECT_EQ(after.place(), (VersionId{1, last.number + 1}));
+  EXPECT_EQ(after.version_id(), (VersionId{1, last.number + 1}));
   fleet.restart("c1");
-  EXPECT_EQ(fleet.publish(numbered(100)).place(), (VersionId{1, last.number + 2}))
+  EXPECT_EQ(fleet.publish(numbered(100)).version_id(), (VersionId{1, last.number + 2}))
       << "nothing was kept unsaid";
 }
 
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -123,14 +123,15 @@
     FAIL();
   } catch (const Invalid& error) {
     const std::string said = error.what();
-    for (const char* part : {"f:1:17: hooks.share: 2 is out of range: expected 0.01 to 0.9",
-                             "f:2:1: hook \"a b\": a hook's name has",
-                             "f:4:3: hook \"a b\": unknown attribute 'tiem': did you mean 'time'?",
-                             "f:5:12: hook \"a b\".time: expected a duration",
-                             "f:6:12: hook \"a b\".phases: 'answers' is not a phase",
-                             "f:7:20: hook \"a b\".match.tenant: 'lycee-enour' is not a tenant of the settings: "
-                             "did you mean 'lycee-ennour'?",
-                             "f:9:1: unknown block 'hock': did you mean 'hook'?"})
+    for (const char* part :
+         {"f:1:17: hooks.share: 2 is out of range: expected 0.01 to 0.9",
+          "f:2:1: hook \"a b\": a hook's name has",
+          "f:4:3: hook \"a b\": unknown attribute 'tiem': did you mean 'time'?",
+          "f:5:12: hook \"a b\".time: expected a duration",
+          "f:6:12: hook \"a b\".phases: 'answers' is not a phase",
+          "f:7:20: hook \"a b\".match.tenant: 'lycee-enour' is not a tenant of the settings: "
+          "did you mean 'lycee-ennour'?",
+          "f:9:1: unknown block 'hock': did you mean 'hook'?"})
       EXPECT_NE(said.find(part), std::string::npos) << part << "\n--\n" << said;
     EXPECT_EQ(error.problems.size(), 7U);
   }
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -30,8 +30,8 @@
 
 TEST(Faults, ALeaderKilledBeforeItHasKeptADocumentLosesNothingElse) {
   Fleet fleet;
-  fleet.all_connected();
-  ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
+  fleet.await_all_connected();
+  ASSERT_EQ(fleet.publish(tenant("one")).version_id(), (VersionId{1, 1}));
   Operator tool(fleet);
   fleet.node("c1").signal(SIGSTOP);
   tool.send(control::Publish{tenant("two")});  // it lies at the system, unread
@@ -47,14 +47,14 @@
   fleet.restart("c1");
   const auto again = fleet.publish(tenant("three"));
   EXPECT_EQ(again.code, 0) << again;
-  EXPECT_EQ(again.place(), (VersionId{1, 2}));
+  EXPECT_EQ(again.version_id(), (VersionId{1, 2}));
   for (std::size_t i = 0; i < fleet.brokers(); ++i) EXPECT_EQ(fleet.ask(i, "three"), "");
 }
 
 TEST(Faults, WhatALeaderHadKeptWhenItWasKilledIsInForceEverywhereOnceItReturns) {
   Fleet fleet;
-  fleet.all_connected();
-  ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
+  fleet.await_all_connected();
+  ASSERT_EQ(fleet.publish(tenant("one")).version_id(), (VersionId{1, 1}));
   // Nothing that it says reaches anyone but its operator.
   fleet.network.each([](auto&, auto& to) { return to == "c1"; }, [](Link& link) { link.hold(Way::down); });
   Operator tool(fleet);
@@ -81,7 +81,7 @@
   FleetOptions options;
   options.last = true;
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   std::mt19937_64 random(34);
   VersionId told;
   for (int round = 0; round < 6; ++round) {
@@ -102,7 +102,7 @@
     EXPECT_GE(newest, told) << "killed after " << wait.count() << " us of round " << round;
     const auto ran = fleet.publish(tenant("sure" + std::to_string(round)));
     ASSERT_EQ(ran.code, 0) << ran;
-    told = ran.place();
+    told = ran.version_id();
     for (std::size_t i = 0; i < fleet.brokers(); ++i)
       EXPECT_EQ(fleet.ask(i, "sure" + std::to_string(round)), "");
   }
@@ -110,12 +110,12 @@
 
 TEST(Faults, BrokersOfANodeThatIsKilledMoveOnAndItsReturnFollows) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   fleet.move(1, "c3");
   const auto from = fleet.broker(1).lines();
   fleet.kill("c3");
   fleet.broker(1).said("control: lost c3", from);
-  fleet.connected(1, "c", from);
+  fleet.await_connected(1, "c", from);
   EXPECT_NE(fleet.at(1), "c3");
   EXPECT_EQ(fleet.publish(tenant("one")).code, 0);
   fleet.restart("c3");
@@ -129,12 +129,12 @@
   FleetOptions options;
   options.nodes = {{"c1", "north"}, {"c2", "south"}};
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   fleet.move(0, "c1");
   const auto from = fleet.broker(0).lines();
   const auto since = Clock::now();
   fleet.node("c1").signal(SIGSTOP);
-  fleet.connected(0, "c2", from);
+  fleet.await_connected(0, "c2", from);
   EXPECT_LT(Clock::now() - since, kMovesOn);
   EXPECT_EQ(fleet.publish(tenant("one")).code, 4);
   EXPECT_EQ(fleet.ask(0, "acme"), "");
@@ -146,7 +146,7 @@
 
 TEST(Faults, APublishReachesTheBrokersOfAFollowerThatStandsStill) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   fleet.move(1, "c3");
   fleet.node("c3").signal(SIGSTOP);
   const auto ran = fleet.publish(tenant("one"));
@@ -159,7 +159,7 @@
 
 TEST(Faults, ABrokerThatStandsStillIsNamedAsBehindAndTakesTheNewestWhenItGoesOn) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   fleet.broker(2).signal(SIGSTOP);
   const auto ran = fleet.publish(tenant("one"), "1s");
   EXPECT_EQ(ran.code, 3) << ran;
@@ -179,7 +179,7 @@
     FleetOptions options;
     options.brokers = 2;
     Fleet fleet(options);
-    fleet.all_connected();
+    fleet.await_all_connected();
     fleet.move(1, "c3");
     const auto from = fleet.broker(1).lines();
     const auto since = Clock::now();
@@ -189,7 +189,7 @@
                          if (mode != 0) link.hold(Way::down);
                        });
     fleet.broker(1).said("control: lost c3", from);
-    fleet.connected(1, "c", from);
+    fleet.await_connected(1, "c", from);
     EXPECT_LT(Clock::now() - since, kMovesOn);
     const auto ran = fleet.publish(tenant("one"));
     EXPECT_EQ(ran.code, 0) << ran;
@@ -202,7 +202,7 @@
 // The follower hears nothing of the writer, though the writer hears it.
 TEST(Faults, AFollowerCutOneWayFromItsLeaderCatchesUpOnceHealed) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   fleet.move(0, "c1");
   fleet.move(1, "c3");
   fleet.network.with("c3", "c1", [](Link& link) { link.hold(Way::down); });
@@ -218,7 +218,7 @@
   FleetOptions options;
   options.last = true;
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).code, 0);
   for (const auto* node : {"c1", "c2", "c3"}) fleet.kill(node);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
@@ -231,7 +231,7 @@
   }
   EXPECT_EQ(fleet.status().code, 4);
   for (const auto* node : {"c1", "c2", "c3"}) fleet.restart(node);
-  fleet.all_connected();
+  fleet.await_all_connected();
   EXPECT_EQ(fleet.publish(tenant("two")).code, 0);
 }
 
@@ -240,7 +240,7 @@
   options.last = true;
   options.brokers = 1;
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).code, 0);
   fleet.kill(std::size_t{0});
   auto text = config::read_file(fleet.path("n0.last"), "last");
@@ -259,8 +259,8 @@
 // No file of it may grow any more, as on a disk that is full.
 TEST(Faults, ALeaderWhoseDiskIsFullRefusesWhatItCannotKeepAndGoesOnOnceThereIsRoom) {
   Fleet fleet;
-  fleet.all_connected();
-  ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
+  fleet.await_all_connected();
+  ASSERT_EQ(fleet.publish(tenant("one")).version_id(), (VersionId{1, 1}));
   const auto room = [&](rlim_t bytes) {
     const rlimit most{bytes, RLIM_INFINITY};
     ASSERT_EQ(::prlimit(fleet.node("c1").pid(), RLIMIT_FSIZE, &most, nullptr), 0);
@@ -272,7 +272,7 @@
   room(RLIM_INFINITY);
   const auto again = fleet.publish(tenant("three"));
   EXPECT_EQ(again.code, 0) << again;
-  EXPECT_EQ(again.place(), (VersionId{1, 2}));
+  EXPECT_EQ(again.version_id(), (VersionId{1, 2}));
   for (std::size_t i = 0; i < fleet.brokers(); ++i) EXPECT_EQ(fleet.ask(i, "three"), "");
   fleet.restart("c1");
   EXPECT_EQ(fleet.status().code, 0);
@@ -282,11 +282,11 @@
 // what it is given: nobody ever has it in force.
 TEST(Faults, AnOldLeaderThatReturnsIsRefusedByAll) {
   Fleet fleet;
-  fleet.all_connected();
-  ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
+  fleet.await_all_connected();
+  ASSERT_EQ(fleet.publish(tenant("one")).version_id(), (VersionId{1, 1}));
   const auto to_or_from_c1 = [](auto& from, auto& to) { return from == "c1" || to == "c1"; };
   fleet.network.each(to_or_from_c1, [](Link& link) { link.cut(); });
-  for (std::size_t i = 0; i < fleet.brokers(); ++i) fleet.connected(i);
+  for (std::size_t i = 0; i < fleet.brokers(); ++i) fleet.await_connected(i);
   const control::LeaderTerm next{2, "c2"};
   fleet.write_files(next, {"c2", "c3", "tool"});
   for (const auto* node : {"c2", "c3"}) fleet.node(node).signal(SIGHUP);
@@ -296,7 +296,7 @@
   EXPECT_EQ(old.publish(tenant("stale")), (VersionId{1, 2}));
   const auto ran = fleet.publish(tenant("two"));
   EXPECT_EQ(ran.code, 0) << ran;
-  EXPECT_EQ(ran.place(), (VersionId{2, 2}));
+  EXPECT_EQ(ran.version_id(), (VersionId{2, 2}));
   fleet.wait_in_force({2, 2});
   // Now the others are out of reach, and it alone answers: brokers of epoch 2 depose it.
   fleet.network.each([](auto& from, auto& to) { return to != "c1" && from[0] == 'n'; },
@@ -322,8 +322,8 @@
 // A node without its disk, and with a file that names itself as the writer of an epoch that has one.
 TEST(Faults, ASecondLeaderOfOneEpochIsRefusedByAll) {
   Fleet fleet;
-  fleet.all_connected();
-  ASSERT_EQ(fleet.publish(tenant("one")).place(), (VersionId{1, 1}));
+  fleet.await_all_connected();
+  ASSERT_EQ(fleet.publish(tenant("one")).version_id(), (VersionId{1, 1}));
   fleet.kill("c3");
   for (const auto* end : {"", "-journal"}) std::filesystem::remove(fleet.path(std::string("c3.db") + end));
   fleet.write_files({1, "c3"}, {"c3"});
@@ -345,7 +345,7 @@
   fleet.network.heal();
   const auto ran = fleet.publish(tenant("two"));
   EXPECT_EQ(ran.code, 0) << ran;
-  EXPECT_EQ(ran.place(), (VersionId{1, 2}));
+  EXPECT_EQ(ran.version_id(), (VersionId{1, 2}));
   fleet.wait_in_force({1, 2});
   fleet.status_when([](const json& status) {
     std::string digest;
@@ -360,7 +360,7 @@
 
 TEST(Faults, AStrangersFleetIsRefusedOnBothSides) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("one")).code, 0);
   // A broker and a tool of another fleet.
   fleet.kill(std::size_t{0});
@@ -391,7 +391,7 @@
   FleetOptions options;
   options.brokers = 1;
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   for (const auto* node : {"c1", "c2", "c3"}) fleet.kill(node);
   const auto version = [](VersionId place, const std::string& writer, const std::string& name) {
     control::Version out{place, writer, "", tenant(name)};
@@ -428,7 +428,7 @@
     socket.ended();
   });
   const auto from = fleet.broker(0).lines();
-  fleet.network.place("c1", liar.address());
+  fleet.network.set_target("c1", liar.address());
   for (const auto& [bytes, problem] : kSaid) fleet.broker(0).said(problem, from);
   fleet.broker(0).said(Fleet::in_force({2, 5}));
   EXPECT_EQ(fleet.ask(0, "good"), "");
@@ -471,7 +471,7 @@
     }
     socket.ended();
   });
-  fleet.network.place("c1", liar.address());
+  fleet.network.set_target("c1", liar.address());
   fleet.node("c2").said("version 1.5 kept");
   fleet.node("c2").said("version 1.6 is damaged");
   fleet.node("c2").said("disconnects from c1: epoch 1 has two writers");
@@ -489,7 +489,7 @@
   FleetOptions options;
   options.nodes = {{"c1", "north"}, {"c2", "south"}};
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   std::atomic<bool> over = false;
   std::atomic<int> cut_off = 0;
   std::vector<std::thread> strangers;
--- a/tests/processes/fleet.hpp
+++ b/tests/processes/fleet.hpp
@@ -37,7 +37,7 @@
     for (const auto& [name, region] : options_.nodes) {
       auto& node = nodes_[name];
       node.region = region;
-      network.place(name, node.real.address);
+      network.set_target(name, node.real.address);
     }
     for (std::size_t i = 0; i < options_.brokers; ++i) brokers_[i].name = "n" + std::to_string(i);
     write_files(term);
@@ -143,11 +143,11 @@
   }
 
   // ---- what is in force
-  void connected(std::size_t broker, const std::string& node = "", std::size_t from = 0) {
+  void await_connected(std::size_t broker, const std::string& node = "", std::size_t from = 0) {
     this->broker(broker).said("control: connected to " + node, from);
   }
-  void all_connected() {
-    for (const auto& [i, broker] : brokers_) connected(i);
+  void await_all_connected() {
+    for (const auto& [i, broker] : brokers_) await_connected(i);
   }
   static std::string in_force(VersionId place) {
     return "control: version " + control::to_text(place) + " in force";
@@ -175,12 +175,12 @@
 
   // Brings it to this node, by way of links that are cut for as long as it takes.
   void move(std::size_t i, const std::string& node) {
-    connected(i);
+    await_connected(i);
     if (at(i) == node) return;
     const auto from = broker(i).lines();
     const auto others = [&](auto& who, auto& to) { return who == brokers_.at(i).name && to != node; };
     network.each(others, [](Link& link) { link.cut(); });
-    connected(i, node + " ", from);
+    await_connected(i, node + " ", from);
     network.each(others, [](Link& link) { link.heal(); });
   }
 
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -34,7 +34,7 @@
   int code = -1;
   std::string out, err;
   // The place of what was published; 0.0: none.
-  [[nodiscard]] VersionId place() const {
+  [[nodiscard]] VersionId version_id() const {
     VersionId at;
     const auto end = out.find(": committed by ");
     if (end == std::string::npos) return at;
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -11,7 +11,7 @@
   FleetOptions options;
   options.brokers = 5;
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   // Each has tried a node of its own region first, and no other where that one took it.
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     const bool north = fleet.region_of(i) == "north";
@@ -28,7 +28,7 @@
   }
   const auto ran = fleet.publish(tenant("acme"));
   EXPECT_EQ(ran.code, 0) << ran;
-  EXPECT_EQ(ran.place(), (VersionId{1, 1}));
+  EXPECT_EQ(ran.version_id(), (VersionId{1, 1}));
   EXPECT_NE(ran.out.find("active at all 5 connected brokers"), std::string::npos) << ran;
   fleet.wait_in_force({1, 1});
   json status;
@@ -47,12 +47,12 @@
     EXPECT_EQ(broker["digest"], digest);
     EXPECT_EQ(broker["connected"], true);
   }
-  EXPECT_EQ(fleet.publish(tenant("acme")).place(), (VersionId{1, 2}));
+  EXPECT_EQ(fleet.publish(tenant("acme")).version_id(), (VersionId{1, 2}));
 }
 
 TEST(Publish, ATenantThatIsAddedIsServedAndOneThatIsRemovedIsUnknown) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   std::vector<pid_t> pids;
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     pids.push_back(fleet.broker(i).pid());
@@ -85,7 +85,7 @@
       "mysql {\n  listen = \"127.0.0.1:0\"\n  user \"gateway\" {\n    password_env = \"TEST_SECRET\"\n"
       "    tenant = \"acme\"\n  }\n}\n";
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   MysqlClient client(fleet.broker(0).listens("mysql.listen"));
   // A statement without a limit of its own has its class's give-up time.
   const auto limit = [&](int number) {
@@ -107,7 +107,7 @@
 
 TEST(Publish, ABadDocumentIsRefusedWithLineAndColumnAndNothingChanges) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("acme") + tenant("new")).code, 0);
   const std::string bad =
       "tenant \"acme\" {\n  shore = 0.5\n}\nclass \"lookup\" {\n  give_up = \"soon\"\n}\n";
@@ -119,7 +119,7 @@
     }
     const auto ran = fleet.publish(bad);
     EXPECT_EQ(ran.code, 1) << ran;
-    EXPECT_EQ(ran.place(), VersionId{}) << ran;
+    EXPECT_EQ(ran.version_id(), VersionId{}) << ran;
     EXPECT_NE(ran.err.find(".hcl:2:3: "), std::string::npos) << ran;
     EXPECT_NE(ran.err.find(".hcl:5:"), std::string::npos) << ran;  // all that is wrong, at once
     EXPECT_EQ(ran.err.find("rejected by c1") != std::string::npos, at_the_writer) << ran;
@@ -156,11 +156,11 @@
   FleetOptions options;
   options.classes = R"(["lookup", "load", "once", "extra"])";
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("new")).code, 0);
   const auto ran = fleet.publish(tenant("newer") + "class \"extra\" {\n  worth = 2\n}\n");
   EXPECT_EQ(ran.code, 1) << ran;
-  EXPECT_EQ(ran.place(), (VersionId{1, 2})) << ran;
+  EXPECT_EQ(ran.version_id(), (VersionId{1, 2})) << ran;
   EXPECT_NE(ran.out.find("rejected by n0"), std::string::npos) << ran;
   EXPECT_NE(ran.out.find(":5:"), std::string::npos) << ran;
   json status;
@@ -181,7 +181,7 @@
 // Requests that are read together see one version: all of it, and none of another.
 TEST(Publish, NoRequestSeesPartsOfTwoVersions) {
   Fleet fleet;
-  fleet.all_connected();
+  fleet.await_all_connected();
   std::atomic<bool> over = false;
   std::vector<std::future<std::string>> clients;
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
@@ -222,7 +222,7 @@
   FleetOptions options;
   options.brokers = 1;
   Fleet fleet(options);
-  fleet.all_connected();
+  fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("new")).code, 0);
   const auto from = fleet.broker(0).lines();
   fleet.broker(0).signal(SIGHUP);
--- a/tests/processes/relay.hpp
+++ b/tests/processes/relay.hpp
@@ -223,7 +223,7 @@
     return out;
   }
   // Where all links to `name` end.
-  void place(const std::string& name, const std::string& address) {
+  void set_target(const std::string& name, const std::string& address) {
     run([&] {
       places_[name] = address;
       for (auto& [ends, link] : links_) {
--- a/tests/processes/relay_test.cpp
+++ b/tests/processes/relay_test.cpp
@@ -19,7 +19,7 @@
     }
   }};
   Network network;
-  Echo() { network.place("b", server.address()); }
+  Echo() { network.set_target("b", server.address()); }
   Socket dial() { return Socket::to(network.address("a", "b")); }
   void with(const std::function<void(Link&)>& what) { network.with("a", "b", what); }
   bool came(const std::string& line) {
@@ -112,11 +112,11 @@
 
 TEST(Relay, APlaceThatIsGoneResetsAndOneThatIsMovedIsFollowed) {
   Echo echo;
-  echo.network.place("b", "");
+  echo.network.set_target("b", "");
   auto socket = echo.dial();
   EXPECT_FALSE(socket.more());
   Echo other;
-  echo.network.place("b", other.server.address());
+  echo.network.set_target("b", other.server.address());
   auto again = echo.dial();
   again.send("one\n");
   EXPECT_EQ(again.line(), "one");
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -83,7 +83,7 @@
 class Soak {
  public:
   explicit Soak(const Options& options) : options_(options), random_(options.seed) {
-    network_.place("changes", changes_.address());
+    network_.set_target("changes", changes_.address());
     for (std::size_t i = 0; i < options_.engines; ++i) add_engine(false);
     tell_engines(true);
     for (std::size_t i = 0; i < options_.brokers; ++i) {
@@ -185,7 +185,7 @@
                                  std::to_string(options_.seed * 10'000 + engines_.size())},
         records_);
     records_.wait([up = "up " + engine->name + " "](const std::string& line) { return line.find(up) == 0; });
-    network_.place(engine->name, engine->reserved.address);
+    network_.set_target(engine->name, engine->reserved.address);
     engines_.push_back(engine);
     if (!newcomer) return;
     engine->started_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
