--- a/tests/control_client_test.cpp
+++ b/tests/control_client_test.cpp
@@ -1,4 +1,5 @@
-// A broker's stream to a control node, on a loop, and the file of the last version.
+// Checks app::ControlClient on an event loop: a broker's connection to a control node and its file of the
+// last version.
 #include "app/control_client.hpp"
 
 #include <gtest/gtest.h>
@@ -28,15 +29,15 @@
     dir = fs::temp_directory_path() / ("bellstair-client-" + std::to_string(::getpid()));
     fs::remove_all(dir);
     fs::create_directories(dir);
-    last = (dir / "last").string();
-    // Stands in for a node: it welcomes whoever says Hello, and offers `newest`.
+    last_file = (dir / "last").string();
+    // A fake control node: answers each Hello with a Welcome and sends `newest`.
     node = std::make_unique<link::ChannelManager>(
         loop,
         link::Limits{control::kMaxMessageBytes, control::kMaxMessageBytes, 2 * control::kMaxMessageBytes}, 16,
         link::ChannelManager::Handlers{
             .on_accepted = [this](link::ChannelId id) { broker = id; },
             .on_connected = [](link::ChannelId) {},
-            .on_message = [this](link::ChannelId id, std::string_view body) { heard(id, body); },
+            .on_message = [this](link::ChannelId id, std::string_view body) { on_message(id, body); },
             .on_drained = [](link::ChannelId) {},
             .on_closed = [](link::ChannelId, const link::ChannelError&, const std::string&) {}});
     auto fd = net::listen_tcp(net::parse_address("127.0.0.1:0").value());
@@ -45,184 +46,185 @@
   }
   ~ControlClientTest() override { fs::remove_all(dir); }
 
-  void heard(link::ChannelId id, std::string_view body) {
+  void on_message(link::ChannelId id, std::string_view body) {
     const auto message = control::decode(body);
-    if (const auto* said = std::get_if<control::Hello>(&message)) {
-      hello = *said;
+    if (const auto* received = std::get_if<control::Hello>(&message)) {
+      hello = *received;
       node->send(id, control::encode(
                          control::Welcome{control::kProtocolVersion, "tunis", "c1", {1, "c1"}, newest.id}));
-      if (newest.id > said->current) node->send(id, control::encode(control::VersionUpdate{newest}));
+      if (newest.id > received->current) node->send(id, control::encode(control::VersionUpdate{newest}));
     }
     if (const auto* report = std::get_if<control::BrokerReport>(&message)) reports.push_back(*report);
   }
-  std::unique_ptr<ControlClient> make(const std::string& fleet = "tunis", const std::string& at = "") {
+  std::unique_ptr<ControlClient> make(const std::string& fleet = "tunis", const std::string& path = "") {
     config::Control config;
     config.fleet = fleet;
     config.epoch = 1;
     config.leader = "c1";
-    config.last = at.empty() ? last : at;
+    config.last = path.empty() ? last_file : path;
     config.nodes = {{"c1", address, "north", ""}};
-    offered.clear();
-    auto out = std::make_unique<ControlClient>(loop, config, "b1", 1, [this](const control::Version& got) {
-      offered.push_back(got);
-      client->report_apply_result(got, problem);
-    });
+    received_versions.clear();
+    auto out = std::make_unique<ControlClient>(
+        loop, config, "b1", 1, [this](const control::Version& offered_version) {
+          received_versions.push_back(offered_version);
+          client->report_apply_result(offered_version, rejection_reason);
+        });
     return out;
   }
-  void start(const std::string& fleet = "tunis", const std::string& at = "") {
-    client = make(fleet, at);
+  void start(const std::string& fleet = "tunis", const std::string& path = "") {
+    client = make(fleet, path);
     client->start();
   }
-  void until(const std::function<bool()>& so, const char* what) {
-    const auto from = std::chrono::steady_clock::now();
-    ev::timer turn(loop);
-    turn.set<ControlClientTest, &ControlClientTest::on_turn>(this);
-    turn.start(0, 0.005);
+  void await(const std::function<bool()>& condition, const char* what) {
+    const auto started_at = std::chrono::steady_clock::now();
+    ev::timer timer(loop);
+    timer.set<ControlClientTest, &ControlClientTest::on_timer>(this);
+    timer.start(0, 0.005);
     for (;;) {
       client->tick({});
       client->settle();
       node->settle();
-      if (so()) return;
-      ASSERT_LT(std::chrono::steady_clock::now() - from, 20s) << what;
+      if (condition()) return;
+      ASSERT_LT(std::chrono::steady_clock::now() - started_at, 20s) << what;
       loop.run(ev::ONCE);
     }
   }
-  void on_turn(ev::timer&, int) {}
-  [[nodiscard]] std::string content() const {
+  void on_timer(ev::timer&, int) {}
+  [[nodiscard]] std::string file_content() const {
     std::ostringstream out;
-    out << std::ifstream(last, std::ios::binary).rdbuf();
+    out << std::ifstream(last_file, std::ios::binary).rdbuf();
     return out.str();
   }
-  void put(const std::string& text) const { std::ofstream(last, std::ios::binary) << text; }
+  void write_file(const std::string& text) const { std::ofstream(last_file, std::ios::binary) << text; }
 
   ev::dynamic_loop loop;
   fs::path dir;
-  std::string last, address, problem;
+  std::string last_file, address, rejection_reason;
   std::unique_ptr<link::ChannelManager> node;
   link::ChannelId broker = 0;
   control::Version newest;
   std::optional<control::Hello> hello;
   std::vector<control::BrokerReport> reports;
-  std::vector<control::Version> offered;
+  std::vector<control::Version> received_versions;
   std::unique_ptr<ControlClient> client;
 };
 
-TEST_F(ControlClientTest, AVersionComesIntoForceIsReportedAndKept) {
+TEST_F(ControlClientTest, AppliesReportsAndPersistsVersion) {
   newest = version(1, "changelog = \"127.0.0.1:1\"\n");
   start();
-  until([&] { return reports.size() == 1; }, "a report");
-  until([&] { return client->persisted() == newest.id; }, "its file");
-  ASSERT_EQ(offered.size(), 1U);
-  EXPECT_EQ(offered[0], newest);
+  await([&] { return reports.size() == 1; }, "a report");
+  await([&] { return client->persisted() == newest.id; }, "the write of the file");
+  ASSERT_EQ(received_versions.size(), 1U);
+  EXPECT_EQ(received_versions[0], newest);
   EXPECT_EQ(reports[0].active_version, newest.id);
   EXPECT_EQ(reports[0].digest, newest.digest);
-  EXPECT_FALSE(fs::exists(last + ".new"));
-  // Without any node, the next process begins with it.
+  EXPECT_FALSE(fs::exists(last_file + ".new"));
+  // A restarted client applies the persisted version although no node is reachable.
   node->close(broker);
   address = "127.0.0.1:1";
   start();
   client->settle();
-  ASSERT_EQ(offered.size(), 1U);
-  EXPECT_EQ(offered[0], newest);
+  ASSERT_EQ(received_versions.size(), 1U);
+  EXPECT_EQ(received_versions[0], newest);
 }
 
-TEST_F(ControlClientTest, ARefusedVersionIsReportedAndNotKept) {
+TEST_F(ControlClientTest, ReportsRejectedVersionAndDoesNotPersistIt) {
   newest = version(1, "x");
-  problem = "version 1.1:1:1: no";
+  rejection_reason = "version 1.1:1:1: no";
   start();
-  until([&] { return reports.size() == 1; }, "a report");
+  await([&] { return reports.size() == 1; }, "a report");
   EXPECT_EQ(reports[0].active_version, control::VersionId{});
   EXPECT_EQ(reports[0].rejected_version, newest.id);
-  EXPECT_EQ(reports[0].reason, problem);
-  EXPECT_FALSE(fs::exists(last));
+  EXPECT_EQ(reports[0].reason, rejection_reason);
+  EXPECT_FALSE(fs::exists(last_file));
 }
 
-TEST_F(ControlClientTest, ADamagedFileIsPutAsideAndNotUsed) {
+TEST_F(ControlClientTest, RenamesDamagedFileAndDoesNotUseIt) {
   newest = version(1, "changelog = \"127.0.0.1:1\"\n");
   start();
-  until([&] { return reports.size() == 1; }, "a report");
-  until([&] { return client->persisted() == newest.id; }, "its file");
+  await([&] { return reports.size() == 1; }, "a report");
+  await([&] { return client->persisted() == newest.id; }, "the write of the file");
   client->stop();
-  const auto whole = content();
+  const auto intact = file_content();
   std::vector<std::string> damaged{
-      "", "\n", "\n\n", whole.substr(0, whole.size() / 2), whole + "x", std::string(5 << 20, 'x')};
-  for (std::size_t i = 0; i < whole.size(); ++i) {
-    damaged.push_back(whole);
-    damaged.back()[i] = static_cast<char>(whole[i] ^ 1);
+      "", "\n", "\n\n", intact.substr(0, intact.size() / 2), intact + "x", std::string(5 << 20, 'x')};
+  for (std::size_t i = 0; i < intact.size(); ++i) {
+    damaged.push_back(intact);
+    damaged.back()[i] = static_cast<char>(intact[i] ^ 1);
   }
   for (const auto& text : damaged) {
-    put(text);
+    write_file(text);
     testing::internal::CaptureStderr();
     client = make();
-    const auto said = testing::internal::GetCapturedStderr();
-    EXPECT_NE(said.find("control: " + last + " is damaged or of another fleet, and was renamed to " + last +
-                        ".damaged"),
+    const auto log = testing::internal::GetCapturedStderr();
+    EXPECT_NE(log.find("control: " + last_file + " is damaged or of another fleet, and was renamed to " +
+                       last_file + ".damaged"),
               std::string::npos)
-        << said;
-    EXPECT_FALSE(fs::exists(last));
-    EXPECT_EQ(fs::file_size(last + ".damaged"), text.size());
+        << log;
+    EXPECT_FALSE(fs::exists(last_file));
+    EXPECT_EQ(fs::file_size(last_file + ".damaged"), text.size());
     client->start();
     client->settle();
-    EXPECT_TRUE(offered.empty());
+    EXPECT_TRUE(received_versions.empty());
   }
-  // That of another fleet is none of this one's.
-  put(whole);
+  // A file of another fleet is not used.
+  write_file(intact);
   start("sousse");
   client->settle();
-  EXPECT_TRUE(offered.empty());
-  EXPECT_FALSE(fs::exists(last));
-  // And whole it is used.
-  put(whole);
+  EXPECT_TRUE(received_versions.empty());
+  EXPECT_FALSE(fs::exists(last_file));
+  // An intact file is used.
+  write_file(intact);
   start();
   client->settle();
-  EXPECT_EQ(offered.size(), 1U);
+  EXPECT_EQ(received_versions.size(), 1U);
 }
 
-TEST_F(ControlClientTest, WhereTheFileCantBeWrittenTheVersionIsInForceAllTheSame) {
+TEST_F(ControlClientTest, AppliesVersionWhenFileCannotBeWritten) {
   newest = version(1, "x");
   testing::internal::CaptureStderr();
   start("tunis", (dir / "no" / "such" / "last").string());
-  until([&] { return reports.size() == 1; }, "a report");
-  until([&] { return client->unpersisted() == newest.id; }, "word that it is not kept");
-  const auto said = testing::internal::GetCapturedStderr();
-  EXPECT_NE(said.find("control: version 1.1 is not persisted for a restart: "), std::string::npos) << said;
-  EXPECT_NE(said.find("control: version 1.1 in force"), std::string::npos) << said;
+  await([&] { return reports.size() == 1; }, "a report");
+  await([&] { return client->unpersisted() == newest.id; }, "a report that it is not persisted");
+  const auto log = testing::internal::GetCapturedStderr();
+  EXPECT_NE(log.find("control: version 1.1 is not persisted for a restart: "), std::string::npos) << log;
+  EXPECT_NE(log.find("control: version 1.1 in force"), std::string::npos) << log;
   EXPECT_EQ(reports[0].active_version, newest.id);
 }
 
-// What a broker that ends in the middle of a write leaves beside it is in nobody's way.
-TEST_F(ControlClientTest, AHalfWrittenFileBesideItDoesNoHarm) {
+// A broker that is killed during a write leaves a partial temporary file, which must not block later writes.
+TEST_F(ControlClientTest, PartialTemporaryFileIsReplaced) {
   newest = version(2, "x");
-  std::ofstream(last + ".new") << "half";
+  std::ofstream(last_file + ".new") << "partial";
   start();
-  until([&] { return reports.size() == 1; }, "a report");
-  until([&] { return client->persisted() == newest.id; }, "its file");
-  EXPECT_FALSE(fs::exists(last + ".new"));
+  await([&] { return reports.size() == 1; }, "a report");
+  await([&] { return client->persisted() == newest.id; }, "the write of the file");
+  EXPECT_FALSE(fs::exists(last_file + ".new"));
   start();
   client->settle();
-  EXPECT_EQ(offered.size(), 1U);
+  EXPECT_EQ(received_versions.size(), 1U);
 }
 
-TEST_F(ControlClientTest, ABrokenStreamIsDialledAnewWithWhatIsInForce) {
+TEST_F(ControlClientTest, ReconnectsAndSendsActiveVersionInHello) {
   newest = version(1, "x");
   start();
-  until([&] { return reports.size() == 1; }, "a report");
+  await([&] { return reports.size() == 1; }, "a report");
   hello.reset();
   newest = version(2, "y");
   node->close(broker);
-  until([&] { return reports.size() == 2; }, "a second report");
+  await([&] { return reports.size() == 2; }, "a second report");
   EXPECT_EQ(hello.value().current, (control::VersionId{1, 1}));
   EXPECT_EQ(reports[1].active_version, newest.id);
-  // A node that speaks noise is left too.
+  // The client also leaves a node that sends an invalid message.
   hello.reset();
   node->send(broker, "no message");
-  until([&] { return hello.has_value(); }, "a third Hello");
+  await([&] { return hello.has_value(); }, "a third Hello");
   EXPECT_EQ(hello.value().current, newest.id);
 }
 
-TEST_F(ControlClientTest, StoppedItDialsNobody) {
+TEST_F(ControlClientTest, DoesNotReconnectAfterStop) {
   start();
-  until([&] { return hello.has_value(); }, "a Hello");
+  await([&] { return hello.has_value(); }, "a Hello");
   client->stop();
   hello.reset();
   for (int i = 0; i < 50; ++i) {
--- a/tests/control_config_test.cpp
+++ b/tests/control_config_test.cpp
@@ -1,4 +1,4 @@
-// The operator's `control` block: what is read, and how each mistake is told.
+// Checks how the operator's `control` block is parsed, and the error for each kind of mistake in it.
 #include <gtest/gtest.h>
 
 #include "config/control.hpp"
@@ -9,7 +9,7 @@
 namespace bellstair::config {
 namespace {
 
-const std::string kWhole = R"(mysql { listen = "not looked at here" }
+const std::string kValidConfig = R"(mysql { listen = "ignored here" }
 control {
   fleet   = "tunis"
   epoch   = 3
@@ -26,7 +26,7 @@
 }
 )";
 
-std::string problems(const std::string& text, const std::optional<std::string>& node = std::nullopt) {
+std::string errors_of(const std::string& text, const std::optional<std::string>& node = std::nullopt) {
   try {
     (void)read_control(text, "f", node);
     return "";
@@ -34,16 +34,16 @@
     return error.what();
   }
 }
-// The whole block with one piece of it put otherwise.
-std::string with(const std::string& piece, const std::string& other) {
-  auto text = kWhole;
+// The valid block with `piece` replaced by `replacement`.
+std::string replacing(const std::string& piece, const std::string& replacement) {
+  auto text = kValidConfig;
   const auto at = text.find(piece);
   EXPECT_NE(at, std::string::npos) << piece;
-  return text.replace(at, piece.size(), other);
+  return text.replace(at, piece.size(), replacement);
 }
 
-TEST(ControlBlock, IsReadWhole) {
-  const auto control = read_control(kWhole, "/etc/bellstair/ops.hcl", "c1");
+TEST(ControlConfig, ParsesAllFields) {
+  const auto control = read_control(kValidConfig, "/etc/bellstair/ops.hcl", "c1");
   EXPECT_EQ(control.fleet, "tunis");
   EXPECT_EQ(control.epoch, 3U);
   EXPECT_EQ(control.leader, "c1");
@@ -55,75 +55,75 @@
   EXPECT_EQ(control.nodes[1], (ControlNode{"c2", "10.0.0.2:7101", "", ""}));
 }
 
-TEST(ControlBlock, EachMistakeIsToldWithItsPlace) {
+TEST(ControlConfig, ReportsEachErrorWithItsPosition) {
   const std::string long_name(control::kMaxNameBytes + 1, 'n');
-  const std::pair<std::string, std::string> kMistakes[] = {
-      {with("  fleet   = \"tunis\"\n", ""), "f:2:1: control.fleet: is missing"},
-      {with("\"tunis\"", "\"\""), "f:3:13: control.fleet: is empty"},
-      {with("\"tunis\"", "\"" + long_name + "\""), "f:3:13: control.fleet: is longer than 128 bytes"},
-      {with("\"tunis\"", "\"a b\""), "f:3:13: control.fleet: contains a space or a control character"},
-      {with("  epoch   = 3\n", ""), "f:2:1: control.epoch: is missing"},
-      {with("epoch   = 3", "epoch   = 0"), "f:4:13: control.epoch: 0 is out of range: expected 1 to "},
-      {with("epoch   = 3", "epoch   = -2"), "f:4:13: control.epoch: -2 is out of range: expected 1 to "},
-      {with("epoch   = 3", "epoch   = 3.5"), "f:4:13: control.epoch: expected a whole number"},
-      {with("\"c1\"\n", "\"c3\"\n"),
+  const std::pair<std::string, std::string> kCases[] = {
+      {replacing("  fleet   = \"tunis\"\n", ""), "f:2:1: control.fleet: is missing"},
+      {replacing("\"tunis\"", "\"\""), "f:3:13: control.fleet: is empty"},
+      {replacing("\"tunis\"", "\"" + long_name + "\""), "f:3:13: control.fleet: is longer than 128 bytes"},
+      {replacing("\"tunis\"", "\"a b\""), "f:3:13: control.fleet: contains a space or a control character"},
+      {replacing("  epoch   = 3\n", ""), "f:2:1: control.epoch: is missing"},
+      {replacing("epoch   = 3", "epoch   = 0"), "f:4:13: control.epoch: 0 is out of range: expected 1 to "},
+      {replacing("epoch   = 3", "epoch   = -2"), "f:4:13: control.epoch: -2 is out of range: expected 1 to "},
+      {replacing("epoch   = 3", "epoch   = 3.5"), "f:4:13: control.epoch: expected a whole number"},
+      {replacing("\"c1\"\n", "\"c3\"\n"),
        "f:5:13: control.writer: no node 'c3' is defined here: did you mean 'c1'?"},
-      {with("  writer  = \"c1\"\n", ""), "f:2:1: control.writer: is missing"},
-      {with("\"report\"]", "\"lookup\"]"), "f:6:13: control.classes: 'lookup' is listed twice"},
-      {with("\"report\"]", "7]"), "f:6:24: control.classes: expected a text, not a whole number"},
-      {with("\"report\"]", "\"\"]"), "f:6:13: control.classes: '' is empty"},
-      {with("\"north\"", "\"" + long_name + "\""), "f:7:13: control.region: is longer than 128 bytes"},
-      {with("/last-version", "/"), "f:8:13: control.last: is not the path of a file"},
-      {with("node \"c2\"", "node \"c1\""), "f:14:3: control.node \"c1\": is defined twice"},
-      {with("node \"c2\"", "node \"" + long_name + "\""),
+      {replacing("  writer  = \"c1\"\n", ""), "f:2:1: control.writer: is missing"},
+      {replacing("\"report\"]", "\"lookup\"]"), "f:6:13: control.classes: 'lookup' is listed twice"},
+      {replacing("\"report\"]", "7]"), "f:6:24: control.classes: expected a text, not a whole number"},
+      {replacing("\"report\"]", "\"\"]"), "f:6:13: control.classes: '' is empty"},
+      {replacing("\"north\"", "\"" + long_name + "\""), "f:7:13: control.region: is longer than 128 bytes"},
+      {replacing("/last-version", "/"), "f:8:13: control.last: is not the path of a file"},
+      {replacing("node \"c2\"", "node \"c1\""), "f:14:3: control.node \"c1\": is defined twice"},
+      {replacing("node \"c2\"", "node \"" + long_name + "\""),
        "f:14:3: control.node \"" + long_name + "\": its name is longer than 128 bytes"},
-      {with("node \"c2\"", "node \"\""), "f:14:3: control.node \"\": its name is empty"},
-      {with("node \"c2\"", "node"), "f:14:3: control.node: expected 1 labels, not 0"},
-      {with("10.0.0.2:7101", "10.0.0.1:7101"),
+      {replacing("node \"c2\"", "node \"\""), "f:14:3: control.node \"\": its name is empty"},
+      {replacing("node \"c2\"", "node"), "f:14:3: control.node: expected 1 labels, not 0"},
+      {replacing("10.0.0.2:7101", "10.0.0.1:7101"),
        "f:14:25: control.node \"c2\".address: 10.0.0.1:7101 is also the address of node \"c1\""},
-      {with("10.0.0.2:7101", "10.0.0.2"),
+      {replacing("10.0.0.2:7101", "10.0.0.2"),
        "f:14:25: control.node \"c2\".address: is not an address with a port"},
-      {with("10.0.0.2:7101", "10.0.0.2:0"),
+      {replacing("10.0.0.2:7101", "10.0.0.2:0"),
        "f:14:25: control.node \"c2\".address: is not an address with a port"},
-      {with("10.0.0.2:7101", "host:7101"),
+      {replacing("10.0.0.2:7101", "host:7101"),
        "f:14:25: control.node \"c2\".address: is not an address with a port"},
-      {with("address = \"10.0.0.2:7101\"", ""), "f:14:3: control.node \"c2\".address: is missing"},
-      {with("store ", "stroe "),
+      {replacing("address = \"10.0.0.2:7101\"", ""), "f:14:3: control.node \"c2\".address: is missing"},
+      {replacing("store ", "stroe "),
        "f:12:5: control.node \"c1\": unknown attribute 'stroe': did you mean 'store'?"},
-      {with("region  = \"north\"\n  last", "regoin  = \"north\"\n  last"),
+      {replacing("region  = \"north\"\n  last", "regoin  = \"north\"\n  last"),
        "f:7:3: control: unknown attribute 'regoin': did you mean 'region'?"},
-      {with("control {", "kontrol {"), "f:1:1: control: the block is missing"},
-      {kWhole + "control {}\n", "f:16:1: control: stands a second time"},
+      {replacing("control {", "kontrol {"), "f:1:1: control: the block is missing"},
+      {kValidConfig + "control {}\n", "f:16:1: control: stands a second time"},
       {"control {\n  fleet = \"x\"\n  epoch = 1\n  writer = \"c1\"\n}\n", "f:1:1: control: defines no node"},
-      {with("epoch   = 3", "epoch   = "), "f:4:"},
+      {replacing("epoch   = 3", "epoch   = "), "f:4:"},
   };
-  for (const auto& [text, said] : kMistakes) {
-    const auto found = problems(text);
-    EXPECT_EQ(found.substr(0, said.size()), said) << found;
+  for (const auto& [text, expected] : kCases) {
+    const auto errors = errors_of(text);
+    EXPECT_EQ(errors.substr(0, expected.size()), expected) << errors;
   }
 }
 
-TEST(ControlBlock, ManyMistakesAreToldTogether) {
-  const auto found =
-      problems("control {\n  epoch = 0\n  writer = \"x\"\n  node \"a\" { address = \"y\" }\n}\n");
+TEST(ControlConfig, ReportsAllErrorsTogether) {
+  const auto errors =
+      errors_of("control {\n  epoch = 0\n  writer = \"x\"\n  node \"a\" { address = \"y\" }\n}\n");
   for (const char* part : {"f:1:1: control.fleet: is missing", "f:2:11: control.epoch: 0 is out of range",
                            "f:3:12: control.writer: no node 'x' is defined here",
                            "f:4:24: control.node \"a\".address: is not an address with a port"})
-    EXPECT_NE(found.find(part), std::string::npos) << part << "\n--\n" << found;
+    EXPECT_NE(errors.find(part), std::string::npos) << part << "\n--\n" << errors;
 }
 
-TEST(ControlBlock, ANodeNeedsItsStoreAndTheClasses) {
-  EXPECT_EQ(problems(kWhole, "c1"), "");
-  EXPECT_EQ(problems(kWhole, "c2"),
+TEST(ControlConfig, ControlNodeNeedsStoreAndClasses) {
+  EXPECT_EQ(errors_of(kValidConfig, "c1"), "");
+  EXPECT_EQ(errors_of(kValidConfig, "c2"),
             "f:14:3: control.node \"c2\".store: is missing: the node needs a file to store its versions in");
-  EXPECT_EQ(problems(kWhole, "c"), "f:2:1: control: no node 'c' is defined here: did you mean 'c1'?");
-  const auto none = with("  classes = [\"lookup\", \"report\"]\n", "");
-  EXPECT_EQ(problems(none), "");  // brokers and the tool need none
-  EXPECT_EQ(problems(none, "c1"),
+  EXPECT_EQ(errors_of(kValidConfig, "c"), "f:2:1: control: no node 'c' is defined here: did you mean 'c1'?");
+  const auto none = replacing("  classes = [\"lookup\", \"report\"]\n", "");
+  EXPECT_EQ(errors_of(none), "");  // brokers and the tool need none
+  EXPECT_EQ(errors_of(none, "c1"),
             "f:2:1: control.classes: is empty: a control node needs the classes to validate documents");
 }
 
-TEST(ControlBlock, HoldsSixtyFourNodes) {
+TEST(ControlConfig, AcceptsAtMostSixtyFourNodes) {
   std::string nodes;
   for (int i = 0; i < 64; ++i) {
     const auto number = std::to_string(i);
@@ -132,18 +132,18 @@
   const auto block = [](const std::string& inside) {
     return "control {\nfleet = \"x\"\nepoch = 1\nwriter = \"n0\"\n" + inside + "}\n";
   };
-  EXPECT_EQ(problems(block(nodes)), "");
-  EXPECT_EQ(problems(block(nodes + "node \"m\" { address = \"10.0.2.1:1\" }\n")),
+  EXPECT_EQ(errors_of(block(nodes)), "");
+  EXPECT_EQ(errors_of(block(nodes + "node \"m\" { address = \"10.0.2.1:1\" }\n")),
             "f:1:1: control.node: there are more than 64");
 }
 
-TEST(ControlBlock, IsAPartOfTheOperatorsFile) {
-  const auto text = kWhole.substr(kWhole.find("control"));
+TEST(ControlConfig, IsParsedWithRestOfOperatorFile) {
+  const auto text = kValidConfig.substr(kValidConfig.find("control"));
   EXPECT_EQ(parse_operator_config(text, "f", {}).control.value().leader, "c1");
   EXPECT_FALSE(parse_operator_config("", "f", {}).control);
-  auto later = text;
-  later.replace(later.find("epoch   = 3"), 11, "epoch   = 4");
-  EXPECT_NE(parse_operator_config(text, "f", {}).control, parse_operator_config(later, "f", {}).control);
+  auto newer = text;
+  newer.replace(newer.find("epoch   = 3"), 11, "epoch   = 4");
+  EXPECT_NE(parse_operator_config(text, "f", {}).control, parse_operator_config(newer, "f", {}).control);
   try {
     (void)parse_operator_config("hook \"x\" { script = \"a.lua\" }\ncontrol { epoch = 0 }\n", "f", {});
     FAIL();
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -1,4 +1,4 @@
-// Documents of the configuration: what they may hold, and what is told of a mistake.
+// Checks what documents of the configuration may contain, and the error for each kind of mistake.
 #include "config/document.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 const std::vector<std::string> kClasses{"lookup", "report", "load"};
 
 Document parse(std::string_view text) { return parse_document(text, "version 3.17", kClasses); }
-std::string problem(std::string_view text) {
+std::string error_of(std::string_view text) {
   try {
     (void)parse(text);
   } catch (const hcl::Invalid& error) {
@@ -19,7 +19,7 @@
   return "";
 }
 
-TEST(Document, HoldsWhatItNamesAndNothingElse) {
+TEST(Document, HoldsOnlySettingsThatItNames) {
   const auto all = parse(R"(changelog = "127.0.0.1:9092"
 class "lookup" {
   aim        = "400ms"
@@ -55,8 +55,8 @@
   EXPECT_TRUE(none.classes.empty());
 }
 
-TEST(Document, SaysWhereAMistakeIs) {
-  const std::pair<const char*, const char*> kMistakes[] = {
+TEST(Document, ReportsEachErrorWithItsPosition) {
+  const std::pair<const char*, const char*> kCases[] = {
       {"changelog = \"\"", "version 3.17:1:13: changelog: is not an address with a port"},
       {"changelog = 7", "version 3.17:1:13: changelog: expected a text, not a whole number"},
       {"class \"lookup\" { aim = \"0s\" }", "class \"lookup\".aim: 0ns is out of range"},
@@ -80,22 +80,23 @@
       {"tenannt \"a\" { share = 1 }", "version 3.17:1:1: unknown block 'tenannt': did you mean 'tenant'?"},
       {"changelog = \"${x}\"", "version 3.17:1:14: templates are not supported"},
   };
-  for (const auto& [text, said] : kMistakes)
-    EXPECT_NE(problem(text).find(said), std::string::npos) << text << "\n--\n" << problem(text);
-  EXPECT_NE(problem(std::string((1U << 20U) + 1, '\n')).find("is longer than"), std::string::npos);
+  for (const auto& [text, expected] : kCases)
+    EXPECT_NE(error_of(text).find(expected), std::string::npos) << text << "\n--\n" << error_of(text);
+  EXPECT_NE(error_of(std::string((1U << 20U) + 1, '\n')).find("is longer than"), std::string::npos);
 }
 
-TEST(Document, RefusesByNameWhatNeedsARestart) {
+TEST(Document, RejectsSettingsThatNeedRestart) {
   for (const char* text : {"listen = \"127.0.0.1:1\"", "peers = []", "limits { sockets = 3 }",
                            "mysql { listen = \"x\" }", "hook \"a\" { script = \"a.lua\" }", "threads = 3",
                            "semantics = \"safe\"", "name = \"b1\"", "class \"lookup\" { threads = 2 }",
                            "class \"lookup\" { semantics = \"safe\" }", "control { fleet = \"x\" }"}) {
-    EXPECT_NE(problem(text).find("needs a restart"), std::string::npos) << text << "\n--\n" << problem(text);
-    EXPECT_EQ(problem(text).find("unknown"), std::string::npos) << text;
+    EXPECT_NE(error_of(text).find("needs a restart"), std::string::npos) << text << "\n--\n"
+                                                                         << error_of(text);
+    EXPECT_EQ(error_of(text).find("unknown"), std::string::npos) << text;
   }
 }
 
-TEST(Document, TellsAllMistakesTogether) {
+TEST(Document, ReportsAllErrorsTogether) {
   try {
     (void)parse("listen = \"x\"\nclass \"nope\" { aim = 1 }\ntenant \"a\" {}\n");
     FAIL();
