--- a/tests/processes/fleet.hpp
+++ b/tests/processes/fleet.hpp
@@ -1,6 +1,6 @@
-// Control nodes, brokers and the operator's tool as real processes, with a Link between any two that talk.
-// Files of all are kept for as long as a fleet lives, so that a process can be killed and come back. Waits
-// are for events.
+// Runs control nodes, brokers and the operator's tool as real processes, with a Link between any two that
+// connect. All their files remain until the fleet is destroyed, so that a process can be killed and
+// restarted. Tests wait for events, not for time to pass.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,9 +16,9 @@
 
 struct FleetOptions {
   std::vector<std::pair<std::string, std::string>> nodes{{"c1", "north"}, {"c2", "north"}, {"c3", "south"}};
-  std::size_t brokers = 3;  // n0 north, n1 south, ...
-  bool last = false;        // brokers keep the version in force in a file
-  std::string more;         // of each broker's operator's file
+  std::size_t brokers = 3;   // n0 north, n1 south, ...
+  bool last = false;         // brokers persist the active version in a file
+  std::string extra_config;  // appended to each broker's operator's file
   std::string classes = R"(["lookup", "load", "once"])";
   std::map<std::string, std::string> environment;       // of the brokers
   std::map<std::string, std::string> node_environment;  // of the control nodes
@@ -37,7 +37,7 @@
     for (const auto& [name, region] : options_.nodes) {
       auto& node = nodes_[name];
       node.region = region;
-      network.set_target(name, node.real.address);
+      network.set_target(name, node.reserved.address);
     }
     for (std::size_t i = 0; i < options_.brokers; ++i) brokers_[i].name = "n" + std::to_string(i);
     write_files(term);
@@ -60,34 +60,36 @@
     std::ofstream(path(name)) << text;
     return path(name);
   }
-  // The operator's file as this process has it: it reaches others by its own links.
-  std::string operators_file(const std::string& who, const control::LeaderTerm& as,
+  // The operator's file of one process, which names the addresses of that process's own links to the nodes.
+  std::string operators_file(const std::string& process, const control::LeaderTerm& leader_term,
                              const std::string& fleet = "tunis") {
-    std::string region, more;
+    std::string region, extra_config;
     for (const auto& [i, broker] : brokers_) {
-      if (broker.name != who) continue;
+      if (broker.name != process) continue;
       region = region_of(i);
-      more = options_.more;
+      extra_config = options_.extra_config;
     }
-    std::string out = "control {\n  fleet = \"" + fleet + "\"\n  epoch = " + std::to_string(as.epoch) +
-                      "\n  writer = \"" + as.leader + "\"\n  classes = " + options_.classes + "\n";
+    std::string out = "control {\n  fleet = \"" + fleet +
+                      "\"\n  epoch = " + std::to_string(leader_term.epoch) + "\n  writer = \"" +
+                      leader_term.leader + "\"\n  classes = " + options_.classes + "\n";
     if (!region.empty()) out += "  region = \"" + region + "\"\n";
-    if (!region.empty() && options_.last) out += "  last = \"" + who + ".last\"\n";
+    if (!region.empty() && options_.last) out += "  last = \"" + process + ".last\"\n";
     for (const auto& [name, node] : nodes_) {
-      const auto address = name == who ? node.real.address : network.address(who, name);
+      const auto address = name == process ? node.reserved.address : network.address(process, name);
       out += "  node \"" + name + "\" {\n    address = \"" + address + "\"\n    region = \"" + node.region +
              "\"\n    store = \"" + name + ".db\"\n  }\n";
     }
-    return out + "}\n" + more;
+    return out + "}\n" + extra_config;
   }
-  // For all, or for those that are named. Who runs is not told.
-  void write_files(const control::LeaderTerm& as, const std::set<std::string>& whose = {}) {
-    const auto give = [&](const std::string& who) {
-      if (whose.empty() || whose.contains(who)) write(who + ".hcl", operators_file(who, as));
+  // Writes the operator's files of all processes, or of those named. Does not signal running processes.
+  void write_files(const control::LeaderTerm& leader_term, const std::set<std::string>& processes = {}) {
+    const auto write_for = [&](const std::string& process) {
+      if (processes.empty() || processes.contains(process))
+        write(process + ".hcl", operators_file(process, leader_term));
     };
-    for (const auto& [name, node] : nodes_) give(name);
-    for (const auto& [i, broker] : brokers_) give(broker.name);
-    give("tool");
+    for (const auto& [name, node] : nodes_) write_for(name);
+    for (const auto& [i, broker] : brokers_) write_for(broker.name);
+    write_for("tool");
   }
 
   // ---- processes
@@ -124,13 +126,13 @@
   [[nodiscard]] std::size_t brokers() const { return brokers_.size(); }
   [[nodiscard]] const std::string& address(std::size_t broker) const { return brokers_.at(broker).address; }
   [[nodiscard]] const std::string& address(const std::string& node) const {
-    return nodes_.at(node).real.address;
+    return nodes_.at(node).reserved.address;
   }
   [[nodiscard]] std::string region_of(std::size_t broker) const {
     return broker % 2 == 0 ? "north" : "south";
   }
-  void kill(const std::string& node) { end(nodes_.at(node).program, false); }
-  void kill(std::size_t broker) { end(brokers_.at(broker).program, true); }
+  void kill(const std::string& node) { kill_process(nodes_.at(node).program, false); }
+  void kill(std::size_t broker) { kill_process(brokers_.at(broker).program, true); }
   void restart(const std::string& node) {
     if (nodes_.at(node).program) kill(node);
     start(node);
@@ -142,74 +144,76 @@
     await_up(broker);
   }
 
-  // ---- what is in force
+  // ---- active versions
   void await_connected(std::size_t broker, const std::string& node = "", std::size_t from = 0) {
     this->broker(broker).said("control: connected to " + node, from);
   }
   void await_all_connected() {
     for (const auto& [i, broker] : brokers_) await_connected(i);
   }
-  static std::string in_force(VersionId place) {
-    return "control: version " + control::to_text(place) + " in force";
+  static std::string active_line(VersionId version) {
+    return "control: version " + control::to_text(version) + " in force";
   }
-  void wait_in_force(VersionId place) {
-    for (auto& [i, broker] : brokers_) broker.program->said(in_force(place));
+  void await_active(VersionId version) {
+    for (auto& [i, broker] : brokers_) broker.program->said(active_line(version));
   }
-  [[nodiscard]] bool has(std::size_t i, VersionId place) {
+  [[nodiscard]] bool was_active(std::size_t i, VersionId version) {
     const auto lines = broker(i).all_lines();
-    return std::ranges::any_of(lines,
-                               [&](const auto& l) { return l.find(in_force(place)) != std::string::npos; });
+    return std::ranges::any_of(
+        lines, [&](const auto& l) { return l.find(active_line(version)) != std::string::npos; });
   }
-  // The node that it said last that it is connected to.
-  std::string at(std::size_t i) {
+  // The node that the broker has logged last as connected.
+  std::string connected_node(std::size_t i) {
     std::string out;
     for (const auto& line : broker(i).all_lines()) {
-      const std::string mark = "control: connected to ";
-      if (const auto found = line.find(mark); found != std::string::npos) {
-        out = line.substr(found + mark.size());
+      const std::string prefix = "control: connected to ";
+      if (const auto found = line.find(prefix); found != std::string::npos) {
+        out = line.substr(found + prefix.size());
         out.resize(std::min(out.find(' '), out.size()));
       }
     }
     return out;
   }
 
-  // Brings it to this node, by way of links that are cut for as long as it takes.
-  void move(std::size_t i, const std::string& node) {
+  // Moves the broker to this node: cuts its links to the other nodes until it has connected.
+  void move_broker(std::size_t i, const std::string& node) {
     await_connected(i);
-    if (at(i) == node) return;
+    if (connected_node(i) == node) return;
     const auto from = broker(i).lines();
-    const auto others = [&](auto& who, auto& to) { return who == brokers_.at(i).name && to != node; };
-    network.each(others, [](Link& link) { link.cut(); });
+    const auto others = [&](auto& from_name, auto& to) {
+      return from_name == brokers_.at(i).name && to != node;
+    };
+    network.for_each_link(others, [](Link& link) { link.cut(); });
     await_connected(i, node + " ", from);
-    network.each(others, [](Link& link) { link.heal(); });
+    network.for_each_link(others, [](Link& link) { link.heal(); });
   }
 
   // ---- the operator
-  Ran publish(const std::string& document, const std::string& wait = "18s") {
+  CommandResult publish(const std::string& document, const std::string& wait = "18s") {
     static std::atomic<int> number = 0;
     const auto file = write("doc" + std::to_string(++number) + ".hcl", document);
     return run_program({"config", "publish", file, "--file", path("tool.hcl"), "--wait", wait});
   }
-  Ran status(json* as = nullptr) {
-    auto ran = run_program({"config", "status", "--file", path("tool.hcl"), "--json"});
-    if (as != nullptr) *as = json::parse(ran.out);
-    return ran;
+  CommandResult status(json* parsed = nullptr) {
+    auto result = run_program({"config", "status", "--file", path("tool.hcl"), "--json"});
+    if (parsed != nullptr) *parsed = json::parse(result.out);
+    return result;
   }
 
-  // Asked again until it is so; empty if it never was.
-  json status_when(const std::function<bool(const json&)>& so) {
+  // Polls the status until `condition` holds. Returns the last status and fails the test after kPatience.
+  json await_status(const std::function<bool(const json&)>& condition) {
     const auto until = std::chrono::steady_clock::now() + kPatience;
     json out;
     do {
       status(&out);
-      if (so(out)) return out;
+      if (condition(out)) return out;
     } while (std::chrono::steady_clock::now() < until);
-    ADD_FAILURE() << "it never was so: " << out.dump(2);
+    ADD_FAILURE() << "the status never met the condition: " << out.dump(2);
     return out;
   }
 
   // ---- clients
-  // "" where it was served, or else why not.
+  // Sends a request; returns "" if it was served, else the error.
   std::string ask(std::size_t broker, const std::string& tenant) {
     Client client(address(broker));
     client.ask(1, "lookup", "SELECT a FROM sales_17.orders", {{"team", tenant}});
@@ -217,60 +221,61 @@
     return answer.contains("result") ? "" : answer["error"].dump();
   }
 
-  // In each process of a broker versions only rise, and each is one that a node has kept. Where it keeps them
-  // in a file, they don't go back across its restarts either.
+  // Checks that in each process of a broker the active version only rises, and that a node has committed each
+  // version. With a file of the last version, it must not go back across restarts either.
   void check() {
-    auto kept = kept_elsewhere;
-    const auto of_node = [&](const std::vector<std::string>& lines) {
+    auto committed = committed_elsewhere;
+    const auto collect_committed = [&](const std::vector<std::string>& lines) {
       for (const auto& line : lines) {
-        if (const auto at = place_in(line, ": version ", " kept")) kept.insert(*at);
+        if (const auto at = parse_version(line, ": version ", " kept")) committed.insert(*at);
       }
     };
     for (auto& [name, node] : nodes_) {
-      if (node.program) of_node(node.program->all_lines());
+      if (node.program) collect_committed(node.program->all_lines());
     }
-    for (auto& end : ended_) {
-      if (!end.broker) of_node(end.program->all_lines());
+    for (auto& ended : ended_) {
+      if (!ended.broker) collect_committed(ended.program->all_lines());
     }
     std::map<std::string, VersionId> last;
-    const auto of_broker = [&](const std::string& name, const std::vector<std::string>& lines) {
+    const auto check_broker = [&](const std::string& name, const std::vector<std::string>& lines) {
       VersionId newest;
       for (const auto& line : lines) {
-        const auto at = place_in(line, "control: version ", " in force");
+        const auto at = parse_version(line, "control: version ", " in force");
         if (!at) continue;
-        EXPECT_GT(*at, newest) << name << " goes back: " << line;
-        EXPECT_TRUE(kept.contains(*at)) << name << " has what nobody kept: " << line;
+        EXPECT_GT(*at, newest) << name << " went back to an older version: " << line;
+        EXPECT_TRUE(committed.contains(*at))
+            << name << " applied a version that no node has committed: " << line;
         if (options_.last) {
-          EXPECT_GE(*at, last[name]) << name << " goes back across a restart: " << line;
+          EXPECT_GE(*at, last[name]) << name << " went back to an older version across a restart: " << line;
         }
         last[name] = newest = *at;
       }
     };
-    for (auto& end : ended_) {
-      if (end.broker) of_broker(end.name, end.program->all_lines());
+    for (auto& ended : ended_) {
+      if (ended.broker) check_broker(ended.name, ended.program->all_lines());
     }
     for (auto& [i, broker] : brokers_) {
-      if (broker.program) of_broker(broker.name, broker.program->all_lines());
+      if (broker.program) check_broker(broker.name, broker.program->all_lines());
     }
   }
 
  private:
   struct NodeProcess {
     std::string region;
-    Reserved real;
+    Reserved reserved;
     std::unique_ptr<Program> program;
   };
   struct BrokerProcess {
     std::string name, config, address;
     std::unique_ptr<Program> program;
   };
-  struct Ended {
+  struct EndedProcess {
     std::string name;
     bool broker = false;
     std::unique_ptr<Program> program;
   };
 
-  void end(std::unique_ptr<Program>& program, bool broker) {
+  void kill_process(std::unique_ptr<Program>& program, bool broker) {
     program->signal(SIGKILL);
     program->wait();
     std::string name;
@@ -279,8 +284,8 @@
     }
     ended_.push_back({name, broker, std::move(program)});
   }
-  static std::optional<VersionId> place_in(const std::string& line, const std::string& before,
-                                           const std::string& after) {
+  static std::optional<VersionId> parse_version(const std::string& line, const std::string& before,
+                                                const std::string& after) {
     const auto from = line.find(before);
     if (from == std::string::npos) return std::nullopt;
     VersionId out;
@@ -295,8 +300,8 @@
   std::string directory_;
 
  public:
-  control::LeaderTerm term{1, "c1"};   // of the files that were written at the start
-  std::set<VersionId> kept_elsewhere;  // by what the test itself has in a node's place
+  control::LeaderTerm term{1, "c1"};        // in the files that are written at the start
+  std::set<VersionId> committed_elsewhere;  // by a server of the test in a node's place
   Network network;
   HttpEngine engine;
   ChangeLog changes;
@@ -304,10 +309,11 @@
  private:
   std::map<std::string, NodeProcess> nodes_;
   std::map<std::size_t, BrokerProcess> brokers_;
-  std::vector<Ended> ended_;
+  std::vector<EndedProcess> ended_;
 };
 
-// Documents: acme has no place in them, so that it is served under none of them.
+// The part of a document for one tenant. A document that names tenants but not acme makes brokers reject
+// requests of acme.
 inline std::string tenant(const std::string& name) {
   return "tenant \"" + name + "\" {\n  share = 0.5\n  quota = 100\n}\n";
 }
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -1,5 +1,5 @@
-// What tests and measurements on several processes need of each: an address, a command's end, and one end of
-// the control protocol.
+// Helpers for tests and measurements on several processes: reserved addresses, the results of commands, and a
+// client for the control protocol.
 #pragma once
 
 #include <deque>
@@ -12,7 +12,7 @@
 
 using control::VersionId;
 
-// An address that is kept free until a process of the tests listens there: bound, and not listened on.
+// Reserves an address until a process of the tests listens on it: binds it without listening.
 class Reserved {
  public:
   Reserved() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -29,26 +29,26 @@
   net::Fd fd_;
 };
 
-// What a command said, and how it ended.
-struct Ran {
+// The exit status and the output of a command.
+struct CommandResult {
   int code = -1;
   std::string out, err;
-  // The place of what was published; 0.0: none.
+  // The version that the command published; 0.0: none.
   [[nodiscard]] VersionId version_id() const {
-    VersionId at;
+    VersionId id;
     const auto end = out.find(": committed by ");
-    if (end == std::string::npos) return at;
+    if (end == std::string::npos) return id;
     const auto from = out.rfind('\n', end) + 1;  // npos + 1 == 0
-    std::sscanf(out.c_str() + from, "%lu.%lu", &at.epoch, &at.number);
-    return at;
+    std::sscanf(out.c_str() + from, "%lu.%lu", &id.epoch, &id.number);
+    return id;
   }
 };
-inline std::ostream& operator<<(std::ostream& to, const Ran& ran) {
-  return to << "code " << ran.code << "\n" << ran.out << ran.err;
+inline std::ostream& operator<<(std::ostream& out, const CommandResult& result) {
+  return out << "code " << result.code << "\n" << result.out << result.err;
 }
-inline Ran run_program(const std::vector<std::string>& arguments) {
+inline CommandResult run_program(const std::vector<std::string>& arguments) {
   std::vector<std::string> files{temporary(""), temporary("")};
-  std::vector<char*> argv{const_cast<char*>(BELLSTAIR_PROGRAM)};  // before the fork, as in Program
+  std::vector<char*> argv{const_cast<char*>(BELLSTAIR_PROGRAM)};  // built before the fork, as in Program
   for (const auto& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
   const pid_t pid = ::fork();
@@ -58,22 +58,22 @@
     ::execv(argv[0], argv.data());
     ::_exit(127);
   }
-  Ran out;
+  CommandResult out;
   int status = 0;
   ::waitpid(pid, &status, 0);
   out.code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-  const auto take = [](const std::string& file) {
+  const auto read_and_remove = [](const std::string& file) {
     std::ifstream in(file);
     std::string text{std::istreambuf_iterator<char>(in), {}};
     ::unlink(file.c_str());
     return text;
   };
-  out.out = take(files[0]);
-  out.err = take(files[1]);
+  out.out = read_and_remove(files[0]);
+  out.err = read_and_remove(files[1]);
   return out;
 }
 
-// One end of the control protocol, in the test's hands.
+// A peer in the control protocol, driven by the test.
 class ControlPeer {
  public:
   explicit ControlPeer(const std::string& address) : socket(Socket::to(address)) {}
@@ -93,7 +93,7 @@
     bodies_.pop_front();
     return out;
   }
-  // The next of this kind; what comes before it is passed over.
+  // Returns the next message of this kind, and ignores those before it.
   template <class Kind>
   Kind expect() {
     while (true) {
@@ -101,8 +101,8 @@
       if (auto* found = std::get_if<Kind>(&message)) return std::move(*found);
     }
   }
-  void greet(const std::string& name = "tool", control::Role role = control::Role::tool,
-             const control::LeaderTerm& term = {}, const std::string& fleet = "tunis") {
+  void send_hello(const std::string& name = "tool", control::Role role = control::Role::tool,
+                  const control::LeaderTerm& term = {}, const std::string& fleet = "tunis") {
     control::Hello hello;
     hello.fleet = fleet;
     hello.name = name;
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -1,4 +1,4 @@
-// From the operator's document to what is in force at every broker, in real processes.
+// Publishes documents through real processes, and checks what becomes active at every broker.
 #include <gtest/gtest.h>
 
 #include "../net/mysql_client.hpp"
@@ -7,30 +7,30 @@
 namespace bellstair::test {
 namespace {
 
-TEST(Publish, ReachesAllBrokersThroughTheirNodesAndStatusSaysSo) {
+TEST(Publish, ReachesAllBrokersAndStatusReportsIt) {
   FleetOptions options;
   options.brokers = 5;
   Fleet fleet(options);
   fleet.await_all_connected();
-  // Each has tried a node of its own region first, and no other where that one took it.
+  // Each broker has tried a node of its own region first, and no other if it stayed connected to that one.
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     const bool north = fleet.region_of(i) == "north";
-    std::uint64_t own = 0, foreign = 0;
+    std::uint64_t own_region = 0, other_region = 0;
     for (const auto* node : {"c1", "c2", "c3"}) {
       fleet.network.with("n" + std::to_string(i), node, [&](Link& link) {
-        ((node != std::string("c3")) == north ? own : foreign) += link.accepted();
+        ((node != std::string("c3")) == north ? own_region : other_region) += link.accepted();
       });
     }
-    EXPECT_GE(own, 1U);
-    if ((fleet.at(i) != "c3") == north) {
-      EXPECT_EQ(foreign, 0U);
+    EXPECT_GE(own_region, 1U);
+    if ((fleet.connected_node(i) != "c3") == north) {
+      EXPECT_EQ(other_region, 0U);
     }
   }
-  const auto ran = fleet.publish(tenant("acme"));
-  EXPECT_EQ(ran.code, 0) << ran;
-  EXPECT_EQ(ran.version_id(), (VersionId{1, 1}));
-  EXPECT_NE(ran.out.find("active at all 5 connected brokers"), std::string::npos) << ran;
-  fleet.wait_in_force({1, 1});
+  const auto result = fleet.publish(tenant("acme"));
+  EXPECT_EQ(result.code, 0) << result;
+  EXPECT_EQ(result.version_id(), (VersionId{1, 1}));
+  EXPECT_NE(result.out.find("active at all 5 connected brokers"), std::string::npos) << result;
+  fleet.await_active({1, 1});
   json status;
   EXPECT_EQ(fleet.status(&status).code, 0);
   EXPECT_EQ(status["newest"], "1.1");
@@ -50,7 +50,7 @@
   EXPECT_EQ(fleet.publish(tenant("acme")).version_id(), (VersionId{1, 2}));
 }
 
-TEST(Publish, ATenantThatIsAddedIsServedAndOneThatIsRemovedIsUnknown) {
+TEST(Publish, ServesAddedTenantAndRejectsRemovedTenant) {
   Fleet fleet;
   fleet.await_all_connected();
   std::vector<pid_t> pids;
@@ -69,7 +69,7 @@
     EXPECT_NE(fleet.ask(i, "acme").find("team is in no settings"), std::string::npos);
     EXPECT_EQ(fleet.ask(i, "new"), "");
   }
-  // What a document does not name is as the platform has it.
+  // Settings that a document does not name are those of the platform's configuration.
   ASSERT_EQ(fleet.publish("class \"lookup\" {\n  worth = 2\n}\n").code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     EXPECT_EQ(fleet.ask(i, "acme"), "");
@@ -78,51 +78,51 @@
   }
 }
 
-TEST(Publish, AClassesGiveUpTimeAndTheChangeLogsAddressAreInForceWithoutARestart) {
+TEST(Publish, ChangesClientTimeoutAndChangeLogWithoutRestart) {
   FleetOptions options;
   options.brokers = 1;
-  options.more =
+  options.extra_config =
       "mysql {\n  listen = \"127.0.0.1:0\"\n  user \"gateway\" {\n    password_env = \"TEST_SECRET\"\n"
       "    tenant = \"acme\"\n  }\n}\n";
   Fleet fleet(options);
   fleet.await_all_connected();
   MysqlClient client(fleet.broker(0).listens("mysql.listen"));
-  // A statement without a limit of its own has its class's give-up time.
-  const auto limit = [&](int number) {
+  // A statement without a limit of its own gets the client_timeout of its class.
+  const auto timeout_of_query = [&](int number) {
     const auto text = "SELECT a FROM sales_17.orders WHERE b = " + std::to_string(number);
     (void)client.query(text);
     const auto call =
         fleet.engine.calls.wait([&](const Call& c) { return c.method == "POST" && c.body == text; });
     return std::stoi(call.headers.at("X-Max-Ms"));
   };
-  EXPECT_GT(limit(1), 3000);
+  EXPECT_GT(timeout_of_query(1), 3000);
   ChangeLog other;
   other.push(fleet.changes.known()["results"][0]["fleet"]["servers"], true);
-  const auto ran = fleet.publish("changelog = \"" + other.address() +
-                                 "\"\nclass \"lookup\" {\n  give_up = \"3s\"\n  aim = \"1s\"\n}\n");
-  EXPECT_EQ(ran.code, 0) << ran;
-  EXPECT_LE(limit(2), 3000);
+  const auto result = fleet.publish("changelog = \"" + other.address() +
+                                    "\"\nclass \"lookup\" {\n  give_up = \"3s\"\n  aim = \"1s\"\n}\n");
+  EXPECT_EQ(result.code, 0) << result;
+  EXPECT_LE(timeout_of_query(2), 3000);
   other.wait_until_told();
 }
 
-TEST(Publish, ABadDocumentIsRefusedWithLineAndColumnAndNothingChanges) {
+TEST(Publish, RejectsInvalidDocumentWithLineAndColumn) {
   Fleet fleet;
   fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("acme") + tenant("new")).code, 0);
   const std::string bad =
       "tenant \"acme\" {\n  shore = 0.5\n}\nclass \"lookup\" {\n  give_up = \"soon\"\n}\n";
-  for (const bool at_the_writer : {false, true}) {
-    if (at_the_writer) {  // a tool that does not know the classes leaves all to the writer
+  for (const bool at_leader : {false, true}) {
+    if (at_leader) {  // without the classes the tool leaves the validation to the leader
       auto text = fleet.operators_file("tool", fleet.term);
       const auto from = text.find("  classes");
       fleet.write("tool.hcl", text.erase(from, text.find('\n', from) + 1 - from));
     }
-    const auto ran = fleet.publish(bad);
-    EXPECT_EQ(ran.code, 1) << ran;
-    EXPECT_EQ(ran.version_id(), VersionId{}) << ran;
-    EXPECT_NE(ran.err.find(".hcl:2:3: "), std::string::npos) << ran;
-    EXPECT_NE(ran.err.find(".hcl:5:"), std::string::npos) << ran;  // all that is wrong, at once
-    EXPECT_EQ(ran.err.find("rejected by c1") != std::string::npos, at_the_writer) << ran;
+    const auto result = fleet.publish(bad);
+    EXPECT_EQ(result.code, 1) << result;
+    EXPECT_EQ(result.version_id(), VersionId{}) << result;
+    EXPECT_NE(result.err.find(".hcl:2:3: "), std::string::npos) << result;
+    EXPECT_NE(result.err.find(".hcl:5:"), std::string::npos) << result;  // all errors are reported at once
+    EXPECT_EQ(result.err.find("rejected by c1") != std::string::npos, at_leader) << result;
   }
   for (const auto* text :
        {"tenant \"acme\" {", "\x01\x02\xff", "tenant \"a\" {\n  share = 1\n  share = 2\n}\n"})
@@ -133,36 +133,37 @@
   for (std::size_t i = 0; i < fleet.brokers(); ++i) EXPECT_EQ(fleet.ask(i, "new"), "");
 }
 
-TEST(Publish, WhatNeedsARestartIsRefusedByItsNameWhenItIsPublished) {
+TEST(Publish, RejectsSettingsThatNeedRestart) {
   FleetOptions options;
   options.brokers = 0;
   Fleet fleet(options);
-  const std::pair<const char*, const char*> kFixed[] = {
+  const std::pair<const char*, const char*> kCases[] = {
       {"listen = \"127.0.0.1:1\"\n", ".hcl:1:10: listen: needs a restart"},
       {"name = \"n7\"\n", ".hcl:1:8: name: needs a restart"},
       {"mysql {\n  listen = \"127.0.0.1:1\"\n}\n", ".hcl:1:1: mysql: needs a restart"},
       {"hook \"h\" {\n  script = \"h.lua\"\n}\n", ".hcl:1:1: hook: needs a restart"},
       {"class \"lookup\" {\n  threads = 4\n}\n", ".hcl:2:13: class \"lookup\".threads: needs a restart"},
       {"class \"another\" {\n  worth = 1\n}\n", ".hcl:1:1: class \"another\": is not a class"}};
-  for (const auto& [text, problem] : kFixed) {
-    const auto ran = fleet.publish(text);
-    EXPECT_EQ(ran.code, 1) << ran;
-    EXPECT_NE(ran.err.find(problem), std::string::npos) << ran << problem;
+  for (const auto& [text, problem] : kCases) {
+    const auto result = fleet.publish(text);
+    EXPECT_EQ(result.code, 1) << result;
+    EXPECT_NE(result.err.find(problem), std::string::npos) << result << problem;
   }
 }
 
-// The operator's file names a class that this broker's platform does not have.
-TEST(Publish, WhatABrokerCannotUseLeavesTheOldInForceThereAndIsReportedWithItsPlace) {
+// The operator's file names a class that the brokers' own configuration does not have, so that the leader
+// commits a version that the brokers reject.
+TEST(Publish, VersionRejectedByBrokersLeavesPreviousOneActive) {
   FleetOptions options;
   options.classes = R"(["lookup", "load", "once", "extra"])";
   Fleet fleet(options);
   fleet.await_all_connected();
   ASSERT_EQ(fleet.publish(tenant("new")).code, 0);
-  const auto ran = fleet.publish(tenant("newer") + "class \"extra\" {\n  worth = 2\n}\n");
-  EXPECT_EQ(ran.code, 1) << ran;
-  EXPECT_EQ(ran.version_id(), (VersionId{1, 2})) << ran;
-  EXPECT_NE(ran.out.find("rejected by n0"), std::string::npos) << ran;
-  EXPECT_NE(ran.out.find(":5:"), std::string::npos) << ran;
+  const auto result = fleet.publish(tenant("newer") + "class \"extra\" {\n  worth = 2\n}\n");
+  EXPECT_EQ(result.code, 1) << result;
+  EXPECT_EQ(result.version_id(), (VersionId{1, 2})) << result;
+  EXPECT_NE(result.out.find("rejected by n0"), std::string::npos) << result;
+  EXPECT_NE(result.out.find(":5:"), std::string::npos) << result;
   json status;
   EXPECT_EQ(fleet.status(&status).code, 1);
   for (const auto& broker : status["brokers"]) {
@@ -178,17 +179,17 @@
   EXPECT_EQ(fleet.status().code, 0);
 }
 
-// Requests that are read together see one version: all of it, and none of another.
-TEST(Publish, NoRequestSeesPartsOfTwoVersions) {
+// Requests that a broker reads together must all be served under the same version.
+TEST(Publish, RequestsReadTogetherSeeOneVersion) {
   Fleet fleet;
   fleet.await_all_connected();
-  std::atomic<bool> over = false;
+  std::atomic<bool> done = false;
   std::vector<std::future<std::string>> clients;
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     clients.push_back(std::async(std::launch::async, [&, i]() -> std::string {
-      std::map<std::string, int> seen;
-      for (int round = 0; !over; ++round) {
-        Client client(fleet.address(i));  // one that is wrong too often is sent away
+      std::map<std::string, int> rounds_by_result;
+      for (int round = 0; !done; ++round) {
+        Client client(fleet.address(i));  // a client with too many errors is disconnected
         std::string all;
         const std::string names[] = {"odd-a", "even-a", "odd-b", "even-b"};
         for (int n = 0; n < 4; ++n) {
@@ -198,27 +199,28 @@
           all += json{{"jsonrpc", "2.0"}, {"id", n}, {"method", "lookup"}, {"params", params}}.dump() + "\n";
         }
         client.socket.send(all);
-        std::string known = "0000";
+        std::string served = "0000";
         for (int n = 0; n < 4; ++n) {
           const auto answer = client.answer();
           const bool unknown = answer.contains("error") && answer["error"]["code"] == -32602;
-          known[answer["id"].get<std::size_t>()] = unknown ? '0' : '1';
+          served[answer["id"].get<std::size_t>()] = unknown ? '0' : '1';
         }
-        if (known != "0000" && known != "1010" && known != "0101") return known;
-        ++seen[known];
+        if (served != "0000" && served != "1010" && served != "0101") return served;
+        ++rounds_by_result[served];
       }
-      return seen["1010"] > 0 && seen["0101"] > 0 ? "" : "not both were seen";
+      return rounds_by_result["1010"] > 0 && rounds_by_result["0101"] > 0 ? ""
+                                                                          : "not both versions were seen";
     }));
   }
   for (int n = 1; n <= 10; ++n) {
     const std::string kind = n % 2 == 1 ? "odd" : "even";
     EXPECT_EQ(fleet.publish(tenant(kind + "-a") + tenant(kind + "-b")).code, 0);
   }
-  over = true;
+  done = true;
   for (auto& client : clients) EXPECT_EQ(client.get(), "");
 }
 
-TEST(Publish, AReloadLeavesTheVersionInForceAndAllEndAsTheyDidBefore) {
+TEST(Publish, ReloadKeepsActiveVersionAndProcessesExitCleanly) {
   FleetOptions options;
   options.brokers = 1;
   Fleet fleet(options);
@@ -239,19 +241,19 @@
   }
 }
 
-// Nobody named an operator's file: nothing of all this is there.
-TEST(Off, ServeAloneHoldsTheDescriptorsAndThreadsOfThisListAndNoMore) {
+// Without an operator's file a broker must not open any descriptor or thread of the control plane.
+TEST(ServeWithoutOperatorFile, HoldsOnlyListedDescriptorsAndThreads) {
   HttpEngine engine([](const Call&) { return rows("x\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, nullptr);
   broker.changes.wait_until_told();
   const auto proc = "/proc/" + std::to_string(broker.program->pid());
-  std::map<std::string, int> held;
+  std::map<std::string, int> descriptors;
   for (const auto& entry : std::filesystem::directory_iterator(proc + "/fd")) {
     const int fd = std::stoi(entry.path().filename());
-    const int flags = ::fcntl(fd, F_GETFD);                                          // this process's own
+    const int flags = ::fcntl(fd, F_GETFD);  // of the same descriptor in this process
     if (fd <= STDERR_FILENO || (flags >= 0 && (flags & FD_CLOEXEC) == 0)) continue;  // inherited
-    const auto what = std::filesystem::read_symlink(entry.path()).string();
-    ++held[what.starts_with("socket:") ? "socket" : what];
+    const auto target = std::filesystem::read_symlink(entry.path()).string();
+    ++descriptors[target.starts_with("socket:") ? "socket" : target];
   }
   std::multiset<std::string> threads;
   for (const auto& entry : std::filesystem::directory_iterator(proc + "/task")) {
@@ -259,9 +261,9 @@
     std::getline(std::ifstream(entry.path() / "comm"), name);
     threads.insert(name);
   }
-  const std::map<std::string, int> kList{
+  const std::map<std::string, int> kExpected{
       {"anon_inode:[eventpoll]", 1}, {"anon_inode:[eventfd]", 1}, {"/dev/null", 1}, {"socket", 2}};
-  EXPECT_EQ(held, kList);
+  EXPECT_EQ(descriptors, kExpected);
   EXPECT_EQ(threads, (std::multiset<std::string>{"bellstair", "log"}));
 }
 
--- a/tests/processes/relay.hpp
+++ b/tests/processes/relay.hpp
@@ -1,5 +1,5 @@
-// Links between processes, as relays of the tests' own on loopback sockets. Each has the address that one
-// process dials another by, and can be cut, held in one direction or in both, delayed, reset and healed.
+// Links between the processes of a test: relays on loopback sockets. Each link has the address by which one
+// process dials another, and can be cut, held in one direction or both, delayed, reset and healed.
 #pragma once
 
 #include <ev++.h>
@@ -24,14 +24,14 @@
 
 namespace bellstair::test {
 
-enum class Way { up, down };  // from who has dialled, and to it
+enum class Direction { up, down };  // from the dialling process, and to it
 
-// All of it belongs to the loop's thread; others go by way of Network.
+// Used only on the thread of the event loop; other threads use Network.
 class Link {
  public:
   explicit Link(ev::loop_ref loop)
       : loop_(loop), fd_(net::listen_tcp(net::parse_address("127.0.0.1:0").value())), timer_(loop) {
-    if (!fd_) throw std::runtime_error("cannot listen");
+    if (!fd_) throw std::runtime_error("the relay cannot listen");
     address_ = net::local_address(fd_.get());
     listener_ = std::make_unique<net::Listener>(loop, std::move(fd_),
                                                 [this](net::Fd fd, net::Time) { accept(std::move(fd)); });
@@ -39,147 +39,153 @@
   }
 
   [[nodiscard]] const std::string& address() const { return address_; }
-  // Where later connections go; "": they are reset.
-  void to(const std::string& target) { target_ = target; }
-  // As a switch that says no: what is open is reset, and so is what comes.
+  // Sets the target of later connections; "": they are reset.
+  void set_target(const std::string& target) { target_ = target; }
+  // Resets open and new connections, as a firewall that rejects them does.
   void cut() {
     cut_ = true;
     reset();
   }
-  // As a cable that is out: nothing passes this way, not even an end, and nobody is told. What was sent
-  // passes once it is healed, as TCP would send it again. A new connection is taken, and held.
-  void hold(Way way, bool on = true) {
-    held_[at(way)] = on;
-    for (auto& pair : pairs_) go_on(*pair);
+  // Forwards nothing in this direction, not even the end of a connection, as an unplugged cable does: neither
+  // side is notified. Data sent meanwhile is forwarded once the link is healed, as TCP would retransmit it.
+  // A new connection is accepted, and held.
+  void hold(Direction direction, bool on = true) {
+    held_[index_of(direction)] = on;
+    for (auto& connection : connections_) forward(*connection);
   }
   void silence() {
-    hold(Way::up);
-    hold(Way::down);
+    hold(Direction::up);
+    hold(Direction::down);
   }
-  void delay(std::chrono::nanoseconds by) { delay_ = by; }
+  void delay(std::chrono::nanoseconds duration) { delay_ = duration; }
   void reset() {
-    for (auto& pair : pairs_) lose(*pair);
-    sweep();
+    for (auto& connection : connections_) abort(*connection);
+    remove_closed();
   }
   void heal() {
     cut_ = false;
     delay_ = {};
-    hold(Way::up, false);
-    hold(Way::down, false);
+    hold(Direction::up, false);
+    hold(Direction::down, false);
   }
   [[nodiscard]] std::size_t open() {
-    sweep();
-    return pairs_.size();
+    remove_closed();
+    return connections_.size();
   }
   [[nodiscard]] std::uint64_t accepted() const { return accepted_; }
-  [[nodiscard]] std::uint64_t bytes(Way way) const { return bytes_[at(way)]; }  // that have come to it
+  // Received by the link.
+  [[nodiscard]] std::uint64_t bytes(Direction direction) const { return bytes_[index_of(direction)]; }
 
  private:
   using Clock = std::chrono::steady_clock;
-  static constexpr std::size_t kFull = std::size_t{256} << 10;  // then its sender is not read
-  static constexpr std::size_t kMost = std::size_t{64} << 20;
+  static constexpr std::size_t kMaxUnsentBytes = std::size_t{256} << 10;  // above this, reading pauses
+  static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} << 20;
 
   struct Side {
     std::unique_ptr<net::Stream> stream;
-    bool ended = false;                                        // what it writes is over
-    bool told = false;                                         // and the other side knows
-    std::deque<std::pair<Clock::time_point, std::string>> on;  // of its bytes, those under way
+    bool ended = false;          // it sends nothing more
+    bool end_forwarded = false;  // the end was forwarded to the other side
+    // Received bytes that are not forwarded yet, and when to forward them.
+    std::deque<std::pair<Clock::time_point, std::string>> in_transit;
   };
-  struct Pair {
-    Side sides[2];  // who has dialled, and whom
-    bool dead = false;
+  struct Connection {
+    Side sides[2];  // the dialling process, and its target
+    bool closed = false;
   };
 
-  static std::size_t at(Way way) { return way == Way::up ? 0 : 1; }
+  static std::size_t index_of(Direction direction) { return direction == Direction::up ? 0 : 1; }
 
   void accept(net::Fd fd) {
-    sweep();
+    remove_closed();
     ++accepted_;
-    auto& pair = *pairs_.emplace_back(std::make_unique<Pair>());
-    adopt(pair, 0, std::move(fd), false);
-    if (cut_ || target_.empty()) return lose(pair);
-    go_on(pair);
+    auto& connection = *connections_.emplace_back(std::make_unique<Connection>());
+    adopt(connection, 0, std::move(fd), false);
+    if (cut_ || target_.empty()) return abort(connection);
+    forward(connection);
   }
 
-  void adopt(Pair& pair, std::size_t which, net::Fd fd, bool dialling) {
-    auto& side = pair.sides[which];
-    side.stream = std::make_unique<net::Stream>(loop_, std::move(fd), dialling, kMost);
+  void adopt(Connection& connection, std::size_t which, net::Fd fd, bool dialling) {
+    auto& side = connection.sides[which];
+    side.stream = std::make_unique<net::Stream>(loop_, std::move(fd), dialling, kMaxBufferedBytes);
     side.stream->handle({
-        .connected = [this, &pair] { go_on(pair); },
+        .connected = [this, &connection] { forward(connection); },
         .data =
-            [this, &pair, which](std::string_view bytes) {
+            [this, &connection, which](std::string_view bytes) {
               bytes_[which] += bytes.size();
-              pair.sides[which].on.emplace_back(Clock::now() + delay_, bytes);
-              go_on(pair);
+              connection.sides[which].in_transit.emplace_back(Clock::now() + delay_, bytes);
+              forward(connection);
             },
         .ended =
-            [this, &pair, which] {
-              pair.sides[which].ended = true;
-              go_on(pair);
+            [this, &connection, which] {
+              connection.sides[which].ended = true;
+              forward(connection);
             },
-        .closed = [this, &pair] { lose(pair); },
-        .drained = [this, &pair] { go_on(pair); },
+        .closed = [this, &connection] { abort(connection); },
+        .drained = [this, &connection] { forward(connection); },
     });
   }
 
-  // Whatever may pass now, passes.
-  void go_on(Pair& pair) {
-    if (pair.dead) return;
-    if (!pair.sides[1].stream && !held_[0]) {
+  // Forwards all that may be forwarded now.
+  void forward(Connection& connection) {
+    if (connection.closed) return;
+    if (!connection.sides[1].stream && !held_[0]) {
       const auto to = net::parse_address(target_);
       auto fd = to ? net::begin_connect(*to) : net::Fd();
-      if (!fd) return lose(pair);
-      adopt(pair, 1, std::move(fd), true);
+      if (!fd) return abort(connection);
+      adopt(connection, 1, std::move(fd), true);
     }
-    const bool up = pair.sides[1].stream && !pair.sides[1].stream->connecting();
+    const bool connected = connection.sides[1].stream && !connection.sides[1].stream->connecting();
     for (std::size_t i = 0; i < 2; ++i) {
-      auto& from = pair.sides[i];
-      auto& to = pair.sides[1 - i];
-      const bool flows = up && !held_[i];
+      auto& from = connection.sides[i];
+      auto& to = connection.sides[1 - i];
+      const bool may_forward = connected && !held_[i];
       if (from.stream)
-        from.stream->pause(!flows || from.on.size() > 256 || to.stream->unsent_bytes() > kFull);
-      if (!flows) continue;
+        from.stream->pause(!may_forward || from.in_transit.size() > 256 ||
+                           to.stream->unsent_bytes() > kMaxUnsentBytes);
+      if (!may_forward) continue;
       const auto now = Clock::now();
-      while (!from.on.empty() && from.on.front().first <= now) {
-        (void)to.stream->write(from.on.front().second);
-        from.on.pop_front();
+      while (!from.in_transit.empty() && from.in_transit.front().first <= now) {
+        (void)to.stream->write(from.in_transit.front().second);
+        from.in_transit.pop_front();
       }
-      if (!from.on.empty()) {
+      if (!from.in_transit.empty()) {
         if (!timer_.is_active())
-          timer_.start(std::chrono::duration<double>(from.on.front().first - now).count(), 0);
-      } else if (from.ended && !std::exchange(from.told, true)) {
+          timer_.start(std::chrono::duration<double>(from.in_transit.front().first - now).count(), 0);
+      } else if (from.ended && !std::exchange(from.end_forwarded, true)) {
         to.stream->finish();
       }
     }
-    const auto over = [](const Side& side) { return side.told && side.stream->unsent_bytes() == 0; };
-    if (over(pair.sides[0]) && over(pair.sides[1])) {
-      for (auto& side : pair.sides) side.stream->close();
-      pair.dead = true;
+    const auto finished = [](const Side& side) {
+      return side.end_forwarded && side.stream->unsent_bytes() == 0;
+    };
+    if (finished(connection.sides[0]) && finished(connection.sides[1])) {
+      for (auto& side : connection.sides) side.stream->close();
+      connection.closed = true;
     }
   }
 
-  void lose(Pair& pair) {
-    for (auto& side : pair.sides) {
+  void abort(Connection& connection) {
+    for (auto& side : connection.sides) {
       if (side.stream) side.stream->abort();
     }
-    pair.dead = true;
+    connection.closed = true;
   }
 
-  // Not from within a handler of theirs.
-  void sweep() {
-    std::erase_if(pairs_, [](const auto& pair) { return pair->dead; });
+  // Must not be called from a handler of a connection.
+  void remove_closed() {
+    std::erase_if(connections_, [](const auto& connection) { return connection->closed; });
   }
 
   void on_timer(ev::timer&, int) {
-    sweep();
-    for (auto& pair : pairs_) go_on(*pair);
+    remove_closed();
+    for (auto& connection : connections_) forward(*connection);
   }
 
   ev::loop_ref loop_;
   net::Fd fd_;
   std::string address_, target_;
   std::unique_ptr<net::Listener> listener_;
-  std::list<std::unique_ptr<Pair>> pairs_;
+  std::list<std::unique_ptr<Connection>> connections_;
   ev::timer timer_;
   bool cut_ = false;
   bool held_[2] = {false, false};
@@ -187,8 +193,8 @@
   std::uint64_t accepted_ = 0, bytes_[2] = {0, 0};
 };
 
-// Links by who dials and who is dialled, in a thread of their own. net::Stream reads by one buffer of the
-// process: nothing else of it may use one beside this.
+// All links, by dialling process and target, on a thread of their own. net::Stream reads into one buffer per
+// process: no other thread of the process may use a net::Stream.
 class Network {
  public:
   Network() : loop_(ev::AUTO), wake_(loop_) {
@@ -205,9 +211,9 @@
     thread_.join();
   }
 
-  // In the loop's thread; returns once it is done.
-  void run(std::function<void()> what) {
-    std::packaged_task<void()> task(std::move(what));
+  // Runs `action` on the loop's thread, and returns once it is done.
+  void run(std::function<void()> action) {
+    std::packaged_task<void()> task(std::move(action));
     auto done = task.get_future();
     {
       const std::lock_guard lock(mutex_);
@@ -216,35 +222,35 @@
     wake_.send();
     done.get();
   }
-  // The address by which `from` dials `to`; the link is made where there is none.
+  // Returns the address by which `from` dials `to`; creates the link if there is none.
   std::string address(const std::string& from, const std::string& to) {
     std::string out;
     run([&] { out = link(from, to).address(); });
     return out;
   }
-  // Where all links to `name` end.
+  // Sets the address that all links to `name` forward to.
   void set_target(const std::string& name, const std::string& address) {
     run([&] {
-      places_[name] = address;
-      for (auto& [ends, link] : links_) {
-        if (ends.second == name) link->to(address);
+      targets_[name] = address;
+      for (auto& [names, link] : links_) {
+        if (names.second == name) link->set_target(address);
       }
     });
   }
-  void with(const std::string& from, const std::string& to, const std::function<void(Link&)>& what) {
-    run([&] { what(link(from, to)); });
+  void with(const std::string& from, const std::string& to, const std::function<void(Link&)>& action) {
+    run([&] { action(link(from, to)); });
   }
-  // All links that `ends` picks by their two names.
-  using Ends = std::function<bool(const std::string& from, const std::string& to)>;
-  void each(const Ends& ends, const std::function<void(Link&)>& what) {
+  // Calls `action` for all links whose two names `filter` accepts.
+  using LinkFilter = std::function<bool(const std::string& from, const std::string& to)>;
+  void for_each_link(const LinkFilter& filter, const std::function<void(Link&)>& action) {
     run([&] {
       for (auto& [names, link] : links_) {
-        if (ends(names.first, names.second)) what(*link);
+        if (filter(names.first, names.second)) action(*link);
       }
     });
   }
   void heal() {
-    each([](auto&, auto&) { return true; }, [](Link& link) { link.heal(); });
+    for_each_link([](auto&, auto&) { return true; }, [](Link& link) { link.heal(); });
   }
 
  private:
@@ -252,7 +258,7 @@
     auto& out = links_[{from, to}];
     if (!out) {
       out = std::make_unique<Link>(loop_);
-      out->to(places_[to]);
+      out->set_target(targets_[to]);
     }
     return *out;
   }
@@ -269,7 +275,7 @@
   ev::async wake_;
   std::mutex mutex_;
   std::vector<std::packaged_task<void()>> tasks_;
-  std::map<std::string, std::string> places_;
+  std::map<std::string, std::string> targets_;
   std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>> links_;
   std::thread thread_;
 };
--- a/tests/processes/relay_test.cpp
+++ b/tests/processes/relay_test.cpp
@@ -1,4 +1,4 @@
-// The tests' own links, on plain sockets: what they claim to do they do.
+// Checks the links of the process tests on plain sockets.
 #include "relay.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace bellstair::test {
 namespace {
 
-// Sends back each line, and keeps what has come.
+// A server that stores each line it receives and sends it back.
 struct Echo {
   Log<std::string> lines;
   Server server{[this](Socket& socket) {
@@ -22,16 +22,16 @@
   Echo() { network.set_target("b", server.address()); }
   Socket dial() { return Socket::to(network.address("a", "b")); }
   void with(const std::function<void(Link&)>& what) { network.with("a", "b", what); }
-  bool came(const std::string& line) {
+  bool received(const std::string& line) {
     return lines.count([&](const std::string& l) { return l == line; }) > 0;
   }
 };
-bool quiet(Socket& socket) {
+bool has_no_data(Socket& socket) {
   char byte = 0;
   return ::recv(socket.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
-TEST(Relay, PassesBothWaysInOrderAndEnds) {
+TEST(Relay, ForwardsDataAndEndInBothDirections) {
   Echo echo;
   auto socket = echo.dial();
   std::string much;
@@ -43,31 +43,31 @@
   EXPECT_TRUE(socket.ended());
 }
 
-TEST(Relay, WhatIsHeldOneWayPassesTheOtherAndComesOnceHealed) {
+TEST(Relay, HoldsOneDirectionUntilHealed) {
   Echo echo;
   auto socket = echo.dial();
   socket.send("one\n");
   EXPECT_EQ(socket.line(), "one");
-  echo.with([](Link& link) { link.hold(Way::down); });
+  echo.with([](Link& link) { link.hold(Direction::down); });
   socket.send("two\n");
   echo.lines.wait([](const std::string& line) { return line == "two"; });
-  EXPECT_TRUE(quiet(socket));
+  EXPECT_TRUE(has_no_data(socket));
   echo.with([](Link& link) {
-    link.hold(Way::down, false);
-    link.hold(Way::up);
+    link.hold(Direction::down, false);
+    link.hold(Direction::up);
   });
   EXPECT_EQ(socket.line(), "two");
   socket.send("three\n");
-  auto other = echo.dial();  // is taken, and goes nowhere
+  auto other = echo.dial();  // is accepted, but not forwarded
   other.send("four\n");
-  EXPECT_TRUE(quiet(other));
-  EXPECT_FALSE(echo.came("three") || echo.came("four"));
+  EXPECT_TRUE(has_no_data(other));
+  EXPECT_FALSE(echo.received("three") || echo.received("four"));
   echo.with([](Link& link) { link.heal(); });
   EXPECT_EQ(socket.line(), "three");
   EXPECT_EQ(other.line(), "four");
 }
 
-TEST(Relay, NobodyHearsOfAnEndWhileItIsSilent) {
+TEST(Relay, ForwardsNoEndOfConnectionWhileSilent) {
   Echo echo;
   auto socket = echo.dial();
   socket.send("one\n");
@@ -75,7 +75,7 @@
   echo.with([](Link& link) { link.silence(); });
   echo.server.drain();
   ::shutdown(socket.fd(), SHUT_WR);
-  EXPECT_TRUE(quiet(socket));
+  EXPECT_TRUE(has_no_data(socket));
   echo.with([](Link& link) { link.heal(); });
   EXPECT_TRUE(socket.ended());
 }
@@ -103,14 +103,14 @@
   EXPECT_NO_THROW(echo.dial());
   std::uint64_t up = 0, down = 0;
   echo.with([&](Link& link) {
-    up = link.bytes(Way::up);
-    down = link.bytes(Way::down);
+    up = link.bytes(Direction::up);
+    down = link.bytes(Direction::down);
   });
   EXPECT_EQ(up, 8U);
   EXPECT_EQ(down, 8U);
 }
 
-TEST(Relay, APlaceThatIsGoneResetsAndOneThatIsMovedIsFollowed) {
+TEST(Relay, ResetsWithoutTargetAndFollowsMovedTarget) {
   Echo echo;
   echo.network.set_target("b", "");
   auto socket = echo.dial();
@@ -120,7 +120,7 @@
   auto again = echo.dial();
   again.send("one\n");
   EXPECT_EQ(again.line(), "one");
-  EXPECT_TRUE(other.came("one"));
+  EXPECT_TRUE(other.received("one"));
 }
 
 }  // namespace
