--- a/src/app/config_report.hpp
+++ b/src/app/config_report.hpp
@@ -15,8 +15,8 @@
 // count as active: the leader of that epoch may never have received this version.
 struct BrokerCount {
   std::size_t connected = 0, active = 0;
-  std::vector<const Broker*> rejecting, behind,
-      disconnected;  // point into `brokers`, which must outlive this
+  // These point into `brokers`, which must outlive this object.
+  std::vector<const Broker*> rejecting, behind, disconnected;
 
   BrokerCount(const std::map<std::string, Broker>& brokers, control::VersionId id, const std::string& digest);
 };
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -179,7 +179,7 @@
   EXPECT_EQ(fleet.status().code, 0);
 }
 
-// Requests that a broker reads together must all be served under the same version.
+// Requests that a broker reads together must all be accepted under the same version.
 TEST(Publish, RequestsReadTogetherSeeOneVersion) {
   Fleet fleet;
   fleet.await_all_connected();
@@ -199,14 +199,14 @@
           all += json{{"jsonrpc", "2.0"}, {"id", n}, {"method", "lookup"}, {"params", params}}.dump() + "\n";
         }
         client.socket.send(all);
-        std::string served = "0000";
+        std::string accepted = "0000";
         for (int n = 0; n < 4; ++n) {
           const auto answer = client.answer();
           const bool unknown = answer.contains("error") && answer["error"]["code"] == -32602;
-          served[answer["id"].get<std::size_t>()] = unknown ? '0' : '1';
+          accepted[answer["id"].get<std::size_t>()] = unknown ? '0' : '1';
         }
-        if (served != "0000" && served != "1010" && served != "0101") return served;
-        ++rounds_by_result[served];
+        if (accepted != "0000" && accepted != "1010" && accepted != "0101") return accepted;
+        ++rounds_by_result[accepted];
       }
       return rounds_by_result["1010"] > 0 && rounds_by_result["0101"] > 0 ? ""
                                                                           : "not both versions were seen";
