--- a/benchmarks/control_at_size.cpp
+++ b/benchmarks/control_at_size.cpp
@@ -244,7 +244,7 @@
     for (int i = 1; i <= 7; ++i) {
       auto& node = nodes_[numbered("c", i)];
       node.region = i <= 4 ? "north" : "south";
-      network.place(numbered("c", i), node.real.address);
+      network.set_target(numbered("c", i), node.real.address);
     }
     for (auto& [name, node] : nodes_) start(name);
     const auto real = std::min(size, kReal);
