--- a/src/core/attempt_tracker.cpp
+++ b/src/core/attempt_tracker.cpp
@@ -88,7 +88,7 @@
   return guard_.may_start_attempt(start, context_.now());
 }
 
-// The guard is asked again: much may have changed while the connection was made.
+// The guard checks the attempt again: the state may have changed while the connection was established.
 void AttemptTracker::connected(AttemptId id) {
   auto* attempt = requests_.find(id);
   if (attempt == nullptr || attempt->stage != AttemptStage::connecting) return;
@@ -97,7 +97,7 @@
   if (decision == GuardDecision::allowed) return transmit(id, request, *attempt);
   ++context_.counters().withheld[static_cast<std::size_t>(decision)];
   context_.trace(id.request, "attempt ", id.index, " is not transmitted: ", name(decision));
-  // All else counts as a time-out for the scheduler: waiting for the connection took too long.
+  // For the scheduler any other reason counts as a timeout: connecting took too long.
   attempt->timed_out =
       decision != GuardDecision::engine_not_ready && decision != GuardDecision::already_answered;
   cancel(id, *attempt);
@@ -115,7 +115,7 @@
                         submission.parameters});
 }
 
-// Without a figure: the engine and the attempt are alive, however long it takes.
+// Progress is reported without an amount: it only proves that the engine is working on the attempt.
 void AttemptTracker::progressed(AttemptId id) {
   const auto* attempt = requests_.find(id);
   if (attempt == nullptr || attempt->stage != AttemptStage::in_flight) return;
@@ -199,7 +199,7 @@
     deliver_result(id.request, request, result, *ended);
   }
   if (request.half_closed && !request.answered && !has_attempt_in_flight(request))
-    responder_.give_up(id.request, request);
+    responder_.reject_or_fail(id.request, request);
   outcome.request_closed = request.answered;
   scheduler_.notify(std::move(outcome));
   requests_.erase_if_complete(id.request);
--- a/src/core/attempt_tracker.hpp
+++ b/src/core/attempt_tracker.hpp
@@ -1,4 +1,4 @@
-// Attempts of requests, from the scheduler's decision until their end is known.
+// Tracks attempts of requests from the scheduler's decision until they have ended.
 #pragma once
 
 #include "core/endpoint_registry.hpp"
@@ -11,8 +11,8 @@
 
 namespace bellstair::core {
 
-// connecting -> in_flight -> ended. An attempt that is cancelled, in either stage, ends once its AttemptEnded
-// has come.
+// Stages: connecting -> in_flight -> ended. An attempt that is cancelled in either of the first two ends when
+// its AttemptEnded is received.
 class AttemptTracker {
  public:
   AttemptTracker(StepContext& context, RequestTable& requests, const EndpointRegistry& endpoints,
@@ -25,20 +25,21 @@
         scheduler_(scheduler),
         responder_(responder) {}
 
-  // The scheduler's decisions. Those on requests that are no longer in the table are ignored.
+  // Apply decisions of the scheduler. Decisions on requests that are no longer in the table are ignored.
   void start(const policy::SendAttempt& send);
   void cancel(const policy::CancelAttempt& cancel);
   void set_terms(const policy::AttemptTerms& terms);
 
-  // Events. Those on attempts that have ended, or are being cancelled, are ignored.
+  // Handle events. An event is ignored if the attempt has already ended, and all but ended() if it is being
+  // cancelled.
   void connected(AttemptId id);
   void progressed(AttemptId id);
   void expired(AttemptId id);
   void ended(AttemptEnded& ended);
 
-  // Cancels the attempts of which nothing has been transmitted.
+  // Cancels the request's attempts that are still connecting.
   void cancel_connecting(RequestId id, Request& request);
-  // The same, of all requests, to engines that take no new work.
+  // Cancels the connecting attempts of all requests whose engines are not ready.
   void cancel_connecting_to_unready();
   void cancel_all(RequestId id, Request& request);
 
@@ -47,7 +48,7 @@
   [[nodiscard]] GuardDecision may_start(AttemptId id, const Request& request) const;
   void transmit(AttemptId id, Request& request, Attempt& attempt);
   void cancel(AttemptId id, Attempt& attempt);
-  // `ended`: null if the attempt was not started.
+  // Records the result and notifies the scheduler. `ended`: null if the attempt was not started.
   void conclude(AttemptId id, Request& request, policy::AttemptResult result, AttemptEnded* ended);
   void record_end(AttemptId id, Request& request, Attempt& attempt, policy::AttemptResult result,
                   const AttemptEnded* ended);
--- a/src/core/configuration_updater.hpp
+++ b/src/core/configuration_updater.hpp
@@ -1,5 +1,5 @@
-// Changes of the configuration while the broker runs: its own file, read again, and settings versions from
-// the control plane.
+// Applies configuration changes while the broker runs: the reloaded configuration file, and settings versions
+// from the control node.
 #pragma once
 
 #include <string>
@@ -13,8 +13,8 @@
 
 class ConfigurationUpdater {
  public:
-  // `settings`: those in force, which apply() replaces in place. `changelog`: the change log's address in the
-  // configuration file.
+  // `settings`: the active settings, which apply() replaces in place. `changelog`: the change log's address
+  // in the configuration file.
   ConfigurationUpdater(StepContext& context, SchedulerDriver& scheduler, HookStage& hook_stage,
                        policy::Settings& settings, std::string changelog)
       : context_(context),
@@ -23,9 +23,9 @@
         settings_(settings),
         file_changelog_(std::move(changelog)) {}
 
-  // Of the file only the hooks and the change log's address take effect without a restart.
+  // Applies the reloaded file. Only its hooks and its change log address take effect without a restart.
   void apply(ConfigurationRead& read);
-  // The version is in force at the end of this call, or rejected as a whole.
+  // Makes the version active, or rejects it as a whole.
   void apply(SettingsOffered& offered);
 
  private:
@@ -39,7 +39,7 @@
   HookStage& hook_stage_;
   policy::Settings& settings_;
   std::string file_changelog_;
-  std::string version_changelog_;  // of the version in force; empty: that of the file
+  std::string version_changelog_;  // from the active version; empty: the file's address is used
 };
 
 }  // namespace bellstair::core
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -1,4 +1,4 @@
-// Counters of requests and attempts since the start, for the log.
+// Counts requests and attempts since the start of the program, for the log.
 #pragma once
 
 #include <array>
@@ -11,16 +11,16 @@
 
 namespace bellstair::core {
 
-// A broken invariant of the broker. Each is checked where it would show; any count above 0 is a bug.
+// A broken invariant of the broker, checked at run time. Any count above 0 is a bug.
 enum class Violation : std::uint8_t {
   duplicate_answer,    // a request was about to be answered again
-  late_answer,         // later than the protocol's slack after the deadline
+  late_answer,         // a request was answered after its deadline and the protocol's slack
   unsafe_rejection,    // the scheduler rejected a request that may have run
-  unsafe_attempt,      // the scheduler asked for an attempt that the guard's rules forbid
-  unanswered_at_exit,  // the program exits while a request has no answer
+  unsafe_attempt,      // the scheduler requested an attempt that the guard's rules forbid
+  unanswered_at_exit,  // the program exited while a request was unanswered
 };
 inline constexpr std::size_t kViolations = 5;
-// As it stands in log lines and counters.
+// The violation's name in log lines and counters.
 [[nodiscard]] const char* name(Violation violation);
 
 // Fields are named as they are printed.
@@ -38,7 +38,7 @@
   std::array<std::uint64_t, kViolations> violations{};
 
   [[nodiscard]] std::uint64_t total_violations() const;
-  // "counters: violations=0 taken=12 answered.served=9 ..."; counts of 0 are left out, but for violations.
+  // "counters: violations=0 taken=12 answered.served=9 ..."; counts of 0 are omitted, except for violations.
   [[nodiscard]] std::string text() const;
   bool operator==(const Counters&) const = default;
 };
--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -17,7 +17,7 @@
   }
   const bool watch_event = is_watch_event(update);
   if (!watch_event) {
-    for (const auto& record : update.endpoints) start_clock_.note_known(record.started_unix);
+    for (const auto& record : update.endpoints) start_clock_.add_known_start(record.started_unix);
   }
   for (auto& record : update.endpoints) {
     record.endpoint.started_at = started_at(record, watch_event);
@@ -42,7 +42,7 @@
   const auto state = record.endpoint.state;
   context_.put(
       EndpointChanged{engine, record.address, state != EngineState::gone, state == EngineState::ready});
-  // A restarted engine has a new id: removed ones would accumulate.
+  // A restarted engine has a new id, so that records of removed engines would accumulate.
   if (state == EngineState::gone) {
     records_.erase(engine);
   } else {
@@ -50,12 +50,12 @@
   }
 }
 
-// The first answer of the change log may tell of what happened long ago.
+// The first answer of the change log may report events from long ago.
 bool EndpointRegistry::is_watch_event(const EndpointUpdate& update) const {
   return update.from_change_log && last_answer_ != Time::zero();
 }
 
-// The same start, listed again, keeps its time.
+// An engine that is listed again with the same start keeps its start time.
 Time EndpointRegistry::started_at(const EndpointRecord& record, bool watch_event) {
   if (record.started_unix == Time::zero()) return {};
   const auto known = records_.find(record.endpoint.engine);
@@ -75,7 +75,7 @@
     record.endpoint.started_at = std::max(record.endpoint.started_at, corrected);
     list.endpoints.push_back(record.endpoint);
   }
-  context_.log("a wall clock is off: engine start times are recalculated");
+  context_.log("a wall clock is wrong: engine start times are recalculated");
   return list;
 }
 
--- a/src/core/endpoint_registry.hpp
+++ b/src/core/endpoint_registry.hpp
@@ -1,4 +1,4 @@
-// The engines' endpoints, as the change log lists them: states, addresses and start times.
+// Stores the engines' endpoints that the change log lists: states, addresses and start times.
 #pragma once
 
 #include <optional>
@@ -13,15 +13,15 @@
  public:
   explicit EndpointRegistry(StepContext& context) : context_(context) {}
 
-  // Takes in an update, whose endpoints are moved from, and announces each changed endpoint by an effect.
-  // Returns the list for the scheduler.
+  // Applies an update, whose endpoints are moved from, and emits an EndpointChanged effect for each of them
+  // and for each removed one. Returns the list for the scheduler.
   [[nodiscard]] policy::EndpointList apply(EndpointUpdate& update);
-  // Once an update has shown that a wall clock is off: all start times, calculated again.
+  // Returns recalculated start times if the last update has revealed that a wall clock is wrong.
   [[nodiscard]] std::optional<policy::EndpointList> correct_start_times();
-  // The change log has answered, and all that it told has been applied.
+  // Must be called when the change log has answered and its updates have been applied.
   void change_log_answered() { last_answer_ = context_.now(); }
 
-  // Null: not listed.
+  // Returns null if the engine is not listed.
   [[nodiscard]] const policy::Endpoint* find(EngineId engine) const;
   [[nodiscard]] bool is_ready(EngineId engine) const;
   [[nodiscard]] bool any_ready() const;
@@ -36,7 +36,7 @@
   std::unordered_map<EngineId, EndpointRecord> records_;
   StartClock start_clock_;
   bool first_list_applied_ = false;
-  Time last_answer_{};  // of the change log; 0: none yet
+  Time last_answer_{};  // when the change log last answered; 0: never
 };
 
 }  // namespace bellstair::core
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -1,6 +1,7 @@
-// The core's events (inputs) and effects (outputs). Plain values: no sockets, no JSON, no HTTP, no SQL.
+// Defines the core's events (inputs) and effects (outputs). They are plain values: no sockets, no JSON, no
+// HTTP, no SQL.
 //
-// Times are of the core's steady clock, in nanoseconds, where nothing else is said.
+// Times are nanoseconds of the core's steady clock, unless a comment names another clock.
 #pragma once
 
 #include <chrono>
@@ -23,7 +24,7 @@
 using policy::EngineId;
 using policy::RequestId;
 using Time = std::chrono::nanoseconds;
-using ClientHandle = std::uint64_t;  // a front's name for one request of one client
+using ClientHandle = std::uint64_t;  // identifies one request of one client to its front
 
 struct AttemptId {
   RequestId request = 0;
@@ -33,7 +34,7 @@
 
 enum class FrontKind : std::uint8_t { platform, mysql };
 
-// A request as parsed by a front. Its body is opaque here.
+// A request as a front has parsed it. The core does not interpret its body.
 struct Submission {
   ClientHandle client = 0;
   FrontKind front = FrontKind::platform;
@@ -45,8 +46,8 @@
   double estimated_memory_mb = 0;
   std::int64_t data_group = 0;
   bool is_client_retry = false;
-  std::string ticket;           // the client's id of the request, unique among those open; or empty
-  std::string idempotency_key;  // or empty
+  std::string ticket;           // the client's id of the request, unique among open requests; may be empty
+  std::string idempotency_key;  // may be empty
   std::string body;
   std::string parameters;
 };
@@ -54,60 +55,61 @@
 struct EndpointRecord {
   policy::Endpoint endpoint;  // started_at is set by the core
   std::string address;
-  Time started_unix{};  // Unix time, as listed; 0: long ago
+  Time started_unix{};  // Unix time from the endpoint list; 0: long ago
 };
 
 enum class AttemptEnd {
   served,
-  error,           // it may have run
-  rejected,        // it never ran
-  expired,         // it never ran: nothing was transmitted
-  connect_failed,  // it never ran
-  reset,           // the connection broke: it may have run
-  cancelled        // the engine has been notified, as far as it could be
+  error,           // the engine answered with an error; the query may have run
+  rejected,        // the engine rejected the query; it never ran
+  expired,         // nothing was transmitted; the query never ran
+  connect_failed,  // the query never ran
+  reset,           // the connection broke; the query may have run
+  cancelled        // the engine has been notified if it could be reached
 };
 
 // ---- events
 
-struct ListenersReady {};  // the fronts accept connections
+struct ListenersReady {};  // all fronts accept connections
 struct EndpointUpdate {
-  bool full = false;  // the complete list; else changes only
+  bool full = false;  // true: the complete list; false: only changes
   std::vector<EndpointRecord> endpoints;
-  bool from_change_log = false;  // else from the list cached before the start
+  bool from_change_log = false;  // false: from the list that was cached before the program started
 };
-struct EndpointListPolled {  // the change log has nothing newer, or can't be reached
-  bool answered = false;     // its updates have come before this event
+struct EndpointListPolled {  // the change log has no newer entries, or can't be reached
+  bool answered = false;     // true: it answered, and its updates precede this event
 };
 struct RequestReceived {
   Submission submission;
-  // The earliest time at which it may have been received; 0: now. Its time limit counts from there.
+  // The earliest time at which the request may have been received; 0: now. Its time limit starts then.
   Time since{};
 };
-struct ProcessStalled {  // the process did not run for a while
-  Time since{};          // when its sockets were last polled before
+struct ProcessStalled {  // the process was suspended for some time
+  Time since{};          // when the sockets were last polled before the stall
   Time length{};
 };
-struct ClientCancelled {  // no answer is owed any more
+struct ClientCancelled {  // the client no longer expects an answer
   ClientHandle client = 0;
 };
-struct ClientHalfClosed {  // the client writes no more and may be gone: no further attempt is made for it
+// The client has closed its sending side and may be gone: no further attempt starts for it.
+struct ClientHalfClosed {
   ClientHandle client = 0;
 };
-struct AttemptConnected {  // it has a connection; nothing has been written
+struct AttemptConnected {  // the attempt has a connection; nothing has been written
   AttemptId id;
 };
-struct AttemptProgressed {  // its engine reports that it is running
+struct AttemptProgressed {  // the engine reports that the attempt is running
   AttemptId id;
 };
 struct AttemptEnded {
   AttemptId id;
   AttemptEnd end = AttemptEnd::error;
-  std::string body;                 // the complete answer, if served; else the engine's message, if any
-  std::string shape;                // of the answer, where an engine tells it; opaque too
-  std::optional<Time> work;         // CPU time, as reported
-  double memory_mb = 0;             // as reported; 0: not reported
-  std::vector<double> load_report;  // of the engine, in the order of the settings' fields
-  Time may_run_for{};               // at its engine, where nothing proves that it has ended; 0: it has
+  std::string body;                 // served: the complete answer; else the engine's error message, if any
+  std::string shape;                // format of the answer, if the engine reports it; opaque to the core
+  std::optional<Time> work;         // CPU time that the engine reports
+  double memory_mb = 0;             // memory that the engine reports; 0: not reported
+  std::vector<double> load_report;  // load of the engine, in the order of the settings' load fields
+  Time may_run_for{};               // how long it may still run at its engine; 0: it is proven to have ended
 };
 struct HealthCheckEnded {
   EngineId engine = 0;
@@ -119,23 +121,23 @@
   std::string bytes;
 };
 struct ShutdownRequested {
-  Time since{};  // the earliest time at which the signal may have come; 0: now
+  Time since{};  // the earliest time at which the signal may have arrived; 0: now
 };
 struct ReloadRequested {};
-struct ConfigurationRead {  // in answer to ReadConfiguration
-  std::string problem;      // why it can't be used, one reason a line; empty: it can
+struct ConfigurationRead {  // the response to ReadConfiguration
+  std::string problem;      // why the file is invalid, one reason per line; empty: it is valid
   std::string changelog;
   std::vector<std::string> fixed;   // changed settings that need a restart
   std::optional<hooks::Set> hooks;  // loaded and tested
 };
-// A complete version of the settings, applied within this one event or not at all. From the next event on all
-// decisions go by it. Requests received before keep their deadline, their tenant, even if it is removed, and
-// what their class allows, which no version can change.
+// A complete version of the settings. It is applied as a whole while this event is handled, or rejected; all
+// decisions use it from the next event on. Requests received before keep their deadline, their tenant, even
+// if the version removes it, and the rules of their class, which no version can change.
 struct SettingsOffered {
   std::uint64_t epoch = 0, number = 0;
   policy::Settings settings;
-  std::string changelog;              // its address; empty: that of the configuration file
-  std::shared_ptr<const void> names;  // opaque; handed back in SettingsApplied
+  std::string changelog;              // address of the change log; empty: the one in the configuration file
+  std::shared_ptr<const void> names;  // opaque to the core; returned in SettingsApplied
 };
 struct HookRan {
   hooks::SliceResult ran;
@@ -145,7 +147,7 @@
 };
 struct HooksTurn {};  // an iteration of the event loop in which waiting hook calls may continue
 struct Tick {
-  bool unwritten = false;  // a front has still to write, or to close a connection
+  bool unwritten = false;  // a front still has data to write or a connection to close
 };
 
 using Event =
@@ -157,26 +159,26 @@
 // ---- effects
 
 enum class AnswerKind { served, rejected, failed, timed_out };
-struct Answer {  // the one final answer to a request
+struct Answer {  // the only and final answer to a request
   ClientHandle client = 0;
   AnswerKind kind = AnswerKind::failed;
-  Time retry_after{};  // rejected: how long the client should stay away
-  std::string body;    // served: the answer; else an engine's last message, if any
+  Time retry_after{};  // rejected: how long the client should wait before it retries
+  std::string body;    // served: the answer; else the last error message of an engine, if any
   std::string shape;   // served: as in AttemptEnded
 };
-struct StartAttempt {  // get a connection, then post AttemptConnected or AttemptEnded
+struct StartAttempt {  // acquire a connection, then post AttemptConnected or AttemptEnded
   AttemptId id;
   EngineId engine = 0;
 };
-struct Transmit {  // on the attempt's connection; its first byte may leave now
+struct Transmit {  // send the query on the attempt's connection
   AttemptId id;
   ClassIndex cls = 0;
   Time timeout{};        // until the attempt expires
-  double memory_mb = 0;  // to be reserved
+  double memory_mb = 0;  // memory that the engine reserves
   std::uint8_t priority = 1;
   std::string ticket, idempotency_key, body, parameters;
 };
-struct CancelAttempt {  // it still ends with an AttemptEnded
+struct CancelAttempt {  // post AttemptEnded once the attempt has ended
   AttemptId id;
 };
 struct Reprioritize {
@@ -190,35 +192,35 @@
   std::optional<std::uint32_t> to;
   std::string bytes;
 };
-struct EndpointChanged {  // added, moved to another address, or removed
+struct EndpointChanged {  // the endpoint was added, changed its address or state, or was removed
   EngineId engine = 0;
   std::string address;
   bool usable = true;     // its connections may be used
-  bool accepting = true;  // it accepts new attempts
+  bool accepting = true;  // the engine accepts new attempts
 };
 struct Log {
   std::string text;
   log::Level level = log::Level::info;
 };
-struct ReadConfiguration {};  // then post ConfigurationRead
-struct FollowChangeLog {      // watch it at this address, from the last event on
+struct ReadConfiguration {};  // read the configuration file, then post ConfigurationRead
+struct FollowChangeLog {      // watch the change log at this address, from the last event received on
   std::string address;
 };
-struct SettingsApplied {  // its names and change log are in force from here on
+struct SettingsApplied {  // the version's names and change log are active from now on
   std::uint64_t epoch = 0, number = 0;
   policy::Settings settings;
   std::string changelog;
   std::shared_ptr<const void> names;
 };
-struct SettingsRejected {  // nothing has changed
+struct SettingsRejected {  // the previous settings stay active
   std::uint64_t epoch = 0, number = 0;
   std::string problem;
 };
-using RunHook = hooks::RunSlice;  // then post HookRan, before any other hook event
+using RunHook = hooks::RunSlice;  // run the slice, then post HookRan before any other hook event
 using DropHook = hooks::AbortCall;
-using RenewHook = hooks::RenewMachine;  // then post HookRenewed
+using RenewHook = hooks::RenewMachine;  // replace the machine, then post HookRenewed
 using RetireHook = hooks::RetireMachine;
-struct CloseClientConnections {};  // each one once all of its requests are answered
+struct CloseClientConnections {};  // close each connection once all of its requests are answered
 struct Exit {};
 
 using Effect =
--- a/src/core/guard.hpp
+++ b/src/core/guard.hpp
@@ -1,6 +1,6 @@
-// The final check before a request is admitted, an attempt started or transmitted, a request rejected or a
-// client's connection closed. Whoever asked for the step, it is checked against the state of this moment:
-// the state it was decided by may be out of date.
+// Makes the final check before a request is admitted, an attempt is started or transmitted, a request is
+// rejected or a client's connection is closed. Each step is checked against the current state, whichever
+// module requested it: the decision may have been made on an earlier state.
 #pragma once
 
 #include <cstddef>
@@ -16,30 +16,31 @@
 
 namespace bellstair::core {
 
-// The rules of admission, in their order:
+// The rules of admission, in the order in which they are checked:
 // | decision          | input                        | limit                      | reason                      |
-// | shutting_down     | phase                        | before Phase::stopping     | it could not be finished    |
+// | shutting_down     | phase                        | before Phase::stopping     | no time is left to serve it |
 // | too_many_requests | unanswered requests          | max_open_requests; 0: none | the operators' limit        |
-// | memory_exhausted  | bytes held by all requests   | the broker's limit, bytes  | an OOM kill would lose all  |
-// | ticket_in_use     | tickets of requests held     | each once                  | engines key queries by it   |
+// | memory_exhausted  | bytes stored for requests    | the broker's limit, bytes  | an OOM kill would lose all  |
+// | ticket_in_use     | tickets of stored requests   | unique                     | engines key queries by it   |
 //
-// The rules on starting an attempt, and once more on transmitting its first byte, in their order:
+// The rules on attempts, in the order in which they are checked: before an attempt is started, and again
+// before its first byte is transmitted.
 // | decision            | input                        | limit               | reason                           |
-// | already_answered    | the request                  |                     | nobody waits for it              |
-// | client_disconnected | the client's connection      |                     | nobody may wait for it           |
-// | engine_not_ready    | endpoint state               | ready               | no new work while it drains      |
-// | attempt_expired     | now                          | expires_at          | its result would come too late   |
-// | retry_forbidden     | earlier attempts, class      | policy::retry_rules | it must not run twice            |
-// | hedging_forbidden   | earlier attempts             | settings' hedging   | one attempt at a time            |
+// | already_answered    | the request                  |                     | no client waits for the result   |
+// | client_disconnected | the client's connection      |                     | the client may be gone           |
+// | engine_not_ready    | endpoint state               | ready               | a draining engine takes no work  |
+// | attempt_expired     | now                          | expires_at          | the result would be too late     |
+// | retry_forbidden     | earlier attempts, class      | policy::retry_rules | the query must not run twice     |
+// | hedging_forbidden   | earlier attempts             | settings' hedging   | attempts must not run in parallel |
 // | ordering_key_in_use | attempts of the ordering key | one request         | requests of a key run in order   |
 class Guard {
  public:
-  // `settings`: those in force; they are replaced in place.
+  // `settings`: the active settings, which ConfigurationUpdater replaces in place.
   explicit Guard(const policy::Settings& settings) : settings_(settings) {}
 
   struct Admission {
     Phase phase = Phase::starting;
-    std::size_t unanswered = 0;  // requests
+    std::size_t unanswered = 0;  // number of unanswered requests
     bool fits_in_memory = true;
     bool ticket_in_use = false;
   };
@@ -57,34 +58,35 @@
     bool client_disconnected = false;
     Time expires_at{};
     const policy::Endpoint* endpoint = nullptr;  // null: not listed
-    std::span<const PriorAttempt> prior;         // of the same request
+    std::span<const PriorAttempt> prior;         // earlier attempts of the same request
   };
   [[nodiscard]] GuardDecision may_start_attempt(const AttemptStart& start, Time now) const;
-  // True for rules that the scheduler keeps by itself: only a bug can break them.
+  // True for the rules that the scheduler applies too: only a bug can break them.
   [[nodiscard]] static bool is_violation(GuardDecision decision);
 
-  // Whether the client may be told that a retry is harmless. `never_ran`: proven of all attempts.
+  // Whether a rejection, which permits the client to retry, is safe. `never_ran`: no attempt can have run.
   [[nodiscard]] bool may_reject(ClassIndex cls, bool never_ran) const;
 
-  // `open`: unanswered requests on the client's connection; `unread`: input waits on its socket.
+  // Whether a client's connection may be closed. `open`: its unanswered requests; `unread`: its socket has
+  // unread input.
   [[nodiscard]] static bool may_close(std::size_t open, bool unread) { return open == 0 && !unread; }
 
-  // To be called when an attempt of a request with this ordering key is transmitted, and when it has ended
-  // here; the engine may go on with it until `may_run_until`. Key 0 is ignored.
+  // Must be called when an attempt of a request with this ordering key is transmitted, and when it has ended.
+  // The engine may continue to run an ended attempt until `may_run_until`. Key 0 is ignored.
   void attempt_started(std::uint64_t ordering_key, RequestId request);
   void attempt_ended(std::uint64_t ordering_key, RequestId request, Time may_run_until);
-  // Frees the memory of ordering keys that are no longer in use.
+  // Removes the entries of ordering keys that are no longer in use.
   void remove_idle_keys(Time now);
 
  private:
   struct KeyUse {
     RequestId request = 0;
-    unsigned in_flight = 0;  // attempts
+    unsigned in_flight = 0;  // number of attempts in flight
     Time may_run_until{};
   };
   [[nodiscard]] bool key_in_use(std::uint64_t ordering_key, RequestId request, Time now) const;
 
-  // Taken off a deduplication window for the way to the engine.
+  // Part of a deduplication window that is reserved for the transfer to the engine.
   static constexpr Time kDeduplicationMargin = std::chrono::milliseconds(5);
 
   const policy::Settings& settings_;
--- a/src/core/guard_decision.hpp
+++ b/src/core/guard_decision.hpp
@@ -1,4 +1,4 @@
-// The guard's decisions, each with its reason.
+// Defines the guard's decisions.
 #pragma once
 
 #include <cstddef>
@@ -8,23 +8,23 @@
 
 enum class GuardDecision : std::uint8_t {
   allowed,
-  // On a new request.
+  // Reasons not to admit a request.
   shutting_down,
-  too_many_requests,  // settings' max_open_requests
-  memory_exhausted,   // all requests together would hold more than the broker's limit
-  ticket_in_use,      // engines would take the request for the other one
-  // On an attempt.
+  too_many_requests,  // the settings' max_open_requests is reached
+  memory_exhausted,   // all requests together would take more memory than the broker's limit
+  ticket_in_use,      // engines would confuse the request with the open one of the same ticket
+  // Reasons not to start or transmit an attempt.
   already_answered,
-  client_disconnected,  // it has closed its side of the connection, or all of it
-  engine_not_ready,     // draining, removed, or never listed
+  client_disconnected,  // the client has half-closed or closed its connection
+  engine_not_ready,     // the engine is draining, removed, or was never listed
   attempt_expired,
-  retry_forbidden,      // an earlier attempt may have had its effect
+  retry_forbidden,      // an earlier attempt may have run
   hedging_forbidden,    // another attempt of the request may be running
   ordering_key_in_use,  // a request of the same ordering key may be running
 };
 inline constexpr std::size_t kGuardDecisions = 12;
 
-// As it stands in log lines and counters.
+// The decision's name in log lines and counters.
 [[nodiscard]] const char* name(GuardDecision decision);
 
 }  // namespace bellstair::core
--- a/src/core/health_check_tracker.hpp
+++ b/src/core/health_check_tracker.hpp
@@ -1,4 +1,4 @@
-// Health checks in flight, to tell their latency.
+// Tracks health checks in flight to measure their latency.
 #pragma once
 
 #include <unordered_map>
@@ -13,7 +13,7 @@
  public:
   void started(EngineId engine, Time now) { sent_at_[engine].push_back(now); }
 
-  // The result for the scheduler. Checks of one engine end in the order in which they were sent.
+  // Returns the result for the scheduler. Checks of an engine must end in the order in which they were sent.
   [[nodiscard]] policy::HealthCheckResult ended(HealthCheckEnded& ended, Time now) {
     policy::HealthCheckResult result;
     auto& sent_at = sent_at_[ended.engine];
--- a/src/core/hook_stage.cpp
+++ b/src/core/hook_stage.cpp
@@ -5,7 +5,7 @@
 
 namespace bellstair::core {
 namespace {
-// What hooks of all phases see of a request.
+// The fields of a request that hooks of all phases receive.
 hooks::RequestView subject_of(const Submission& submission) {
   hooks::RequestView subject;
   subject.cls = submission.cls;
@@ -15,20 +15,21 @@
 }
 }  // namespace
 
-void HookStage::enter(RequestId id, Request& request) {
-  if (!control_.any(hooks::Phase::request) && ordering_queues_.empty()) return hand_to_scheduler(id, request);
+void HookStage::add(RequestId id, Request& request) {
+  if (!hook_scheduler_.any(hooks::Phase::request) && ordering_queues_.empty())
+    return forward_to_scheduler(id, request);
   const auto& submission = request.submission;
-  const bool in_hooks = enter_hooks(id, submission);
-  // Behind an earlier request of its key it has to wait, with hooks of its own or without.
+  const bool in_hooks = submit_to_hooks(id, submission);
+  // A request waits behind earlier requests of its key even if it has no hooks of its own.
   const bool queued =
       is_ordered(submission) && (in_hooks || ordering_queues_.contains(submission.ordering_key));
   if (queued) ordering_queues_.push(submission.ordering_key, id);
-  if (!in_hooks && !queued) return hand_to_scheduler(id, request);
+  if (!in_hooks && !queued) return forward_to_scheduler(id, request);
   request.stage = in_hooks ? RequestStage::hooks : RequestStage::ordering_queue;
 }
 
-// False: no hook is for it.
-bool HookStage::enter_hooks(RequestId id, const Submission& submission) {
+// Returns false if no hook matches the request.
+bool HookStage::submit_to_hooks(RequestId id, const Submission& submission) {
   auto subject = subject_of(submission);
   subject.statement_size = submission.body.size();
   subject.limit = submission.time_limit;
@@ -36,14 +37,14 @@
   subject.ram = submission.estimated_memory_mb;
   subject.group = submission.data_group;
   subject.second = submission.is_client_retry;
-  return control_.submit(context_.now(), id, std::move(subject), submission.body);
+  return hook_scheduler_.submit(context_.now(), id, std::move(subject), submission.body);
 }
 
 bool HookStage::is_ordered(const Submission& submission) const {
   return submission.ordering_key != 0 && settings_.classes[submission.cls].ordered_by_key;
 }
 
-void HookStage::hand_to_scheduler(RequestId id, Request& request) {
+void HookStage::forward_to_scheduler(RequestId id, Request& request) {
   request.stage = RequestStage::scheduler;
   const auto& submission = request.submission;
   policy::RequestArrival arrival;
@@ -58,32 +59,32 @@
   scheduler_.notify(arrival);
 }
 
-void HookStage::pass(RequestId id, Request& request, const hooks::RequestView& subject) {
+void HookStage::continue_after_hooks(RequestId id, Request& request, const hooks::RequestView& subject) {
   auto& submission = request.submission;
   submission.estimated_work = subject.cpu;
   submission.estimated_memory_mb = subject.ram;
   submission.is_client_retry = subject.second;
-  if (!is_ordered(submission)) return hand_to_scheduler(id, request);
+  if (!is_ordered(submission)) return forward_to_scheduler(id, request);
   request.stage = RequestStage::ordering_queue;
   ordering_queues_.mark_changed(submission.ordering_key);
 }
 
-void HookStage::leave(RequestId id, Request& request) {
+void HookStage::remove(RequestId id, Request& request) {
   if (request.stage == RequestStage::scheduler) return;
-  if (request.stage == RequestStage::hooks) control_.cancel(id);
+  if (request.stage == RequestStage::hooks) hook_scheduler_.cancel(id);
   request.stage = RequestStage::scheduler;
   if (is_ordered(request.submission)) ordering_queues_.remove(request.submission.ordering_key, id);
 }
 
 void HookStage::notify_answered(const Request& request, AnswerKind kind, Time retry_after) {
-  if (!control_.any(hooks::Phase::answer)) return;
+  if (!hook_scheduler_.any(hooks::Phase::answer)) return;
   auto subject = subject_of(request.submission);
   subject.tags = request.tags;
   subject.kind = name(kind);
   subject.duration = context_.now() - request.received_at;
   subject.later = retry_after;
   subject.attempts = request.attempts.size();
-  control_.notify_answer(context_.now(), subject, request.submission.body);
+  hook_scheduler_.notify_answer(context_.now(), subject, request.submission.body);
 }
 
 void HookStage::advance_ordering_queues() {
@@ -91,19 +92,19 @@
     ordering_queues_.advance(key, [this](RequestId id) {
       auto& request = requests_.at(id);
       if (request.stage == RequestStage::hooks) return false;
-      hand_to_scheduler(id, request);
+      forward_to_scheduler(id, request);
       return true;
     });
   }
 }
 
 void HookStage::dispatch() {
-  control_.dispatch(context_.now());
-  for (auto& command : control_.commands)
+  hook_scheduler_.dispatch(context_.now());
+  for (auto& command : hook_scheduler_.commands)
     std::visit([this](auto& effect) { context_.put(std::move(effect)); }, command);
-  control_.commands.clear();
-  for (auto& line : control_.log_lines) context_.log(std::move(line));
-  control_.log_lines.clear();
+  hook_scheduler_.commands.clear();
+  for (auto& line : hook_scheduler_.log_lines) context_.log(std::move(line));
+  hook_scheduler_.log_lines.clear();
 }
 
 }  // namespace bellstair::core
--- a/src/core/lifecycle.hpp
+++ b/src/core/lifecycle.hpp
@@ -1,4 +1,4 @@
-// The phases of the program, from start to exit.
+// Defines the phases of the program from start to exit, and when it changes between them.
 #pragma once
 
 #include <algorithm>
@@ -26,32 +26,33 @@
   return "?";
 }
 
-// Longest shutdown: min(longest deadline, 3 s) + 0.3 s of draining, then 0.3 s of stopping.
+// The longest shutdown takes min(longest deadline, 3 s) + 0.3 s of draining and 0.3 s of stopping.
 //
-// starting -> serving: the servers listen and a ready engine is known.
+// starting -> serving: the fronts listen and a ready engine is known.
 // starting, serving -> draining: a shutdown is requested. New requests are still served.
-// draining -> stopping: clients have had time to see it, and every request is answered.
-// stopping -> exited: everything is written, or kFlushTimeout has passed.
+// draining -> stopping: kMinDrain has passed, and every request is answered.
+// stopping -> exited: all data is written, or kFlushTimeout has passed.
 class Lifecycle {
  public:
-  // Draining lasts at least this long: new connections and requests may come for 0.7 s after the signal.
+  // Minimum duration of draining: new connections and requests may arrive for 0.7 s after the signal.
   static constexpr Time kMinDrain = std::chrono::milliseconds(800);
-  // The platform kills the program after the longest deadline, counted as at most kMaxDeadline, and
-  // kKillGrace.
+  // The platform kills the program this long after the signal: the longest deadline, but at most
+  // kMaxDeadline, plus kKillGrace.
   static constexpr Time kMaxDeadline = std::chrono::seconds(3);
   static constexpr Time kKillGrace = std::chrono::milliseconds(700);
-  // Unanswered requests are given up this long before the kill, so that clients can retry elsewhere.
+  // Unanswered requests are aborted this long before the kill, so that clients can retry elsewhere.
   static constexpr Time kKillMargin = std::chrono::milliseconds(400);
   static constexpr Time kFlushTimeout = std::chrono::milliseconds(300);
 
-  // `longest_deadline`: of all classes in the configuration file, which the platform's kill goes by.
+  // `longest_deadline`: maximum of all classes in the configuration file; the platform's kill timeout depends
+  // on it.
   explicit Lifecycle(Time longest_deadline = kMaxDeadline) : max_drain_(max_drain_for(longest_deadline)) {}
 
   void listeners_ready() { listening_ = true; }
   void engine_ready() { engine_known_ = true; }
 
-  // `longest_deadline`: of all classes and unanswered requests now. A version of the settings can't put off
-  // the platform's kill: one that made deadlines longer has no effect here.
+  // `longest_deadline`: the current maximum of all classes and unanswered requests. A settings version can't
+  // delay the platform's kill, so deadlines that it made longer have no effect here.
   void request_shutdown(Time requested_at, Time longest_deadline = kMaxDeadline) {
     if (phase_ != Phase::starting && phase_ != Phase::serving) return;
     max_drain_ = std::min(max_drain_, max_drain_for(longest_deadline));
@@ -59,8 +60,8 @@
     phase_since_ = requested_at;
   }
 
-  // Moves on by one phase at most. `unanswered`: requests have no answer; `unwritten`: bytes or cancellations
-  // have still to be written. True if the phase has changed.
+  // Changes to the next phase if its conditions hold. `unanswered`: there are unanswered requests;
+  // `unwritten`: data or cancellations still have to be written. Returns whether the phase has changed.
   bool advance(Time now, bool unanswered, bool unwritten) {
     const Phase before = phase_;
     if (phase_ == Phase::starting && listening_ && engine_known_) phase_ = Phase::serving;
@@ -68,14 +69,14 @@
       phase_ = Phase::stopping;
       phase_since_ = now;
     }
-    // Not in the step that began to stop: what has to be written and closed shows only after it.
+    // Never in the call that entered `stopping`: pending writes and closes are known only in the next call.
     if (before == Phase::stopping && (!unwritten || now >= phase_since_ + kFlushTimeout))
       phase_ = Phase::exited;
     return phase_ != before;
   }
 
   [[nodiscard]] Phase phase() const { return phase_; }
-  // Unanswered requests are to be given up now.
+  // Whether draining has reached its time limit, so that unanswered requests must be aborted.
   [[nodiscard]] bool drain_expired(Time now) const {
     return phase_ == Phase::draining && now >= phase_since_ + max_drain_;
   }
--- a/src/core/names.hpp
+++ b/src/core/names.hpp
@@ -1,5 +1,5 @@
-// Names of the core's enumerations, as they stand in log lines and counters. Operators' tools read them: a
-// renamed enumerator keeps its old name here.
+// Names of the core's enumerators in log lines and counters. Operators' tools match them, so a renamed
+// enumerator keeps its old name here.
 #pragma once
 
 #include <cstddef>
--- a/src/core/ordering_queues.hpp
+++ b/src/core/ordering_queues.hpp
@@ -1,5 +1,5 @@
-// Queues of requests by ordering key. The scheduler hears of the requests of a key in the order in which they
-// were received, although their hooks may end in another.
+// Queues requests by ordering key, so that the scheduler is notified of the requests of a key in the order in
+// which they were received, even if their hooks end in another order.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   [[nodiscard]] bool contains(Key key) const { return queues_.contains(key); }
 
   void push(Key key, RequestId request) { queues_[key].push_back(request); }
-  // A request that is answered before its turn.
+  // Removes a request that was answered while it was queued.
   void remove(Key key, RequestId request) {
     const auto queue = queues_.find(key);
     if (queue == queues_.end()) return;
@@ -28,12 +28,13 @@
     mark_changed(key);
   }
 
-  // advance() is to be called for the key.
+  // Marks a key for which advance() must be called.
   void mark_changed(Key key) { changed_.push_back(key); }
   [[nodiscard]] bool has_changed() const { return !changed_.empty(); }
   [[nodiscard]] std::vector<Key> take_changed() { return std::exchange(changed_, {}); }
 
-  // Calls `release(request)` once for each request at the front, until it returns false: that one stays.
+  // Calls `release(request)` for requests from the front of the queue and removes them, until it returns
+  // false; that request stays in the queue.
   template <class Release>
   void advance(Key key, Release release) {
     const auto queue = queues_.find(key);
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -9,7 +9,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// A request that the scheduler has left unanswered is timed out so long before its deadline.
+// The reducer times out a request that the scheduler has left unanswered this long before its deadline.
 constexpr Time kDeadlineMargin = 15ms;
 constexpr Time kKeyRemovalInterval = 1s;
 
@@ -32,10 +32,10 @@
 void Reducer::reduce(Time now, Event event, Effects& effects) {
   context_.begin(now, effects);
   std::visit([this](auto& alternative) { on(alternative); }, event);
-  settle_hooks();
+  process_hook_completions();
   if (const auto due = next_scheduler_call(); due && now >= *due) {
     call_scheduler();
-    settle_hooks();
+    process_hook_completions();
   }
 }
 
@@ -48,25 +48,27 @@
     std::visit([this](auto& alternative) { act(alternative); }, action);
 }
 
-// Hooks that end may let others of their ordering key go on, or be answered.
-void Reducer::settle_hooks() {
+// Completed hooks may release later requests of their ordering key, or cause answers: repeats until neither
+// happens.
+void Reducer::process_hook_completions() {
   if (hook_stage_.idle()) return;
   while (hook_stage_.has_progress()) {
-    for (auto& passed : hook_stage_.take_passed()) finish_hooks(passed);
+    for (auto& completion : hook_stage_.take_completions()) finish_hooks(completion);
     hook_stage_.advance_ordering_queues();
   }
   hook_stage_.dispatch();
 }
 
-void Reducer::finish_hooks(hooks::HookCompletion& passed) {
-  auto* request = requests_.find(passed.owner);
+void Reducer::finish_hooks(hooks::HookCompletion& completion) {
+  auto* request = requests_.find(completion.owner);
   if (request == nullptr || request->answered) return;
-  request->tags = std::move(passed.subject.tags);
-  if (!passed.refused) return hook_stage_.pass(passed.owner, *request, passed.subject);
+  request->tags = std::move(completion.subject.tags);
+  if (!completion.refused)
+    return hook_stage_.continue_after_hooks(completion.owner, *request, completion.subject);
   const Time retry_after =
-      settings_.sends_retry_after ? std::min(*passed.refused, settings_.max_retry_after) : Time::zero();
-  responder_.reject(passed.owner, *request, retry_after);
-  requests_.erase_if_complete(passed.owner);
+      settings_.sends_retry_after ? std::min(*completion.refused, settings_.max_retry_after) : Time::zero();
+  responder_.reject(completion.owner, *request, retry_after);
+  requests_.erase_if_complete(completion.owner);
 }
 
 std::unordered_set<std::uint32_t> Reducer::referenced_tenants() const {
@@ -121,7 +123,7 @@
   context_.trace(id, "ticket ", request.submission.ticket, " is admitted, class ", request.submission.cls,
                  ", for ", request.submission.time_limit / 1ms, " ms");
   timers_.arm(request.deadline - kDeadlineMargin, {Timer::Kind::request_deadline, {id, 0}});
-  hook_stage_.enter(id, request);
+  hook_stage_.add(id, request);
 }
 
 void Reducer::on(const ClientCancelled& cancelled) {
@@ -132,13 +134,13 @@
   context_.trace(*id, "is cancelled by its client");
   requests_.mark_answered(request);
   if (request.stage == RequestStage::scheduler) scheduler_.notify(policy::RequestCancelled{*id});
-  hook_stage_.leave(*id, request);
+  hook_stage_.remove(*id, request);
   attempts_.cancel_connecting(*id, request);
   requests_.erase_if_complete(*id);
 }
 
-// A half-close can't be told from a close. Attempts in flight go on, and their answer is written; without any
-// the request is answered now, since none may be started any more.
+// A half-close can't be distinguished from a close. Attempts in flight continue, and their answer is written.
+// Without one the request is answered now, since no further attempt may start.
 void Reducer::on(const ClientHalfClosed& half_closed) {
   const auto id = requests_.find_by_client(half_closed.client);
   if (!id) return;
@@ -147,7 +149,7 @@
   ++context_.counters().half_closed;
   context_.trace(*id, "is half-closed by its client");
   attempts_.cancel_connecting(*id, request);
-  if (!has_attempt_in_flight(request)) give_up(*id, request);
+  if (!has_attempt_in_flight(request)) abort_request(*id, request);
 }
 
 void Reducer::act(const policy::Reject& reject) {
@@ -172,9 +174,9 @@
   requests_.erase_if_complete(id);
 }
 
-void Reducer::give_up(RequestId id, Request& request) {
+void Reducer::abort_request(RequestId id, Request& request) {
   if (request.stage == RequestStage::scheduler) scheduler_.notify(policy::RequestCancelled{id});
-  responder_.give_up(id, request);
+  responder_.reject_or_fail(id, request);
   attempts_.cancel_all(id, request);
   requests_.erase_if_complete(id);
 }
@@ -193,7 +195,7 @@
     last_key_removal_ = now;
     guard_.remove_idle_keys(now);
   }
-  if (lifecycle_.drain_expired(now)) give_up_all();
+  if (lifecycle_.drain_expired(now)) abort_unanswered();
   advance_lifecycle(tick.unwritten);
 }
 
@@ -211,7 +213,7 @@
 void Reducer::on(const ProcessStalled& stalled) {
   ++context_.counters().stalls;
   responder_.record_stall(stalled);
-  context_.log("the process did not run for " + std::to_string(stalled.length / 1ms) + " ms",
+  context_.log("the process was stalled for " + std::to_string(stalled.length / 1ms) + " ms",
                log::Level::warning);
 }
 
@@ -219,27 +221,27 @@
 
 void Reducer::on(const ShutdownRequested& requested) {
   const Time now = context_.now();
-  // Requests received before a settings version that made time limits shorter keep theirs.
+  // Requests received before a settings version that shortened time limits keep their own.
   Time longest = longest_client_timeout(settings_);
   for (const auto& [id, request] : requests_) {
     if (!request.answered) longest = std::max(longest, request.deadline - now);
   }
-  // The platform counts from its signal, not from when that was read.
+  // The platform's kill timeout starts when it sends the signal, not when the broker reads it.
   lifecycle_.request_shutdown(requested.since == Time::zero() ? now : std::min(requested.since, now),
                               longest);
   log_phase();
 }
 
-void Reducer::give_up_all() {
+void Reducer::abort_unanswered() {
   std::vector<RequestId> unanswered;
   for (const auto& [id, request] : requests_) {
     if (!request.answered) unanswered.push_back(id);
   }
-  for (const auto id : unanswered) give_up(id, requests_.at(id));
+  for (const auto id : unanswered) abort_request(id, requests_.at(id));
 }
 
 void Reducer::advance_lifecycle(bool unwritten) {
-  // A request that is answered but not erased waits for its engine to confirm a cancellation.
+  // An answered request stays in the table until its engine has confirmed the cancellation.
   const bool pending = unwritten || requests_.size() > 0;
   if (!lifecycle_.advance(context_.now(), requests_.unanswered() > 0, pending)) return;
   log_phase();
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -1,5 +1,5 @@
-// The broker's state machine: (state, event) -> effects. It knows no wire, does no I/O and has no clock but
-// the one it is told.
+// The broker's state machine: (state, event) -> effects. It is independent of wire formats, does no I/O and
+// reads no clock: the caller passes the time.
 #pragma once
 
 #include <cstddef>
@@ -25,35 +25,35 @@
 
 namespace bellstair::core {
 
-// Routes events, and the scheduler's actions, to the parts of the core that hold the state.
+// Dispatches events and the scheduler's actions to the modules that hold the core's state.
 class Reducer {
  public:
-  // How often a Tick is expected.
+  // Interval at which the caller posts a Tick.
   static constexpr Time kTick = std::chrono::milliseconds(5);
 
-  // `max_bytes`: memory that all requests together may take; beyond it they are rejected. `changelog`: the
-  // change log's address in the configuration file. Throws std::invalid_argument if the settings can't be
-  // used.
+  // `max_bytes`: memory limit of all requests together; requests beyond it are rejected. `changelog`: the
+  // change log's address in the configuration file. Throws std::invalid_argument if the settings are invalid.
   Reducer(policy::Settings settings, std::uint64_t seed, std::size_t max_bytes = std::size_t{64} << 20,
           hooks::Set hooks = {}, std::string changelog = {});
 
-  // `now`: a steady clock with any origin, which never goes back. Effects are appended to `effects`, and are
-  // to be carried out in order.
+  // Handles one event. `now`: time of a steady clock with any origin. Effects are appended to `effects`; the
+  // caller must carry them out in order.
   void reduce(Time now, Event event, Effects& effects);
 
   [[nodiscard]] const Lifecycle& lifecycle() const { return lifecycle_; }
-  // When an event, of any kind, is needed for the scheduler to be called; none: it has been told everything.
+  // When the caller must post an event, of any kind, so that the scheduler is called; none: no events wait
+  // for the scheduler.
   [[nodiscard]] std::optional<Time> next_scheduler_call() const;
-  // When a HooksTurn is needed for hook calls that wait; none: no call waits.
+  // When the caller must post a HooksTurn for waiting hook calls; none: no call waits.
   [[nodiscard]] std::optional<Time> next_hook_dispatch() const { return hook_stage_.next_dispatch(); }
-  // Requests without their final answer.
+  // Number of requests without a final answer.
   [[nodiscard]] std::size_t unanswered_requests() const { return requests_.unanswered(); }
-  // The same, and those whose attempts have still to end.
+  // Number of requests that are unanswered or have attempts that have not ended.
   [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
   [[nodiscard]] const Counters& counters() const { return context_.counters(); }
-  // Log lines of level "debug" on each request.
+  // Enables log lines of level "debug" about each request.
   void enable_tracing(bool enabled) { context_.enable_tracing(enabled); }
-  // Positions in the settings of tenants that requests or hooks refer to.
+  // Indexes, in the settings, of the tenants that requests or hooks refer to.
   [[nodiscard]] std::unordered_set<std::uint32_t> referenced_tenants() const;
 
  private:
@@ -86,16 +86,16 @@
   void act(const policy::ScheduleTimer& timer);
   void act(const policy::SendHealthCheck& check);
   void act(policy::SendGossip& gossip);
-  void act(const policy::PollEndpointList&) {}  // the change log is watched all the time
+  void act(const policy::PollEndpointList&) {}  // not needed: the change log is always watched
   void act(policy::LogMessage& message) { context_.log(std::move(message.text)); }
 
   void call_scheduler();
-  void settle_hooks();
-  void finish_hooks(hooks::HookCompletion& passed);
+  void process_hook_completions();
+  void finish_hooks(hooks::HookCompletion& completion);
   void handle_timer(const Timer& timer);
   void time_out(RequestId id);
-  void give_up(RequestId id, Request& request);
-  void give_up_all();
+  void abort_request(RequestId id, Request& request);
+  void abort_unanswered();
   void advance_lifecycle(bool unwritten);
   void log_phase();
 
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -1,4 +1,4 @@
-// A request and its attempts, as the core holds them. Plain state without behaviour of its own.
+// Defines the core's state of a request and its attempts.
 #pragma once
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 enum class AttemptStage {
   connecting,  // nothing has been written
-  in_flight,   // its first byte may have left
-  cancelling,  // until its AttemptEnded comes
+  in_flight,   // the first byte may have been sent
+  cancelling,  // waits for its AttemptEnded
   ended,
 };
 
@@ -23,33 +23,33 @@
   AttemptStage stage = AttemptStage::connecting;
   Time started_at{};
   Time expires_at{};
-  std::optional<Time> transmitted_at;  // none: not transmitted, or its end proves that it never ran
-  Time may_run_until{};                // at its engine, though it has ended here
+  std::optional<Time> transmitted_at;  // none: not transmitted, or proven never to have run
+  Time may_run_until{};                // the engine may run it until then, although it has ended here
   std::uint16_t zone = 0;              // of the engine
   std::uint16_t cell = 0;              // of the engine
-  bool timed_out = false;              // cancelled because it expired
+  bool timed_out = false;              // it was cancelled because it expired
   std::uint8_t priority = 1;
 };
 
-// Where an unanswered request waits.
+// The stage in which an unanswered request waits.
 enum class RequestStage {
-  hooks,           // its hooks have not ended
-  ordering_queue,  // its hooks have ended, those of an earlier request of its ordering key have not
-  scheduler,       // the scheduler has been told of it
+  hooks,           // its hooks are running or waiting to run
+  ordering_queue,  // waits until the hooks of earlier requests of its ordering key have ended
+  scheduler,       // the scheduler has been notified of it
 };
 
 struct Request {
   Submission submission;
   RequestStage stage = RequestStage::scheduler;
-  std::vector<std::string> tags;  // set by hooks
+  std::vector<std::string> tags;  // set by its hooks
   Time received_at{};
   Time deadline{};
-  bool answered = false;     // or cancelled: no answer is owed
-  bool half_closed = false;  // by its client: it gets no further attempt
-  double memory_mb = 0;      // to be reserved at the engine
+  bool answered = false;     // answered, or cancelled by its client
+  bool half_closed = false;  // its client half-closed the connection: no further attempt starts
+  double memory_mb = 0;      // memory that the engine reserves
   std::uint8_t priority = 1;
-  std::vector<Attempt> attempts;  // by AttemptIndex
-  std::string engine_error;       // what an engine said last about a failed attempt
+  std::vector<Attempt> attempts;  // indexed by AttemptIndex
+  std::string engine_error;       // the last error message of an engine on a failed attempt
 };
 
 [[nodiscard]] inline bool has_attempt_in_flight(const Request& request) {
@@ -57,7 +57,7 @@
   return std::ranges::any_of(request.attempts, in_flight);
 }
 
-// Answered, and no engine has still to confirm the end of an attempt.
+// Whether the request is answered and all of its attempts have ended.
 [[nodiscard]] inline bool is_complete(const Request& request) {
   const auto ended = [](const Attempt& attempt) { return attempt.stage == AttemptStage::ended; };
   return request.answered && std::ranges::all_of(request.attempts, ended);
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -4,7 +4,7 @@
 
 namespace bellstair::core {
 namespace {
-constexpr std::size_t kFixedSize = 1024;  // bytes of a request, but for its texts
+constexpr std::size_t kFixedSize = 1024;  // bytes of a request without its strings
 
 std::size_t size_in_bytes(const Submission& submission) {
   return kFixedSize + submission.body.size() + submission.parameters.size() +
--- a/src/core/request_table.hpp
+++ b/src/core/request_table.hpp
@@ -1,4 +1,4 @@
-// All requests from their admission until they are answered and each of their attempts has ended.
+// Stores requests from their admission until they are answered and all of their attempts have ended.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +13,13 @@
 
 class RequestTable {
  public:
-  // `max_bytes`: memory that all requests together may take.
+  // `max_bytes`: memory limit of all requests together.
   explicit RequestTable(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   [[nodiscard]] bool fits(const Submission& submission) const;
   [[nodiscard]] bool ticket_in_use(const std::string& ticket) const { return tickets_.contains(ticket); }
 
-  // The id is new. References to requests stay valid until their erase_if_complete().
+  // Returns a new id. References to a request stay valid until erase_if_complete() removes it.
   RequestId insert(Submission submission, Time received_at);
   [[nodiscard]] RequestId last_id() const { return last_id_; }
 
@@ -28,10 +28,10 @@
   [[nodiscard]] Attempt* find(AttemptId id);
   // `id` must be in the table.
   [[nodiscard]] Request& at(RequestId id) { return requests_.at(id); }
-  // The client's unanswered request.
+  // Returns the client's unanswered request.
   [[nodiscard]] std::optional<RequestId> find_by_client(ClientHandle client) const;
 
-  // From here on no answer is owed.
+  // Marks a request that is answered or that its client has cancelled.
   void mark_answered(Request& request);
   void erase_if_complete(RequestId id);
 
@@ -45,7 +45,7 @@
 
  private:
   std::unordered_map<RequestId, Request> requests_;
-  std::unordered_map<ClientHandle, RequestId> by_client_;  // unanswered requests
+  std::unordered_map<ClientHandle, RequestId> by_client_;  // only unanswered requests
   std::unordered_set<std::string> tickets_;
   RequestId last_id_ = 0;
   std::size_t unanswered_ = 0;
--- a/src/core/responder.cpp
+++ b/src/core/responder.cpp
@@ -6,9 +6,9 @@
 namespace {
 using namespace std::chrono_literals;
 
-// A request that fails this close to its deadline is reported as timed out.
+// A failure within this time before the deadline is reported as a timeout.
 constexpr Time kTimeoutMargin = 60ms;
-// The protocol's slack for answers after the deadline.
+// The protocol tolerates answers until this long after the deadline.
 constexpr Time kDeadlineSlack = 50ms;
 }  // namespace
 
@@ -17,7 +17,7 @@
   context_.trace(requests_.last_id(), "ticket ", submission.ticket, " is not admitted: ", name(decision));
   Answer answer;
   answer.client = submission.client;
-  // With the same ticket a retry would be of no use.
+  // A retry would use the same ticket, so that it can't succeed while the other request is open.
   const bool may_retry = decision != GuardDecision::ticket_in_use;
   answer.kind = may_retry ? AnswerKind::rejected : AnswerKind::failed;
   answer.retry_after = may_retry ? settings_.max_retry_after : Time::zero();
@@ -51,7 +51,7 @@
   answer(id, request, {AnswerKind::timed_out, Time::zero(), {}, {}});
 }
 
-void Responder::give_up(RequestId id, Request& request) {
+void Responder::reject_or_fail(RequestId id, Request& request) {
   if (!may_reject(request)) return answer(id, request, {AnswerKind::failed, Time::zero(), {}, {}});
   reject(id, request, settings_.sends_retry_after ? settings_.max_retry_after : Time::zero());
 }
@@ -62,7 +62,7 @@
 
 bool Responder::is_late(const Request& request) const {
   const Time due = request.deadline + kDeadlineSlack;
-  return context_.now() > due && !stalls_.excuses(due, context_.now());
+  return context_.now() > due && !stalls_.explains_delay(due, context_.now());
 }
 
 void Responder::answer(RequestId id, Request& request, Outcome outcome) {
@@ -73,7 +73,7 @@
                  (context_.now() - request.received_at) / 1ms, " ms");
   if (outcome.kind != AnswerKind::served) outcome.body = request.engine_error;
   requests_.mark_answered(request);
-  hook_stage_.leave(id, request);
+  hook_stage_.remove(id, request);
   context_.put(Answer{request.submission.client, outcome.kind, outcome.retry_after, std::move(outcome.body),
                       std::move(outcome.shape)});
   hook_stage_.notify_answered(request, outcome.kind, outcome.retry_after);
--- a/src/core/responder.hpp
+++ b/src/core/responder.hpp
@@ -1,4 +1,4 @@
-// Gives each request its one final answer.
+// Sends the final answer to each request.
 #pragma once
 
 #include <string>
@@ -12,10 +12,10 @@
 
 namespace bellstair::core {
 
-// A request is answered at most once; the caller erases it from the table once it is complete.
+// A request is answered at most once. The caller then erases it from the table if it is complete.
 class Responder {
  public:
-  // `settings`: those in force; they are replaced in place.
+  // `settings`: the active settings, which ConfigurationUpdater replaces in place.
   Responder(StepContext& context, RequestTable& requests, HookStage& hook_stage, const Guard& guard,
             const policy::Settings& settings)
       : context_(context),
@@ -25,20 +25,20 @@
         settings_(settings),
         tagged_log_(context, settings) {}
 
-  // Answers a submission that was not admitted: rejected, or failed if its ticket is in use.
+  // Answers a submission that was not admitted: it is rejected, or fails if its ticket is in use.
   void deny_admission(const Submission& submission, GuardDecision decision);
 
   void serve(RequestId id, Request& request, std::string body, std::string shape);
-  // `retry_after`: how long the client should stay away.
+  // `retry_after`: how long the client should wait before it retries.
   void reject(RequestId id, Request& request, Time retry_after);
-  // The same, by the scheduler's decision. Where a retry may do harm, the request fails instead.
+  // Rejects the request as the scheduler decided. If a retry is unsafe, the request fails instead.
   void reject(RequestId id, Request& request, const policy::Reject& decision);
   void fail(RequestId id, Request& request, const policy::Fail& decision);
   void time_out(RequestId id, Request& request);
-  // Rejects it where a retry is harmless, else fails it.
-  void give_up(RequestId id, Request& request);
+  // Rejects the request if a retry is safe, else fails it.
+  void reject_or_fail(RequestId id, Request& request);
 
-  // Answers that fell due while the process did not run are no violations.
+  // Late answers that the stall explains are not reported as violations.
   void record_stall(const ProcessStalled& stall) { stalls_.record(stall); }
 
  private:
--- a/src/core/scheduler_driver.hpp
+++ b/src/core/scheduler_driver.hpp
@@ -1,4 +1,5 @@
-// Collects events for the scheduler and calls it with them, no more often than the settings allow.
+// Collects events for the scheduler and calls it with them, at the minimum interval of the settings or
+// slower.
 #pragma once
 
 #include <optional>
@@ -12,17 +13,17 @@
 
 class SchedulerDriver {
  public:
-  // Throws std::invalid_argument if the settings can't be used.
+  // Throws std::invalid_argument if the settings are invalid.
   SchedulerDriver(policy::Settings settings, std::uint64_t seed) : scheduler_(std::move(settings), seed) {}
 
   void notify(policy::Event event) { events_.push_back(std::move(event)); }
 
-  // When run() is due; none: the scheduler has been told everything.
+  // When run() is due; none: no events are queued.
   [[nodiscard]] std::optional<Time> next_call(Time min_call_interval) const;
-  // Tells the scheduler all events. The actions it asks for are valid until the next run().
+  // Passes all queued events to the scheduler. The returned actions are valid until the next run().
   [[nodiscard]] std::vector<policy::Action>& run(Time now, const RequestTable& requests);
 
-  // Throws std::invalid_argument if the settings can't be used; nothing has changed then.
+  // Throws std::invalid_argument if the settings are invalid; the previous ones then stay active.
   void reconfigure(const policy::Settings& settings) { scheduler_.reconfigure(settings); }
 
  private:
--- a/src/core/stall_tracker.hpp
+++ b/src/core/stall_tracker.hpp
@@ -1,4 +1,4 @@
-// Times in which the process did not run (SIGSTOP, a paused machine).
+// Records stalls of the process (SIGSTOP, a paused machine), which explain late answers.
 #pragma once
 
 #include <algorithm>
@@ -9,10 +9,11 @@
 
 class StallTracker {
  public:
-  // After a stall, what fell due in it is handled within this time.
+  // Work that became due during a stall is done within this time after it.
   static constexpr Time kCatchUp = std::chrono::milliseconds(50);
 
-  // A stall that follows the last one at once extends it: what fell due in the first was not handled yet.
+  // A stall that begins within kCatchUp after the last one extends it: work that became due in the first may
+  // not have been done yet.
   void record(const ProcessStalled& stall) {
     const Time begin = stall.since;
     const Time end = stall.since + stall.length;
@@ -21,8 +22,8 @@
     end_ = continues ? std::max(end_, end) : end;
   }
 
-  // Whether what fell due at `due` could not be done before `now`, because the process did not run.
-  [[nodiscard]] bool excuses(Time due, Time now) const {
+  // Whether the last stall explains that work due at `due` is done only at `now`.
+  [[nodiscard]] bool explains_delay(Time due, Time now) const {
     return end_ > begin_ && due >= begin_ && now <= end_ + kCatchUp;
   }
 
--- a/src/core/step_context.hpp
+++ b/src/core/step_context.hpp
@@ -1,4 +1,5 @@
-// What all parts of the core share while one event is handled: the time, the effects, counters and the log.
+// Provides the time, the effects, the counters and the log to all modules of the core while an event is
+// handled.
 #pragma once
 
 #include <sstream>
@@ -12,21 +13,21 @@
 
 class StepContext {
  public:
-  // A new event is handled at `now`. `effects` must stay valid until the next begin().
+  // Starts the handling of an event at `now`. `effects` must stay valid until the next begin().
   void begin(Time now, Effects& effects) {
     now_ = now;
     effects_ = &effects;
   }
   [[nodiscard]] Time now() const { return now_; }
 
-  // Effects are carried out in the order in which they are put.
+  // Appends an effect. The caller of the reducer carries out effects in this order.
   void put(Effect effect) { effects_->push_back(std::move(effect)); }
 
   void log(std::string text, log::Level level = log::Level::info) { put(Log{std::move(text), level}); }
-  // Counts and logs a broken invariant. `request`: 0 if it is not about one request.
+  // Counts and logs a broken invariant. `request`: 0 if it concerns no single request.
   void report(Violation violation, RequestId request);
 
-  // Whether trace() writes lines of level "debug".
+  // Sets whether trace() writes log lines of level "debug".
   void enable_tracing(bool enabled) { tracing_ = enabled; }
   template <class... Parts>
   void trace(RequestId request, const Parts&... parts) {
--- a/src/core/tagged_request_log.cpp
+++ b/src/core/tagged_request_log.cpp
@@ -7,7 +7,7 @@
 
 void TaggedRequestLog::write(const Request& request, AnswerKind kind) {
   if (request.tags.empty()) return;
-  if (context_.now() >= second_ + 1s) begin_second();
+  if (context_.now() >= interval_start_ + 1s) begin_interval();
   if (++lines_ > kMaxLinesPerSecond) {
     ++suppressed_;
     return;
@@ -15,9 +15,10 @@
   context_.log(line(request, kind));
 }
 
-void TaggedRequestLog::begin_second() {
-  if (suppressed_ > 0) context_.log("tagged: " + std::to_string(suppressed_) + " more requests");
-  second_ = context_.now();
+void TaggedRequestLog::begin_interval() {
+  if (suppressed_ > 0)
+    context_.log("tagged: " + std::to_string(suppressed_) + " further requests were not logged");
+  interval_start_ = context_.now();
   lines_ = 0;
   suppressed_ = 0;
 }
--- a/src/core/tagged_request_log.hpp
+++ b/src/core/tagged_request_log.hpp
@@ -1,4 +1,4 @@
-// Log lines about answered requests that hooks have tagged, limited in rate.
+// Writes a rate-limited log line for each answered request that hooks have tagged.
 #pragma once
 
 #include "bellstair/policy/scheduler.hpp"
@@ -9,7 +9,7 @@
 
 class TaggedRequestLog {
  public:
-  // `settings`: those in force; they are replaced in place.
+  // `settings`: the active settings, which ConfigurationUpdater replaces in place.
   TaggedRequestLog(StepContext& context, const policy::Settings& settings)
       : context_(context), settings_(settings) {}
 
@@ -19,12 +19,12 @@
  private:
   static constexpr unsigned kMaxLinesPerSecond = 50;
 
-  void begin_second();
+  void begin_interval();
   [[nodiscard]] std::string line(const Request& request, AnswerKind kind) const;
 
   StepContext& context_;
   const policy::Settings& settings_;
-  Time second_{};  // its begin
+  Time interval_start_{};  // start of the current one-second interval
   unsigned lines_ = 0;
   unsigned suppressed_ = 0;
 };
--- a/src/core/timer_wheel.hpp
+++ b/src/core/timer_wheel.hpp
@@ -1,4 +1,4 @@
-// A hashed timer wheel with coarse ticks: arming is O(1), a tick visits one slot.
+// A hashed timer wheel with coarse ticks: arming a timer is O(1), each tick visits one slot.
 #pragma once
 
 #include <algorithm>
@@ -13,13 +13,14 @@
 
 using Time = std::chrono::nanoseconds;
 
-// Timers can't be cancelled: `fire` checks whether its key still matters.
+// Timers can't be cancelled: `fire` must check whether its key is still relevant.
 template <class Key>
 class TimerWheel {
  public:
   explicit TimerWheel(Time tick) : tick_(tick) {}
 
-  // Fires in the first advance() at or after `at`, rounded up to a tick; if that is past, in the next one.
+  // Arms a timer that fires in the first advance() at or after `at`, rounded up to a tick. A timer in the
+  // past fires in the next advance() that reaches a new tick.
   void arm(Time at, Key key) {
     const bool between_ticks = at.count() % tick_.count() != 0;
     const auto due = std::max(at.count() / tick_.count() + (between_ticks ? 1 : 0), next_tick_);
@@ -27,12 +28,13 @@
     ++armed_;
   }
 
-  // Calls `fire(key)` for each timer due at `now`, once. `fire` may arm timers.
+  // Calls `fire(key)` once for each timer that is due at `now`. `fire` may arm timers.
   template <class Fire>
   void advance(Time now, Fire fire) {
     const auto target = now.count() / tick_.count();
     if (target < next_tick_) return;
-    // After a long pause one revolution visits every slot: entries are compared with the target.
+    // After a long pause one revolution is enough: it visits every slot, and entries are compared with
+    // `target`.
     const auto first = std::max(next_tick_, target - kRevolution + 1);
     next_tick_ = target + 1;
     for (auto tick = first; tick <= target; ++tick) {
@@ -55,7 +57,7 @@
   static constexpr std::size_t kSlots = 1024;
   static constexpr std::int64_t kRevolution = kSlots;  // in ticks
 
-  // Moves what is due at `target` from the slot to due_; both keep their order.
+  // Moves entries that are due at `target` from the slot to due_. The order of entries is preserved in both.
   void take_due(Slot& slot, std::int64_t target) {
     due_.clear();
     std::size_t kept = 0;
@@ -71,7 +73,7 @@
   }
 
   Time tick_;
-  std::int64_t next_tick_ = 0;  // the first one not yet visited
+  std::int64_t next_tick_ = 0;  // the first tick that has not been visited
   std::size_t armed_ = 0;
   std::array<Slot, kSlots> slots_;
   std::vector<Key> due_;
--- a/src/core/timers.hpp
+++ b/src/core/timers.hpp
@@ -1,4 +1,4 @@
-// Timers of the core.
+// Defines the timers of the core.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 
 struct Timer {
   enum class Kind : std::uint8_t {
-    scheduler,         // the scheduler asked to be called
-    attempt_expiry,    // of `id`
-    request_deadline,  // of `id.request`
+    scheduler,         // the scheduler requested a call
+    attempt_expiry,    // the attempt `id` expires
+    request_deadline,  // the deadline of `id.request` is near
   };
   Kind kind = Kind::scheduler;
   AttemptId id;
 };
 
-// Timers are not cancelled: whoever handles one checks whether it still matters.
+// Timers can't be cancelled: the handler checks whether the attempt or request is still open.
 using Timers = TimerWheel<Timer>;
 
 }  // namespace bellstair::core
--- a/tests/stall_tracker_test.cpp
+++ b/tests/stall_tracker_test.cpp
@@ -9,22 +9,22 @@
 
 TEST(StallTracker, ExcusesWhatFellDueInAStallUntilTheProcessHasCaughtUp) {
   StallTracker stalls;
-  EXPECT_FALSE(stalls.excuses(1s, 2s)) << "there was none";
+  EXPECT_FALSE(stalls.explains_delay(1s, 2s)) << "there was none";
   stalls.record({10s, 2s});
-  EXPECT_FALSE(stalls.excuses(9s, 12s)) << "it was due before";
-  EXPECT_TRUE(stalls.excuses(10s, 12s));
-  EXPECT_TRUE(stalls.excuses(11s, 12s + StallTracker::kCatchUp));
-  EXPECT_FALSE(stalls.excuses(11s, 12s + StallTracker::kCatchUp + 1ms));
+  EXPECT_FALSE(stalls.explains_delay(9s, 12s)) << "it was due before";
+  EXPECT_TRUE(stalls.explains_delay(10s, 12s));
+  EXPECT_TRUE(stalls.explains_delay(11s, 12s + StallTracker::kCatchUp));
+  EXPECT_FALSE(stalls.explains_delay(11s, 12s + StallTracker::kCatchUp + 1ms));
 }
 
 TEST(StallTracker, ConsecutiveStallsCountAsOneAndALaterOneReplacesThem) {
   StallTracker stalls;
   stalls.record({10s, 2s});
   stalls.record({12s + StallTracker::kCatchUp, 3s});
-  EXPECT_TRUE(stalls.excuses(10s, 15s));
+  EXPECT_TRUE(stalls.explains_delay(10s, 15s));
   stalls.record({20s, 1s});
-  EXPECT_FALSE(stalls.excuses(10s, 21s));
-  EXPECT_TRUE(stalls.excuses(20s, 21s));
+  EXPECT_FALSE(stalls.explains_delay(10s, 21s));
+  EXPECT_TRUE(stalls.explains_delay(20s, 21s));
 }
 
 }  // namespace
