--- a/src/app/configuration_reload.cpp
+++ b/src/app/configuration_reload.cpp
@@ -6,7 +6,7 @@
   const auto config = config::parse(config::read_file(source.file, "configuration"));
   read.changelog = config.changelog;
   for (const auto& [field, text] : config.restart_only) {
-    if (text != source.running_config->restart_only.at(field)) read.fixed.push_back(field);
+    if (text != source.running_config->restart_only.at(field)) read.restart_only.push_back(field);
   }
 }
 
@@ -14,7 +14,7 @@
   const auto& running = *source.running_fronts;
   const auto text = config::read_file(source.fronts_file, "fronts");
   const auto fronts = config::parse_operator_config(text, source.fronts_file, source.names);
-  auto& fixed = out.read.fixed;
+  auto& fixed = out.read.restart_only;
   if (fronts.mysql != running.mysql) fixed.emplace_back("mysql");
   if (fronts.mysql_engines != running.mysql_engines) fixed.emplace_back("mysql_engines");
   if (fronts.directory != running.directory) fixed.emplace_back("directory");
--- a/src/core/attempt_tracker.cpp
+++ b/src/core/attempt_tracker.cpp
@@ -46,7 +46,7 @@
   const auto decision = may_start(id, *request);
   if (decision != GuardDecision::allowed) {
     if (Guard::is_violation(decision)) context_.report(Violation::unsafe_attempt, id.request);
-    ++context_.counters().withheld[static_cast<std::size_t>(decision)];
+    ++context_.counters().attempts_denied[static_cast<std::size_t>(decision)];
     context_.trace(id.request, "attempt ", id.index, " is not started: ", name(decision));
     return conclude(id, *request, AttemptResult::not_started, nullptr);
   }
@@ -95,7 +95,7 @@
   auto& request = requests_.at(id.request);
   const auto decision = may_start(id, request);
   if (decision == GuardDecision::allowed) return transmit(id, request, *attempt);
-  ++context_.counters().withheld[static_cast<std::size_t>(decision)];
+  ++context_.counters().attempts_denied[static_cast<std::size_t>(decision)];
   context_.trace(id.request, "attempt ", id.index, " is not transmitted: ", name(decision));
   // For the scheduler any other reason counts as a timeout: connecting took too long.
   attempt->timed_out =
--- a/src/core/configuration_updater.cpp
+++ b/src/core/configuration_updater.cpp
@@ -8,8 +8,8 @@
 void ConfigurationUpdater::apply(ConfigurationRead& read) {
   if (!read.problem.empty()) return log_problems(read.problem);
   std::string message = "the configuration was reloaded";
-  for (std::size_t i = 0; i < read.fixed.size(); ++i)
-    message += (i == 0 ? "; changes that take effect only after a restart: " : ", ") + read.fixed[i];
+  for (std::size_t i = 0; i < read.restart_only.size(); ++i)
+    message += (i == 0 ? "; changes that take effect only after a restart: " : ", ") + read.restart_only[i];
   if (read.hooks) {
     message += "; hooks: " + std::to_string(read.hooks->hooks.size());
     hook_stage_.install(std::move(*read.hooks));
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -22,14 +22,14 @@
 std::string Counters::text() const {
   std::string out = "counters: violations=" + std::to_string(total_violations());
   append_group<Violation>(out, "violation", violations);
-  append(out, "taken", taken);
+  append(out, "taken", admitted);
   append_group<AnswerKind>(out, "answered", answered);
   append(out, "cancelled", cancelled);
   append(out, "half_closed", half_closed);
   append_group<policy::UnservedReason>(out, "unserved", unserved);
-  append_group<GuardDecision>(out, "turned_down", turned_down);
+  append_group<GuardDecision>(out, "turned_down", admissions_denied);
   append_group<AttemptEnd>(out, "attempt", attempts);
-  append_group<GuardDecision>(out, "withheld", withheld);
+  append_group<GuardDecision>(out, "withheld", attempts_denied);
   append(out, "stalls", stalls);
   return out;
 }
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -25,16 +25,16 @@
 
 // Fields are named as they are printed.
 struct Counters {
-  std::uint64_t taken = 0;  // requests admitted
+  std::uint64_t admitted = 0;
   std::uint64_t cancelled = 0;
   std::uint64_t half_closed = 0;
   std::uint64_t stalls = 0;                            // ProcessStalled events
   std::array<std::uint64_t, kAnswerKinds> answered{};  // by AnswerKind
   std::array<std::uint64_t, kGuardDecisions>
-      turned_down{};  // not admitted by the guard; hooks' rejections are only in `answered`
-  std::array<std::uint64_t, kGuardDecisions> withheld{};   // attempts not started or not transmitted
-  std::array<std::uint64_t, kAttemptEnds> attempts{};      // by AttemptEnd
-  std::array<std::uint64_t, kUnservedReasons> unserved{};  // rejected or failed by the scheduler
+      admissions_denied{};  // not admitted by the guard; hooks' rejections are only in `answered`
+  std::array<std::uint64_t, kGuardDecisions> attempts_denied{};  // attempts not started or not transmitted
+  std::array<std::uint64_t, kAttemptEnds> attempts{};            // by AttemptEnd
+  std::array<std::uint64_t, kUnservedReasons> unserved{};        // rejected or failed by the scheduler
   std::array<std::uint64_t, kViolations> violations{};
 
   [[nodiscard]] std::uint64_t total_violations() const;
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -127,8 +127,8 @@
 struct ConfigurationRead {  // the response to ReadConfiguration
   std::string problem;      // why the file is invalid, one reason per line; empty: it is valid
   std::string changelog;
-  std::vector<std::string> fixed;   // changed settings that need a restart
-  std::optional<hooks::Set> hooks;  // loaded and tested
+  std::vector<std::string> restart_only;  // changed settings that need a restart
+  std::optional<hooks::Set> hooks;        // loaded and tested
 };
 // A complete version of the settings. It is applied as a whole while this event is handled, or rejected; all
 // decisions use it from the next event on. Requests received before keep their deadline, their tenant, even
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -115,7 +115,7 @@
   const auto decision = guard_.may_admit(
       {lifecycle_.phase(), requests_.unanswered(), requests_.fits(submission), ticket_in_use});
   if (decision != GuardDecision::allowed) return responder_.deny_admission(submission, decision);
-  ++context_.counters().taken;
+  ++context_.counters().admitted;
   const Time now = context_.now();
   const Time received_at = received.since == Time::zero() ? now : std::min(received.since, now);
   const auto id = requests_.insert(std::move(submission), received_at);
--- a/src/core/responder.cpp
+++ b/src/core/responder.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void Responder::deny_admission(const Submission& submission, GuardDecision decision) {
-  ++context_.counters().turned_down[static_cast<std::size_t>(decision)];
+  ++context_.counters().admissions_denied[static_cast<std::size_t>(decision)];
   context_.trace(requests_.last_id(), "ticket ", submission.ticket, " is not admitted: ", name(decision));
   Answer answer;
   answer.client = submission.client;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 using namespace std::chrono_literals;
 using policy::EngineState;
-using test::member;
+using test::endpoint_record;
 
 policy::Settings settings() {
   auto s = test::small_settings();
@@ -45,7 +45,7 @@
  public:
   explicit Harness(policy::Settings s = settings()) : with(std::move(s)) {
     at(0ms, ListenersReady{});
-    at(0ms, EndpointUpdate{true, {member(7)}, true});
+    at(0ms, EndpointUpdate{true, {endpoint_record(7)}, true});
     at(0ms, EndpointListPolled{true});
     at(0ms, Tick{});
   }
@@ -156,7 +156,7 @@
   Harness d;
   d.submit(1);
   const auto id = d.all<StartAttempt>().at(0).id;
-  d.at(1ms, EndpointUpdate{false, {member(7, EngineState::draining), member(8)}, true});
+  d.at(1ms, EndpointUpdate{false, {endpoint_record(7, EngineState::draining), endpoint_record(8)}, true});
   d.at(1ms, AttemptConnected{id});
   EXPECT_TRUE(d.all<Transmit>().empty());
   ASSERT_EQ(d.all<CancelAttempt>().size(), 1U);
@@ -198,7 +198,7 @@
   for (const ClassIndex cls : {ClassIndex{0}, ClassIndex{1}}) {
     for (const bool out : {false, true}) {
       Harness d;
-      d.at(0ms, EndpointUpdate{false, {member(8)}, true});
+      d.at(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
       d.submit(1, cls, 20s);
       const auto id = d.all<StartAttempt>().at(0).id;
       if (out) d.at(1ms, AttemptConnected{id});
@@ -224,7 +224,7 @@
     auto s = settings();
     s.hedging = true;
     Harness d(s);
-    d.at(0ms, EndpointUpdate{false, {member(8)}, true});
+    d.at(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
     for (ClientHandle client = 10; client < 30; ++client) {  // fills the hedging budget
       d.submit(client);
       const auto id = d.all<StartAttempt>().back().id;
@@ -244,7 +244,7 @@
 TEST(Reducer, RetryIsNotTransmittedAfterTheDeduplicationWindow) {
   for (const auto& [wait, sent] : {std::pair<Time, std::size_t>{100ms, 2}, {1900ms, 1}}) {
     Harness d;
-    d.at(0ms, EndpointUpdate{false, {member(8)}, true});
+    d.at(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
     d.submit(1, 2, 20s);
     const auto first = d.all<StartAttempt>().at(0).id;
     d.at(1ms, AttemptConnected{first});
@@ -268,7 +268,7 @@
     s.slow_start_capacity = 0.4;
     s.slow_start_duration = 10s;
     Harness d(s);
-    auto engine = member(7);
+    auto engine = endpoint_record(7);
     engine.started_unix = d.now + off;
     d.at(1ms, EndpointUpdate{true, {engine}, true});
     d.pass(11s);
@@ -290,9 +290,9 @@
   s.slow_start_duration = 15s;
   Harness d(s);
   d.pass(3s);
-  auto newcomer = member(8);
+  auto newcomer = endpoint_record(8);
   newcomer.started_unix = d.now - off - 200ms;
-  d.at(1ms, EndpointUpdate{false, {newcomer, member(7, EngineState::draining)}, true});
+  d.at(1ms, EndpointUpdate{false, {newcomer, endpoint_record(7, EngineState::draining)}, true});
   std::size_t calls = 0, seen = 0;
   for (ClientHandle client = 1; client <= 250; ++client) {
     d.submit(client);
@@ -343,7 +343,7 @@
 TEST(Reducer, CorrectsCachedStartTimesOnceTheWallClockIsFoundToBeOff) {
   for (const Time off : {Time(-1h), Time(1h)}) {
     Harness d(slow_start_settings());
-    auto known = member(8), newcomer = member(9, EngineState::draining);
+    auto known = endpoint_record(8), newcomer = endpoint_record(9, EngineState::draining);
     known.started_unix = d.now - off - 1s;
     d.at(0ms, EndpointUpdate{true, {known}, false});
     d.pass(1s);
@@ -362,7 +362,7 @@
 // A request read after a stall may have been received when the stall began.
 TEST(Reducer, TimeLimitCountsFromTheEarliestReceiveTime) {
   Harness d(settings());
-  d.at(0ms, EndpointUpdate{true, {member(8)}, false});
+  d.at(0ms, EndpointUpdate{true, {endpoint_record(8)}, false});
   d.at(0ms, EndpointListPolled{true});
   d.at(0ms, ProcessStalled{d.now - 700ms, 700ms});
   EXPECT_EQ(d.reducer.counters().stalls, 1U);
@@ -416,7 +416,8 @@
   for (const Time off : {Time(-1h), Time(-5s), Time(0s), Time(5s), Time(1h)}) {
     for (const bool older : {false, true}) {
       Harness d(slow_start_settings());
-      auto newest = member(8, older ? EngineState::draining : EngineState::ready), other = member(9);
+      auto newest = endpoint_record(8, older ? EngineState::draining : EngineState::ready),
+           other = endpoint_record(9);
       newest.started_unix = d.now - off - 200ms;
       other.started_unix = newest.started_unix - 11s;
       d.at(0ms, EndpointUpdate{true, older ? std::vector{newest, other} : std::vector{newest}, false});
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -132,10 +132,10 @@
 TEST(Counters, NameWhatTheyCount) {
   Counters counters;
   EXPECT_EQ(counters.text(), "counters: violations=0");
-  counters.taken = 3;
+  counters.admitted = 3;
   counters.answered[static_cast<std::size_t>(AnswerKind::rejected)] = 2;
   counters.unserved[static_cast<std::size_t>(policy::UnservedReason::too_big)] = 2;
-  counters.withheld[static_cast<std::size_t>(GuardDecision::ordering_key_in_use)] = 1;
+  counters.attempts_denied[static_cast<std::size_t>(GuardDecision::ordering_key_in_use)] = 1;
   counters.attempts[static_cast<std::size_t>(AttemptEnd::cancelled)] = 1;
   counters.violations[static_cast<std::size_t>(Violation::late_answer)] = 1;
   EXPECT_EQ(counters.text(),
@@ -149,7 +149,7 @@
   Effects effects;
   const Time start = 1'700'000'000s;
   reducer.reduce(start, ListenersReady{}, effects);
-  reducer.reduce(start, EndpointUpdate{true, {test::member(7)}, true}, effects);
+  reducer.reduce(start, EndpointUpdate{true, {test::endpoint_record(7)}, true}, effects);
   reducer.reduce(start, Tick{}, effects);
   Submission submission;
   submission.client = 1;
@@ -158,7 +158,7 @@
   reducer.reduce(start + 3s, Tick{}, effects);
   EXPECT_EQ(test::all_of<Answer>(effects).size(), 1U);
   EXPECT_EQ(reducer.counters().total_violations(), 1U);
-  EXPECT_EQ(reducer.counters().taken, 1U);
+  EXPECT_EQ(reducer.counters().admitted, 1U);
 }
 
 }  // namespace
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -40,7 +40,7 @@
   explicit HookHarness(hooks::Set set = hooked())
       : reducer(settings(), 1, std::size_t{64} << 20, std::move(set)) {
     at(0ms, ListenersReady{});
-    at(0ms, EndpointUpdate{true, {test::member(7)}, true});
+    at(0ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
     at(0ms, Tick{});
   }
   void at(Time after, Event event) {
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -402,7 +402,7 @@
   explicit Running(hooks::Set set = {}, Time give_up = 3s)
       : with(settings(give_up)), reducer(with, 1, std::size_t{64} << 20, std::move(set), "127.0.0.1:1") {
     at(0ms, ListenersReady{});
-    at(0ms, EndpointUpdate{true, {test::member(7)}, true});
+    at(0ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
     at(0ms, Tick{});
   }
   void at(Time after, Event event) {
@@ -473,7 +473,7 @@
   r.with.classes[0].client_timeout = r.with.classes[1].client_timeout = 400ms;
   r.effects.clear();
   r.offer(1);
-  r.at(10ms, EndpointUpdate{true, {test::member(7)}, true});  // the module is called with this alone
+  r.at(10ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});  // the module is called with this alone
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 2U);
   EXPECT_EQ(starts[0].id.request, 2U) << "by the new ranks";
@@ -513,7 +513,7 @@
   r.at(0ms, ConfigurationRead{{}, "127.0.0.1:4", {}, {}});
   ASSERT_EQ(r.all<FollowChangeLog>().size(), 1U);
   EXPECT_EQ(r.all<FollowChangeLog>()[0].address, "127.0.0.1:2");
-  r.at(10ms, EndpointUpdate{true, {test::member(7)}, true});
+  r.at(10ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
   ASSERT_EQ(r.all<StartAttempt>().size(), 2U);
   EXPECT_EQ(r.all<StartAttempt>()[0].id.request, 1U);
   r.with = good;
@@ -567,7 +567,7 @@
   r.at(0ms, AttemptConnected{out});
   r.ask(2, 1, 1);
   ASSERT_EQ(r.all<RunHook>().size(), 1U);
-  r.at(0ms, EndpointUpdate{false, {test::member(7, policy::EngineState::draining)}, true});
+  r.at(0ms, EndpointUpdate{false, {test::endpoint_record(7, policy::EngineState::draining)}, true});
   r.ask(3, 0, 1);
   EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{1}));
   r.with.tenants[1].quota_fraction = r.with.tenants[1].quota_per_s = 0;
@@ -579,7 +579,7 @@
   ran.outcome = hooks::SliceResult::Outcome::done;
   ran.verdict.tags = {"seen"};
   r.at(0ms, HookRan{ran});
-  r.at(10ms, EndpointUpdate{false, {test::member(7)}, true});
+  r.at(10ms, EndpointUpdate{false, {test::endpoint_record(7)}, true});
   r.finish(out, AttemptEnd::served);
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 3U);
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -211,14 +211,14 @@
 
   void add_counters() {
     const auto& c = reducer_.counters();
-    for (const auto value : {c.taken, c.cancelled, c.half_closed, c.stalls})
+    for (const auto value : {c.admitted, c.cancelled, c.half_closed, c.stalls})
       digest_.add(static_cast<std::int64_t>(value));
     const auto add_each = [this](const auto& values) {
       for (const auto value : values) digest_.add(static_cast<std::int64_t>(value));
     };
     add_each(c.answered);
-    add_each(c.turned_down);
-    add_each(c.withheld);
+    add_each(c.admissions_denied);
+    add_each(c.attempts_denied);
     add_each(c.attempts);
     add_each(c.unserved);
     add_each(c.violations);
@@ -307,7 +307,7 @@
   void take(const ReadConfiguration&) {
     ConfigurationRead read;
     read.changelog = "127.0.0.1:3";
-    read.fixed = {"listen"};
+    read.restart_only = {"listen"};
     if (scenario_.hooked) read.hooks = hook_set(11);
     later(5ms, read);
   }
--- a/tests/small_core.hpp
+++ b/tests/small_core.hpp
@@ -21,8 +21,8 @@
   return s;
 }
 
-inline core::EndpointRecord member(core::EngineId id,
-                                   policy::EngineState state = policy::EngineState::ready) {
+inline core::EndpointRecord endpoint_record(core::EngineId id,
+                                            policy::EngineState state = policy::EngineState::ready) {
   core::EndpointRecord out;
   out.endpoint.engine = id;
   out.endpoint.state = state;
