--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -23,18 +23,20 @@
 // The violation's name in log lines and counters.
 [[nodiscard]] const char* name(Violation violation);
 
-// Fields are named as they are printed.
+// Operators' tools match the printed names, which differ from those of some fields.
 struct Counters {
   std::uint64_t admitted = 0;
   std::uint64_t cancelled = 0;
   std::uint64_t half_closed = 0;
-  std::uint64_t stalls = 0;                            // ProcessStalled events
+  std::uint64_t stalls = 0;                            // number of ProcessStalled events
   std::array<std::uint64_t, kAnswerKinds> answered{};  // by AnswerKind
   std::array<std::uint64_t, kGuardDecisions>
-      admissions_denied{};  // not admitted by the guard; hooks' rejections are only in `answered`
-  std::array<std::uint64_t, kGuardDecisions> attempts_denied{};  // attempts not started or not transmitted
-  std::array<std::uint64_t, kAttemptEnds> attempts{};            // by AttemptEnd
-  std::array<std::uint64_t, kUnservedReasons> unserved{};        // rejected or failed by the scheduler
+      admissions_denied{};  // requests not admitted by the guard; rejections by hooks count only in
+                            // `answered`
+  std::array<std::uint64_t, kGuardDecisions>
+      attempts_denied{};  // attempts that the guard kept from starting or transmitting
+  std::array<std::uint64_t, kAttemptEnds> attempts{};      // by AttemptEnd
+  std::array<std::uint64_t, kUnservedReasons> unserved{};  // requests rejected or failed by the scheduler
   std::array<std::uint64_t, kViolations> violations{};
 
   [[nodiscard]] std::uint64_t total_violations() const;
--- a/src/core/guard.hpp
+++ b/src/core/guard.hpp
@@ -31,7 +31,7 @@
 // | engine_not_ready    | endpoint state               | ready               | a draining engine takes no work  |
 // | attempt_expired     | now                          | expires_at          | the result would be too late     |
 // | retry_forbidden     | earlier attempts, class      | policy::retry_rules | the query must not run twice     |
-// | hedging_forbidden   | earlier attempts             | settings' hedging   | attempts must not run in parallel |
+// | hedging_forbidden   | earlier attempts             | settings' hedging   | one attempt runs at a time       |
 // | ordering_key_in_use | attempts of the ordering key | one request         | requests of a key run in order   |
 class Guard {
  public:
--- a/src/core/guard_decision.hpp
+++ b/src/core/guard_decision.hpp
@@ -18,7 +18,7 @@
   client_disconnected,  // the client has half-closed or closed its connection
   engine_not_ready,     // the engine is draining, removed, or was never listed
   attempt_expired,
-  retry_forbidden,      // an earlier attempt may have run
+  retry_forbidden,      // an earlier attempt may have taken effect
   hedging_forbidden,    // another attempt of the request may be running
   ordering_key_in_use,  // a request of the same ordering key may be running
 };
