--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,4 @@
-// The state machine, with plain values and a simulated clock.
+// Tests the reducer and its smaller modules with plain values and a simulated clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,11 +13,11 @@
 
 policy::Settings settings() {
   auto s = test::small_settings();
-  auto once = s.classes[0];
-  once.name = "once";
-  once.idempotency = policy::Idempotency::not_idempotent;
-  s.classes.push_back(once);
-  auto keyed = once;
+  auto not_idempotent = s.classes[0];
+  not_idempotent.name = "not_idempotent";
+  not_idempotent.idempotency = policy::Idempotency::not_idempotent;
+  s.classes.push_back(not_idempotent);
+  auto keyed = not_idempotent;
   keyed.name = "keyed";
   keyed.idempotency = policy::Idempotency::keyed;
   keyed.deduplication_window = 2s;
@@ -30,7 +30,7 @@
   return s;
 }
 
-// One of so many brokers that it rarely gets to send to an engine in slow start.
+// With this many brokers, one of them rarely sends an attempt to an engine in slow start.
 policy::Settings slow_start_settings() {
   auto s = settings();
   s.brokers = 100'000;
@@ -43,19 +43,19 @@
 
 class Harness {
  public:
-  explicit Harness(policy::Settings s = settings()) : with(std::move(s)) {
-    at(0ms, ListenersReady{});
-    at(0ms, EndpointUpdate{true, {endpoint_record(7)}, true});
-    at(0ms, EndpointListPolled{true});
-    at(0ms, Tick{});
+  explicit Harness(policy::Settings s = settings()) : initial_settings(std::move(s)) {
+    post(0ms, ListenersReady{});
+    post(0ms, EndpointUpdate{true, {endpoint_record(7)}, true});
+    post(0ms, EndpointListPolled{true});
+    post(0ms, Tick{});
   }
-  void at(Time after, Event event) {
-    now += after;
+  void post(Time delay, Event event) {
+    now += delay;
     reducer.reduce(now, std::move(event), effects);
   }
-  // Ticks until `time` has passed.
-  void pass(Time time) {
-    for (const Time end = now + time; now < end;) at(std::min<Time>(5ms, end - now), Tick{});
+  // Posts ticks until `time` has passed.
+  void tick_for(Time time) {
+    for (const Time end = now + time; now < end;) post(std::min<Time>(5ms, end - now), Tick{});
   }
   void submit(ClientHandle client, ClassIndex cls = 0, Time limit = 2s) {
     Submission submission;
@@ -63,22 +63,22 @@
     submission.cls = cls;
     submission.time_limit = limit;
     submission.body = "SELECT 1";
-    at(10ms, RequestReceived{submission});
+    post(10ms, RequestReceived{submission});
   }
   template <class T>
   std::vector<T> all() const {
     return test::all_of<T>(effects);
   }
-  void finish(AttemptId id, AttemptEnd how, std::string body = {}) {
+  void end_attempt(AttemptId id, AttemptEnd end, std::string body = {}) {
     AttemptEnded ended;
     ended.id = id;
-    ended.end = how;
+    ended.end = end;
     ended.body = std::move(body);
-    at(10ms, ended);
+    post(10ms, ended);
   }
   Time now = 1'700'000'000s;
-  policy::Settings with = settings();
-  Reducer reducer{with, 1};
+  policy::Settings initial_settings = settings();
+  Reducer reducer{initial_settings, 1};
   Effects effects;
 };
 
@@ -101,10 +101,10 @@
   EXPECT_EQ(wheel.armed(), 0U);
 }
 
-TEST(Lifecycle, PassesThroughItsPhases) {
+TEST(Lifecycle, ChangesPhaseWhenConditionsAreMet) {
   Lifecycle lifecycle;
   lifecycle.listeners_ready();
-  EXPECT_FALSE(lifecycle.advance(0s, false, false));  // no engine is known yet
+  EXPECT_FALSE(lifecycle.advance(0s, false, false));  // no engine is known
   EXPECT_FALSE(lifecycle.is_serving());
   lifecycle.engine_ready();
   EXPECT_TRUE(lifecycle.advance(1s, false, false));
@@ -112,15 +112,16 @@
   lifecycle.request_shutdown(2s);
   EXPECT_FALSE(lifecycle.is_serving());
   EXPECT_FALSE(lifecycle.advance(2s + Lifecycle::kMinDrain, true, false));  // a request is unanswered
-  EXPECT_FALSE(lifecycle.advance(2s, false, false));                        // clients may still come
+  EXPECT_FALSE(lifecycle.advance(2s, false, false));                        // kMinDrain has not passed
   EXPECT_TRUE(lifecycle.advance(2s + Lifecycle::kMinDrain, false, true));
   EXPECT_EQ(lifecycle.phase(), Phase::stopping);
-  EXPECT_TRUE(lifecycle.advance(10s, false, true));  // it does not wait for ever
+  EXPECT_TRUE(lifecycle.advance(10s, false, true));  // kFlushTimeout has passed
   EXPECT_EQ(lifecycle.phase(), Phase::exited);
 }
 
-// Guards against answers lost to the kill: with short deadlines it comes sooner than after 3.7 s.
-TEST(Lifecycle, GivesUpRequestsBeforeTheKillThatFollowsTheLongestDeadline) {
+// Guards against requests that were still unanswered at the platform's kill, which comes before 3.7 s if all
+// deadlines are short.
+TEST(Lifecycle, DrainExpiresBeforeThePlatformKill) {
   for (const Time deadline : {Time(1s), Time(3s), Time(60s)}) {
     Lifecycle lifecycle(deadline);
     lifecycle.listeners_ready();
@@ -133,154 +134,156 @@
   }
 }
 
-TEST(Reducer, ServedAttemptGivesTheFinalAnswer) {
-  Harness d;
-  d.submit(42);
-  const auto started = d.all<StartAttempt>();
+TEST(Reducer, ServedAttemptAnswersTheRequestOnce) {
+  Harness harness;
+  harness.submit(42);
+  const auto started = harness.all<StartAttempt>();
   ASSERT_EQ(started.size(), 1U);
-  EXPECT_TRUE(d.all<Transmit>().empty());  // not before there is a connection
-  d.at(1ms, AttemptConnected{started[0].id});
-  ASSERT_EQ(d.all<Transmit>().size(), 1U);
-  d.finish(started[0].id, AttemptEnd::served, "rows");
-  d.finish(started[0].id, AttemptEnd::served, "again");
-  d.pass(3s);
-  const auto answers = d.all<Answer>();
+  EXPECT_TRUE(harness.all<Transmit>().empty());  // not before the attempt is connected
+  harness.post(1ms, AttemptConnected{started[0].id});
+  ASSERT_EQ(harness.all<Transmit>().size(), 1U);
+  harness.end_attempt(started[0].id, AttemptEnd::served, "rows");
+  harness.end_attempt(started[0].id, AttemptEnd::served, "duplicate");
+  harness.tick_for(3s);
+  const auto answers = harness.all<Answer>();
   ASSERT_EQ(answers.size(), 1U);
   EXPECT_EQ(answers[0].client, 42U);
   EXPECT_EQ(answers[0].body, "rows");
-  EXPECT_EQ(d.reducer.open_requests(), 0U);
+  EXPECT_EQ(harness.reducer.open_requests(), 0U);
 }
 
-// The endpoint list may change while the attempt's connection is made.
+// The endpoint list may change while the attempt is connecting.
 TEST(Reducer, DoesNotTransmitToADrainingEngine) {
-  Harness d;
-  d.submit(1);
-  const auto id = d.all<StartAttempt>().at(0).id;
-  d.at(1ms, EndpointUpdate{false, {endpoint_record(7, EngineState::draining), endpoint_record(8)}, true});
-  d.at(1ms, AttemptConnected{id});
-  EXPECT_TRUE(d.all<Transmit>().empty());
-  ASSERT_EQ(d.all<CancelAttempt>().size(), 1U);
-  d.finish(id, AttemptEnd::expired);
-  d.pass(50ms);
-  ASSERT_EQ(d.all<StartAttempt>().size(), 2U);
-  EXPECT_EQ(d.all<StartAttempt>()[1].engine, 8U);
+  Harness harness;
+  harness.submit(1);
+  const auto id = harness.all<StartAttempt>().at(0).id;
+  harness.post(1ms,
+               EndpointUpdate{false, {endpoint_record(7, EngineState::draining), endpoint_record(8)}, true});
+  harness.post(1ms, AttemptConnected{id});
+  EXPECT_TRUE(harness.all<Transmit>().empty());
+  ASSERT_EQ(harness.all<CancelAttempt>().size(), 1U);
+  harness.end_attempt(id, AttemptEnd::expired);
+  harness.tick_for(50ms);
+  ASSERT_EQ(harness.all<StartAttempt>().size(), 2U);
+  EXPECT_EQ(harness.all<StartAttempt>()[1].engine, 8U);
 }
 
-TEST(Reducer, AnswersBeforeTheDeadlineIfTheEngineIsSilent) {
-  Harness d;
-  d.submit(1, 1, 2s);
-  d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
-  d.pass(1900ms);
-  EXPECT_TRUE(d.all<Answer>().empty());
-  d.pass(90ms);
-  ASSERT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::timed_out);  // not rejected: it may have run
-  EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
-  EXPECT_EQ(d.reducer.unanswered_requests(), 0U);
-  EXPECT_EQ(d.reducer.open_requests(), 1U);  // until the engine has confirmed the cancellation
-  d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::cancelled);
-  EXPECT_EQ(d.reducer.open_requests(), 0U);
+TEST(Reducer, TimesOutBeforeTheDeadlineIfTheEngineDoesNotRespond) {
+  Harness harness;
+  harness.submit(1, 1, 2s);
+  harness.post(1ms, AttemptConnected{harness.all<StartAttempt>().at(0).id});
+  harness.tick_for(1900ms);
+  EXPECT_TRUE(harness.all<Answer>().empty());
+  harness.tick_for(90ms);
+  ASSERT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_EQ(harness.all<Answer>()[0].kind, AnswerKind::timed_out);  // not rejected, because it may have run
+  EXPECT_EQ(harness.all<CancelAttempt>().size(), 1U);
+  EXPECT_EQ(harness.reducer.unanswered_requests(), 0U);
+  EXPECT_EQ(harness.reducer.open_requests(), 1U);  // open until the engine has confirmed the cancellation
+  harness.end_attempt(harness.all<StartAttempt>()[0].id, AttemptEnd::cancelled);
+  EXPECT_EQ(harness.reducer.open_requests(), 0U);
 }
 
 TEST(Reducer, CancelledRequestGetsNoAnswer) {
-  Harness d;
-  d.submit(1);
-  d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
-  d.at(10ms, ClientCancelled{1});
-  EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
-  d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::served, "too late");
-  d.pass(3s);
-  EXPECT_TRUE(d.all<Answer>().empty());
+  Harness harness;
+  harness.submit(1);
+  harness.post(1ms, AttemptConnected{harness.all<StartAttempt>().at(0).id});
+  harness.post(10ms, ClientCancelled{1});
+  EXPECT_EQ(harness.all<CancelAttempt>().size(), 1U);
+  harness.end_attempt(harness.all<StartAttempt>()[0].id, AttemptEnd::served, "late rows");
+  harness.tick_for(3s);
+  EXPECT_TRUE(harness.all<Answer>().empty());
 }
 
-// A half-close can't be told from a close: no further attempt may start.
-TEST(Reducer, HalfCloseRejectsConnectingRequestsAndFinishesAttemptsInFlight) {
+// A half-close can't be distinguished from a close: no further attempt may start.
+TEST(Reducer, HalfCloseCancelsConnectingAndFinishesInFlightAttempts) {
   for (const ClassIndex cls : {ClassIndex{0}, ClassIndex{1}}) {
-    for (const bool out : {false, true}) {
-      Harness d;
-      d.at(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
-      d.submit(1, cls, 20s);
-      const auto id = d.all<StartAttempt>().at(0).id;
-      if (out) d.at(1ms, AttemptConnected{id});
-      d.at(1ms, ClientHalfClosed{1});
-      EXPECT_EQ(d.all<Answer>().size(), out ? 0U : 1U);
-      EXPECT_EQ(d.all<CancelAttempt>().size(), out ? 0U : 1U);
-      d.at(1ms, AttemptConnected{id});  // late
-      d.finish(id, out ? AttemptEnd::reset : AttemptEnd::expired);
-      d.pass(1s);
-      ASSERT_EQ(d.all<Answer>().size(), 1U);
-      const bool may_have_run = out && cls == 1;
-      EXPECT_EQ(d.all<Answer>()[0].kind, may_have_run ? AnswerKind::failed : AnswerKind::rejected);
-      EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
-      EXPECT_EQ(d.all<Transmit>().size(), out ? 1U : 0U);
-      EXPECT_EQ(d.reducer.open_requests(), 0U);
+    for (const bool transmitted : {false, true}) {
+      Harness harness;
+      harness.post(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
+      harness.submit(1, cls, 20s);
+      const auto id = harness.all<StartAttempt>().at(0).id;
+      if (transmitted) harness.post(1ms, AttemptConnected{id});
+      harness.post(1ms, ClientHalfClosed{1});
+      EXPECT_EQ(harness.all<Answer>().size(), transmitted ? 0U : 1U);
+      EXPECT_EQ(harness.all<CancelAttempt>().size(), transmitted ? 0U : 1U);
+      harness.post(1ms, AttemptConnected{id});  // connected after the half-close
+      harness.end_attempt(id, transmitted ? AttemptEnd::reset : AttemptEnd::expired);
+      harness.tick_for(1s);
+      ASSERT_EQ(harness.all<Answer>().size(), 1U);
+      const bool may_have_run = transmitted && cls == 1;
+      EXPECT_EQ(harness.all<Answer>()[0].kind, may_have_run ? AnswerKind::failed : AnswerKind::rejected);
+      EXPECT_EQ(harness.all<StartAttempt>().size(), 1U);
+      EXPECT_EQ(harness.all<Transmit>().size(), transmitted ? 1U : 0U);
+      EXPECT_EQ(harness.reducer.open_requests(), 0U);
     }
   }
 }
 
-// No hedged request for a client that may have gone.
+// The client may be gone, so a hedged attempt would waste capacity.
 TEST(Reducer, HalfClosedRequestIsNotHedged) {
   for (const bool half_closed : {false, true}) {
     auto s = settings();
     s.hedging = true;
-    Harness d(s);
-    d.at(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
+    Harness harness(s);
+    harness.post(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
     for (ClientHandle client = 10; client < 30; ++client) {  // fills the hedging budget
-      d.submit(client);
-      const auto id = d.all<StartAttempt>().back().id;
-      d.at(1ms, AttemptConnected{id});
-      d.finish(id, AttemptEnd::served);
+      harness.submit(client);
+      const auto id = harness.all<StartAttempt>().back().id;
+      harness.post(1ms, AttemptConnected{id});
+      harness.end_attempt(id, AttemptEnd::served);
     }
-    d.effects.clear();
-    d.submit(1, 0, 20s);
-    d.at(1ms, AttemptConnected{d.all<StartAttempt>().at(0).id});
-    if (half_closed) d.at(1ms, ClientHalfClosed{1});
-    d.pass(3s);
-    EXPECT_EQ(d.all<StartAttempt>().size() == 1, half_closed);
+    harness.effects.clear();
+    harness.submit(1, 0, 20s);
+    harness.post(1ms, AttemptConnected{harness.all<StartAttempt>().at(0).id});
+    if (half_closed) harness.post(1ms, ClientHalfClosed{1});
+    harness.tick_for(3s);
+    EXPECT_EQ(harness.all<StartAttempt>().size() == 1, half_closed);
   }
 }
 
-// The scheduler decides in time, but the connection may take until the window is over.
+// The scheduler decides within the window, but connecting may take until the window has passed.
 TEST(Reducer, RetryIsNotTransmittedAfterTheDeduplicationWindow) {
   for (const auto& [wait, sent] : {std::pair<Time, std::size_t>{100ms, 2}, {1900ms, 1}}) {
-    Harness d;
-    d.at(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
-    d.submit(1, 2, 20s);
-    const auto first = d.all<StartAttempt>().at(0).id;
-    d.at(1ms, AttemptConnected{first});
-    d.at(100ms, Tick{});
-    d.finish(first, AttemptEnd::reset);
-    d.pass(10ms);
-    ASSERT_EQ(d.all<StartAttempt>().size(), 2U);
-    d.pass(wait);
-    d.at(1ms, AttemptConnected{d.all<StartAttempt>()[1].id});
-    EXPECT_EQ(d.all<Transmit>().size(), sent);
+    Harness harness;
+    harness.post(0ms, EndpointUpdate{false, {endpoint_record(8)}, true});
+    harness.submit(1, 2, 20s);
+    const auto first = harness.all<StartAttempt>().at(0).id;
+    harness.post(1ms, AttemptConnected{first});
+    harness.post(100ms, Tick{});
+    harness.end_attempt(first, AttemptEnd::reset);
+    harness.tick_for(10ms);
+    ASSERT_EQ(harness.all<StartAttempt>().size(), 2U);
+    harness.tick_for(wait);
+    harness.post(1ms, AttemptConnected{harness.all<StartAttempt>()[1].id});
+    EXPECT_EQ(harness.all<Transmit>().size(), sent);
   }
 }
 
-// Guards against a list, received again after a step of the wall clock, that put warm engines in slow start.
+// Guards against engines that returned to slow start when the list was received again after a step of the
+// wall clock.
 TEST(Reducer, RelistedEngineKeepsItsStartTime) {
-  for (const Time off : {Time(0s), Time(-1h), Time(1h)}) {
+  for (const Time clock_error : {Time(0s), Time(-1h), Time(1h)}) {
     auto s = settings();
-    s.brokers = 1000;  // each of which rarely gets to send to an engine in slow start
+    s.brokers = 1000;  // each rarely sends an attempt to an engine in slow start
     s.slow_start_overload_factor = 2.5;
     s.slow_start_overload_window = 1s;
     s.slow_start_capacity = 0.4;
     s.slow_start_duration = 10s;
-    Harness d(s);
+    Harness harness(s);
     auto engine = endpoint_record(7);
-    engine.started_unix = d.now + off;
-    d.at(1ms, EndpointUpdate{true, {engine}, true});
-    d.pass(11s);
-    d.at(1ms, EndpointUpdate{true, {engine}, true});
-    d.submit(1);
-    EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
+    engine.started_unix = harness.now + clock_error;
+    harness.post(1ms, EndpointUpdate{true, {engine}, true});
+    harness.tick_for(11s);
+    harness.post(1ms, EndpointUpdate{true, {engine}, true});
+    harness.submit(1);
+    EXPECT_EQ(harness.all<StartAttempt>().size(), 1U);
   }
 }
 
-// Attempts at an engine in the five seconds after a watch event told that it started 0.2 s ago. `off`: the
-// error of the broker's wall clock when the broker started.
-std::size_t calls_at_newcomer(Time off) {
+// Counts attempts at an engine in the five seconds after a watch event has reported that it started 0.2 s
+// ago. `clock_error`: error of the broker's wall clock when the broker started.
+std::size_t attempts_at_new_engine(Time clock_error) {
   auto s = settings();
   s.classes.resize(1);
   s.classes[0].latency_objective = 4s;
@@ -288,159 +291,164 @@
   s.slow_start_overload_window = 1s;
   s.slow_start_capacity = 0.33;
   s.slow_start_duration = 15s;
-  Harness d(s);
-  d.pass(3s);
-  auto newcomer = endpoint_record(8);
-  newcomer.started_unix = d.now - off - 200ms;
-  d.at(1ms, EndpointUpdate{false, {newcomer, endpoint_record(7, EngineState::draining)}, true});
-  std::size_t calls = 0, seen = 0;
+  Harness harness(s);
+  harness.tick_for(3s);
+  auto new_engine = endpoint_record(8);
+  new_engine.started_unix = harness.now - clock_error - 200ms;
+  harness.post(1ms, EndpointUpdate{false, {new_engine, endpoint_record(7, EngineState::draining)}, true});
+  std::size_t count = 0, handled = 0;
   for (ClientHandle client = 1; client <= 250; ++client) {
-    d.submit(client);
-    d.pass(10ms);
-    const auto attempts = d.all<StartAttempt>();
-    for (; seen < attempts.size(); ++seen) {
-      if (attempts[seen].engine == 8) ++calls;
-      d.at(0ms, AttemptConnected{attempts[seen].id});
-      d.finish(attempts[seen].id, AttemptEnd::served, "rows");
+    harness.submit(client);
+    harness.tick_for(10ms);
+    const auto attempts = harness.all<StartAttempt>();
+    for (; handled < attempts.size(); ++handled) {
+      if (attempts[handled].engine == 8) ++count;
+      harness.post(0ms, AttemptConnected{attempts[handled].id});
+      harness.end_attempt(attempts[handled].id, AttemptEnd::served, "rows");
     }
   }
-  return calls;
+  return count;
 }
 
-// Guards against a new engine without slow start, or without any request, after a step of the wall clock.
+// Guards against a new engine that, after a step of the wall clock, had no slow start or received no request.
 TEST(Reducer, WallClockStepDoesNotChangeSlowStart) {
-  const auto usual = calls_at_newcomer(0s);
-  ASSERT_GT(usual, 5U);
-  ASSERT_LT(usual, 60U);
-  for (const Time off : {Time(-1h), Time(-5s), Time(5s), Time(1h)})
-    // A start that shows that the clock is off counts as just now: 0.2 s later here.
-    EXPECT_NEAR(static_cast<double>(calls_at_newcomer(off)), static_cast<double>(usual),
-                0.15 * static_cast<double>(usual))
-        << "off by " << off / 1s << " s";
+  const auto expected = attempts_at_new_engine(0s);
+  ASSERT_GT(expected, 5U);
+  ASSERT_LT(expected, 60U);
+  for (const Time clock_error : {Time(-1h), Time(-5s), Time(5s), Time(1h)})
+    // A start that reveals a clock error counts as now, which is 0.2 s later here.
+    EXPECT_NEAR(static_cast<double>(attempts_at_new_engine(clock_error)), static_cast<double>(expected),
+                0.15 * static_cast<double>(expected))
+        << "clock error: " << clock_error / 1s << " s";
 }
 
-// By the wall clock of the broker's start, until a start time is impossible.
-TEST(StartClock, ComparesStartTimesWithEachOther) {
-  for (const Time off : {Time(0s), Time(-1h), Time(1h)}) {
-    StartClock starts;
+// The wall clock at the broker's start is used until a reported start time is outside its bounds.
+TEST(StartClock, CorrectsStartTimesAfterAClockError) {
+  for (const Time clock_error : {Time(0s), Time(-1h), Time(1h)}) {
+    StartClock start_clock;
     const Time now = 5000s;
-    const auto age = [&](Time told_after, Time at, Time absent) {
-      return at - starts.start_of_new(at - told_after - off, at, absent);
+    const auto age = [&](Time reported_after, Time at, Time absent_at) {
+      return at - start_clock.start_of_new(at - reported_after - clock_error, at, absent_at);
     };
-    const Time late = off == 0s ? Time(0s) : Time(1s);  // counts as told without delay
-    EXPECT_EQ(age(1s, now, now - 1s), 1s - late);
-    EXPECT_EQ(age(1500ms, now + 10s, now + 9s), 1500ms - late);
-    EXPECT_EQ(age(1s, now + 30s, now + 29s), 1s - late);
-    EXPECT_EQ(age(8s, now + 40s, now + 32s), 8s - late) << "the change log was down";
-    EXPECT_EQ(age(400ms, now + 45s, now + 44s), off == 0s ? 400ms : 0ms) << "less late than all before";
-    EXPECT_EQ(age(1h, now + 50s, now + 49s), 0s) << "the other side's clock went back";
-    EXPECT_EQ(age(1h + 1s, now + 60s, now + 59s), 1s) << "and stays there";
-    EXPECT_EQ(age(1s, now + 70s, now + 69s), 0s) << "and comes forward again";
+    const Time ignored_delay =
+        clock_error == 0s ? Time(0s) : Time(1s);  // the delay is ignored once a clock error is detected
+    EXPECT_EQ(age(1s, now, now - 1s), 1s - ignored_delay);
+    EXPECT_EQ(age(1500ms, now + 10s, now + 9s), 1500ms - ignored_delay);
+    EXPECT_EQ(age(1s, now + 30s, now + 29s), 1s - ignored_delay);
+    EXPECT_EQ(age(8s, now + 40s, now + 32s), 8s - ignored_delay) << "the change log was unavailable";
+    EXPECT_EQ(age(400ms, now + 45s, now + 44s), clock_error == 0s ? 400ms : 0ms)
+        << "reported with a smaller delay than all before";
+    EXPECT_EQ(age(1h, now + 50s, now + 49s), 0s) << "the change log's clock stepped back";
+    EXPECT_EQ(age(1h + 1s, now + 60s, now + 59s), 1s) << "the error persists";
+    EXPECT_EQ(age(1s, now + 70s, now + 69s), 0s) << "the clock stepped forward again";
   }
 }
 
-// Guards against cached engines that counted as warm, or as starting in an hour, for good.
-TEST(Reducer, CorrectsCachedStartTimesOnceTheWallClockIsFoundToBeOff) {
-  for (const Time off : {Time(-1h), Time(1h)}) {
-    Harness d(slow_start_settings());
-    auto known = endpoint_record(8), newcomer = endpoint_record(9, EngineState::draining);
-    known.started_unix = d.now - off - 1s;
-    d.at(0ms, EndpointUpdate{true, {known}, false});
-    d.pass(1s);
-    newcomer.started_unix = d.now - off;
-    d.at(1ms, EndpointUpdate{false, {newcomer}, true});
-    d.at(0ms, EndpointListPolled{true});
-    d.pass(1s);
-    d.submit(1);
-    EXPECT_TRUE(d.all<StartAttempt>().empty()) << "in slow start";
-    d.pass(9s);
-    d.submit(2, 0, 20s);
-    EXPECT_EQ(d.all<StartAttempt>().size(), 1U) << "and warm 10 s after its start";
+// Guards against cached engines that permanently counted as warm, or as starting in an hour.
+TEST(Reducer, CorrectsCachedStartTimesAfterAWallClockError) {
+  for (const Time clock_error : {Time(-1h), Time(1h)}) {
+    Harness harness(slow_start_settings());
+    auto known = endpoint_record(8), new_engine = endpoint_record(9, EngineState::draining);
+    known.started_unix = harness.now - clock_error - 1s;
+    harness.post(0ms, EndpointUpdate{true, {known}, false});
+    harness.tick_for(1s);
+    new_engine.started_unix = harness.now - clock_error;
+    harness.post(1ms, EndpointUpdate{false, {new_engine}, true});
+    harness.post(0ms, EndpointListPolled{true});
+    harness.tick_for(1s);
+    harness.submit(1);
+    EXPECT_TRUE(harness.all<StartAttempt>().empty()) << "the engine is in slow start";
+    harness.tick_for(9s);
+    harness.submit(2, 0, 20s);
+    EXPECT_EQ(harness.all<StartAttempt>().size(), 1U) << "the engine is warm 10 s after its start";
   }
 }
 
-// A request read after a stall may have been received when the stall began.
+// A request that is read after a stall may have been received when the stall began.
 TEST(Reducer, TimeLimitCountsFromTheEarliestReceiveTime) {
-  Harness d(settings());
-  d.at(0ms, EndpointUpdate{true, {endpoint_record(8)}, false});
-  d.at(0ms, EndpointListPolled{true});
-  d.at(0ms, ProcessStalled{d.now - 700ms, 700ms});
-  EXPECT_EQ(d.reducer.counters().stalls, 1U);
+  Harness harness(settings());
+  harness.post(0ms, EndpointUpdate{true, {endpoint_record(8)}, false});
+  harness.post(0ms, EndpointListPolled{true});
+  harness.post(0ms, ProcessStalled{harness.now - 700ms, 700ms});
+  EXPECT_EQ(harness.reducer.counters().stalls, 1U);
   RequestReceived arrived;
   arrived.submission.client = 1;
   arrived.submission.time_limit = 1500ms;
-  arrived.since = d.now - 700ms;
-  d.at(0ms, arrived);
-  d.pass(50ms);
-  const auto started = d.all<StartAttempt>();
+  arrived.since = harness.now - 700ms;
+  harness.post(0ms, arrived);
+  harness.tick_for(50ms);
+  const auto started = harness.all<StartAttempt>();
   ASSERT_EQ(started.size(), 1U);
-  d.at(0ms, AttemptConnected{started[0].id});
-  const auto sent = d.all<Transmit>();
+  harness.post(0ms, AttemptConnected{started[0].id});
+  const auto sent = harness.all<Transmit>();
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_LE(sent[0].timeout, 800ms);
-  d.pass(900ms);
-  EXPECT_EQ(d.all<Answer>().size(), 1U) << "its time is over";
-  EXPECT_EQ(d.reducer.counters().total_violations(), 0U);
+  harness.tick_for(900ms);
+  EXPECT_EQ(harness.all<Answer>().size(), 1U) << "its deadline has passed";
+  EXPECT_EQ(harness.reducer.counters().total_violations(), 0U);
 }
 
-// Without a stall the same late answer is a violation.
-TEST(Reducer, AnswerThatFellDueInAStallIsNoViolation) {
+// Without a stall the same late answer counts as a violation.
+TEST(Reducer, AnswerDueDuringAStallIsNoViolation) {
   for (const bool stalled : {true, false}) {
-    Harness d(settings());
-    d.at(0ms, EndpointListPolled{true});
-    d.submit(1, 0, 500ms);
-    d.now += 2s;
-    if (stalled) d.at(0ms, ProcessStalled{d.now - 2s, 2s});
-    d.at(0ms, Tick{});
-    EXPECT_EQ(d.all<Answer>().size(), 1U);
-    EXPECT_EQ(d.reducer.counters().total_violations(), stalled ? 0U : 1U);
+    Harness harness(settings());
+    harness.post(0ms, EndpointListPolled{true});
+    harness.submit(1, 0, 500ms);
+    harness.now += 2s;
+    if (stalled) harness.post(0ms, ProcessStalled{harness.now - 2s, 2s});
+    harness.post(0ms, Tick{});
+    EXPECT_EQ(harness.all<Answer>().size(), 1U);
+    EXPECT_EQ(harness.reducer.counters().total_violations(), stalled ? 0U : 1U);
   }
 }
 
-// The process stalls again before it has handled what fell due in the first stall.
+// The process stalls again before it has done the work that became due in the first stall.
 TEST(Reducer, ConsecutiveStallsCountAsOne) {
-  Harness d(settings());
-  d.at(0ms, EndpointListPolled{true});
-  d.submit(1, 0, 500ms);
-  const Time before = d.now;
-  d.at(2s, ProcessStalled{before, 2s});
-  d.at(100ms, ProcessStalled{before + 2s, 100ms});
-  d.at(0ms, ProcessStalled{before + 1s, 500ms});  // reported late
-  d.at(0ms, Tick{});
-  EXPECT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.reducer.counters().total_violations(), 0U);
+  Harness harness(settings());
+  harness.post(0ms, EndpointListPolled{true});
+  harness.submit(1, 0, 500ms);
+  const Time before = harness.now;
+  harness.post(2s, ProcessStalled{before, 2s});
+  harness.post(100ms, ProcessStalled{before + 2s, 100ms});
+  harness.post(0ms, ProcessStalled{before + 1s, 500ms});  // reported late
+  harness.post(0ms, Tick{});
+  EXPECT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_EQ(harness.reducer.counters().total_violations(), 0U);
 }
 
-// Guards against a wall clock that stepped before the broker's start. Only the order of starts is certain.
-TEST(Reducer, CachedStartTimeCountsAsRecentWhateverTheWallClockSays) {
-  for (const Time off : {Time(-1h), Time(-5s), Time(0s), Time(5s), Time(1h)}) {
+// The wall clock may have stepped before the broker's start: only differences between the cached starts are
+// reliable.
+TEST(Reducer, NewestCachedStartIsRecentDespiteWallClockErrors) {
+  for (const Time clock_error : {Time(-1h), Time(-5s), Time(0s), Time(5s), Time(1h)}) {
     for (const bool older : {false, true}) {
-      Harness d(slow_start_settings());
+      Harness harness(slow_start_settings());
       auto newest = endpoint_record(8, older ? EngineState::draining : EngineState::ready),
            other = endpoint_record(9);
-      newest.started_unix = d.now - off - 200ms;
+      newest.started_unix = harness.now - clock_error - 200ms;
       other.started_unix = newest.started_unix - 11s;
-      d.at(0ms, EndpointUpdate{true, older ? std::vector{newest, other} : std::vector{newest}, false});
-      d.at(0ms, EndpointListPolled{true});
-      d.pass(1s);
-      d.submit(1);
-      EXPECT_EQ(d.all<StartAttempt>().size(), older ? 1U : 0U) << "off by " << off / 1s << " s";
+      harness.post(0ms,
+                   EndpointUpdate{true, older ? std::vector{newest, other} : std::vector{newest}, false});
+      harness.post(0ms, EndpointListPolled{true});
+      harness.tick_for(1s);
+      harness.submit(1);
+      EXPECT_EQ(harness.all<StartAttempt>().size(), older ? 1U : 0U)
+          << "clock error: " << clock_error / 1s << " s";
     }
   }
 }
 
-// Guards against requests that were forwarded while stopping, and lost.
+// Guards against requests that were forwarded to an engine while stopping and got no answer.
 TEST(Reducer, RejectsRequestsWhileStopping) {
-  Harness d;
-  d.at(1ms, ShutdownRequested{});
-  d.at(Lifecycle::kMinDrain, Tick{true});
-  ASSERT_EQ(d.reducer.lifecycle().phase(), Phase::stopping);
-  EXPECT_EQ(d.all<CloseClientConnections>().size(), 1U);
-  d.submit(1);
-  d.pass(1s);
-  ASSERT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::rejected);
-  EXPECT_TRUE(d.all<StartAttempt>().empty());
+  Harness harness;
+  harness.post(1ms, ShutdownRequested{});
+  harness.post(Lifecycle::kMinDrain, Tick{true});
+  ASSERT_EQ(harness.reducer.lifecycle().phase(), Phase::stopping);
+  EXPECT_EQ(harness.all<CloseClientConnections>().size(), 1U);
+  harness.submit(1);
+  harness.tick_for(1s);
+  ASSERT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_EQ(harness.all<Answer>()[0].kind, AnswerKind::rejected);
+  EXPECT_TRUE(harness.all<StartAttempt>().empty());
 }
 
 // An OOM kill would lose all requests.
@@ -464,75 +472,75 @@
 }
 
 TEST(Reducer, SchedulerCallsAreAtLeastTheMinimumIntervalApart) {
-  Harness d;
-  d.submit(1);
-  EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
-  d.at(7ms, Tick{});
+  Harness harness;
+  harness.submit(1);
+  EXPECT_EQ(harness.all<StartAttempt>().size(), 1U);
+  harness.post(7ms, Tick{});
   Submission submission;
   submission.time_limit = 2s;
   for (ClientHandle client = 2; client < 5; ++client) {
     submission.client = client;
-    d.at(1ms, RequestReceived{submission});
+    harness.post(1ms, RequestReceived{submission});
   }
-  // The first causes a call at once; the others wait for the next call together.
-  EXPECT_EQ(d.all<StartAttempt>().size(), 2U);
-  ASSERT_TRUE(d.reducer.next_scheduler_call().has_value());
-  d.at(*d.reducer.next_scheduler_call() - d.now, Tick{});
-  EXPECT_EQ(d.all<StartAttempt>().size(), 4U);
+  // The first request causes a call at once; the others are passed together to the next call.
+  EXPECT_EQ(harness.all<StartAttempt>().size(), 2U);
+  ASSERT_TRUE(harness.reducer.next_scheduler_call().has_value());
+  harness.post(*harness.reducer.next_scheduler_call() - harness.now, Tick{});
+  EXPECT_EQ(harness.all<StartAttempt>().size(), 4U);
 }
 
 TEST(Reducer, AnswersRequestsReceivedWhileDraining) {
-  Harness d;
-  d.submit(1);
-  d.at(1ms, ShutdownRequested{});
-  d.submit(2);
-  d.pass(1s);
-  EXPECT_EQ(d.reducer.lifecycle().phase(), Phase::draining);
-  for (const auto& started : d.all<StartAttempt>()) {
-    d.at(1ms, AttemptConnected{started.id});
-    d.finish(started.id, AttemptEnd::served);
+  Harness harness;
+  harness.submit(1);
+  harness.post(1ms, ShutdownRequested{});
+  harness.submit(2);
+  harness.tick_for(1s);
+  EXPECT_EQ(harness.reducer.lifecycle().phase(), Phase::draining);
+  for (const auto& started : harness.all<StartAttempt>()) {
+    harness.post(1ms, AttemptConnected{started.id});
+    harness.end_attempt(started.id, AttemptEnd::served);
   }
-  d.pass(20ms);
-  EXPECT_EQ(d.all<Answer>().size(), 2U);
-  EXPECT_EQ(d.all<Exit>().size(), 1U);
+  harness.tick_for(20ms);
+  EXPECT_EQ(harness.all<Answer>().size(), 2U);
+  EXPECT_EQ(harness.all<Exit>().size(), 1U);
 }
 
-// The platform kills the program 3.7 s after its request: open requests would get no answer.
-TEST(Reducer, GivesUpOpenRequestsBeforeTheKill) {
-  Harness d;
-  d.submit(42, 0, 20s);
-  d.submit(43, 1, 20s);  // may not be repeated
-  for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptConnected{start.id});
-  ASSERT_EQ(d.all<Transmit>().size(), 2U);
-  d.at(0ms, ShutdownRequested{});
-  d.pass(3s);
-  EXPECT_TRUE(d.all<Answer>().empty());
-  d.pass(400ms);
-  const auto answers = d.all<Answer>();
+// The platform kills the program 3.7 s after it requests the shutdown; later answers would be lost.
+TEST(Reducer, AnswersOpenRequestsBeforeThePlatformKill) {
+  Harness harness;
+  harness.submit(42, 0, 20s);
+  harness.submit(43, 1, 20s);  // not idempotent
+  for (const auto& start : harness.all<StartAttempt>()) harness.post(1ms, AttemptConnected{start.id});
+  ASSERT_EQ(harness.all<Transmit>().size(), 2U);
+  harness.post(0ms, ShutdownRequested{});
+  harness.tick_for(3s);
+  EXPECT_TRUE(harness.all<Answer>().empty());
+  harness.tick_for(400ms);
+  const auto answers = harness.all<Answer>();
   ASSERT_EQ(answers.size(), 2U);
   for (const auto& answer : answers)
     EXPECT_EQ(answer.kind, answer.client == 42 ? AnswerKind::rejected : AnswerKind::failed);
-  EXPECT_EQ(d.all<CancelAttempt>().size(), 2U);
-  d.pass(300ms);
-  EXPECT_EQ(d.all<Exit>().size(), 1U);
+  EXPECT_EQ(harness.all<CancelAttempt>().size(), 2U);
+  harness.tick_for(300ms);
+  EXPECT_EQ(harness.all<Exit>().size(), 1U);
 }
 
-// Guards against ejecting engines as silent though they report progress every 250 ms.
-TEST(Reducer, EngineThatReportsProgressIsNotSilent) {
-  for (const bool heard : {true, false}) {
-    Harness d;
-    for (ClientHandle client = 1; client <= 4; ++client) d.submit(client, 0, 60s);
-    for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptConnected{start.id});
+// Guards against the ejection of engines for lack of a response although they report progress every 250 ms.
+TEST(Reducer, EngineThatReportsProgressIsNotEjected) {
+  for (const bool reports_progress : {true, false}) {
+    Harness harness;
+    for (ClientHandle client = 1; client <= 4; ++client) harness.submit(client, 0, 60s);
+    for (const auto& start : harness.all<StartAttempt>()) harness.post(1ms, AttemptConnected{start.id});
     for (int i = 0; i < 12; ++i) {
-      d.pass(250ms);
-      if (!heard) continue;
-      for (const auto& sent : d.all<Transmit>()) d.at(0ms, AttemptProgressed{sent.id});
+      harness.tick_for(250ms);
+      if (!reports_progress) continue;
+      for (const auto& sent : harness.all<Transmit>()) harness.post(0ms, AttemptProgressed{sent.id});
     }
-    const auto logs = d.all<Log>();
-    const auto silent = [](const Log& log) {
+    const auto logs = harness.all<Log>();
+    const auto is_silent_ejection = [](const Log& log) {
       return log.text.find("ejected: no response") != std::string::npos;
     };
-    EXPECT_EQ(std::ranges::any_of(logs, silent), !heard);
+    EXPECT_EQ(std::ranges::any_of(logs, is_silent_ejection), !reports_progress);
   }
 }
 
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard's rules on admission, attempts, rejections and closing.
+// Tests the guard's rules on admission, attempts, rejections and closing of connections, and the counters.
 #include "core/guard.hpp"
 
 #include <gtest/gtest.h>
@@ -23,10 +23,10 @@
     start.expires_at = 100s;
     start.endpoint = &engine;
   }
-  // As it is at 50 s, after one attempt at 49 s.
-  GuardDecision after_one(bool running = false, bool unrun = false) {
-    const Guard::PriorAttempt one{{49s, 0, 0, unrun}, running};
-    start.prior = {&one, 1};
+  // Returns the decision at 50 s on a request that had one attempt at 49 s.
+  GuardDecision decide_after_attempt(bool may_be_running = false, bool proven_not_run = false) {
+    const Guard::PriorAttempt prior{{49s, 0, 0, proven_not_run}, may_be_running};
+    start.prior = {&prior, 1};
     const auto decision = guard.may_start_attempt(start, 50s);
     start.prior = {};
     return decision;
@@ -37,7 +37,7 @@
   Guard::AttemptStart start;
 };
 
-TEST_F(GuardTest, FirstAttemptMayGoToAReadyEngine) {
+TEST_F(GuardTest, FirstAttemptNeedsAReadyEngine) {
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::allowed);
   for (const auto state : {EngineState::draining, EngineState::gone}) {
     engine.state = state;
@@ -47,7 +47,7 @@
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::engine_not_ready);
 }
 
-TEST_F(GuardTest, NoAttemptIfNobodyWaits) {
+TEST_F(GuardTest, RejectsAttemptsWhenNoClientWaits) {
   EXPECT_EQ(guard.may_start_attempt(start, 100s), GuardDecision::attempt_expired);
   start.client_disconnected = true;
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::client_disconnected);
@@ -55,31 +55,32 @@
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::already_answered);
 }
 
-TEST_F(GuardTest, RetriesGoByTheClass) {
+TEST_F(GuardTest, RetryRulesDependOnTheClass) {
   auto& cls = settings.classes[0];
-  EXPECT_EQ(after_one(), GuardDecision::allowed) << "safe";
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::allowed) << "a retry is safe";
   cls.idempotency = policy::Idempotency::not_idempotent;
-  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden);
-  EXPECT_EQ(after_one(false, true), GuardDecision::allowed) << "it never ran";
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::retry_forbidden);
+  EXPECT_EQ(decide_after_attempt(false, true), GuardDecision::allowed) << "the attempt never ran";
   cls.idempotency = policy::Idempotency::keyed;
-  EXPECT_EQ(after_one(), GuardDecision::allowed) << "within the window";
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::allowed) << "within the deduplication window";
   cls.deduplication_window = 1s;
-  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden) << "the window is over";
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::retry_forbidden) << "the deduplication window has passed";
   cls.deduplication_window = 2s;
   cls.deduplication_scope = DeduplicationScope::zone;
   engine.zone = 1;
-  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden) << "that zone does not drop it";
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::retry_forbidden)
+      << "the other zone does not deduplicate it";
   cls.deduplication_scope = DeduplicationScope::cell;
-  EXPECT_EQ(after_one(), GuardDecision::allowed) << "the same cell";
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::allowed) << "the same cell";
   engine.cell = 1;
-  EXPECT_EQ(after_one(), GuardDecision::retry_forbidden);
+  EXPECT_EQ(decide_after_attempt(), GuardDecision::retry_forbidden);
 }
 
-TEST_F(GuardTest, WithoutHedgingOneAttemptRunsAtATime) {
-  EXPECT_EQ(after_one(true), GuardDecision::allowed);
+TEST_F(GuardTest, WithoutHedgingAttemptsRunOneAtATime) {
+  EXPECT_EQ(decide_after_attempt(true), GuardDecision::allowed);
   settings.hedging = false;
-  EXPECT_EQ(after_one(true), GuardDecision::hedging_forbidden);
-  EXPECT_EQ(after_one(false), GuardDecision::allowed);
+  EXPECT_EQ(decide_after_attempt(true), GuardDecision::hedging_forbidden);
+  EXPECT_EQ(decide_after_attempt(false), GuardDecision::allowed);
 }
 
 TEST_F(GuardTest, RequestsOfAnOrderingKeyRunOneAtATime) {
@@ -88,10 +89,12 @@
   guard.attempt_started(42, 7);
   EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::ordering_key_in_use);
   start.request = 7;
-  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::allowed) << "its own further attempt";
+  EXPECT_EQ(guard.may_start_attempt(start, 50s), GuardDecision::allowed)
+      << "another attempt of the same request";
   start.request = 1;
   guard.attempt_ended(42, 7, 52s);
-  EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::ordering_key_in_use) << "it may run on";
+  EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::ordering_key_in_use)
+      << "the attempt may still run";
   guard.remove_idle_keys(51s);
   EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::ordering_key_in_use);
   EXPECT_EQ(guard.may_start_attempt(start, 52s), GuardDecision::allowed);
@@ -102,7 +105,7 @@
   EXPECT_EQ(guard.may_start_attempt(start, 51s), GuardDecision::allowed) << "another key";
 }
 
-TEST_F(GuardTest, AdmissionIsBounded) {
+TEST_F(GuardTest, RejectsRequestsBeyondTheAdmissionLimits) {
   settings.max_open_requests = 3;
   EXPECT_EQ(guard.may_admit({Phase::draining, 2, true, false}), GuardDecision::allowed);
   EXPECT_EQ(guard.may_admit({Phase::serving, 3, true, false}), GuardDecision::too_many_requests);
@@ -111,7 +114,7 @@
   EXPECT_EQ(guard.may_admit({Phase::stopping, 0, true, false}), GuardDecision::shutting_down);
 }
 
-TEST_F(GuardTest, RejectsOnlyWhereARetryIsHarmless) {
+TEST_F(GuardTest, RejectsOnlyIfARetryIsSafe) {
   auto& cls = settings.classes[0];
   EXPECT_TRUE(guard.may_reject(0, false));
   cls.idempotency = policy::Idempotency::not_idempotent;
@@ -126,10 +129,10 @@
 TEST_F(GuardTest, ClosesAConnectionOnlyWithoutUnansweredRequests) {
   EXPECT_TRUE(Guard::may_close(0, false));
   EXPECT_FALSE(Guard::may_close(1, false));
-  EXPECT_FALSE(Guard::may_close(0, true)) << "a request may have come";
+  EXPECT_FALSE(Guard::may_close(0, true)) << "the unread input may be a request";
 }
 
-TEST(Counters, NameWhatTheyCount) {
+TEST(Counters, PrintsNamesOfNonzeroCounts) {
   Counters counters;
   EXPECT_EQ(counters.text(), "counters: violations=0");
   counters.admitted = 3;
@@ -143,8 +146,8 @@
             "attempt.withdrawn=1 withheld.key_in_use=1");
 }
 
-// A late answer is still given, and counted.
-TEST(Counters, AnswerAfterItsDeadlineIsCountedAsAViolation) {
+// A late answer is sent, and counted as a violation.
+TEST(Counters, LateAnswerIsCountedAsAViolation) {
   Reducer reducer(test::small_settings(), 1);
   Effects effects;
   const Time start = 1'700'000'000s;
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -1,4 +1,4 @@
-// The state machine with requests in hooks: their final answers, deadlines and order.
+// Tests the reducer with requests in hooks: their final answers, deadlines and order.
 #include <gtest/gtest.h>
 
 #include "small_core.hpp"
@@ -24,11 +24,11 @@
   return s;
 }
 
-hooks::Set hooked(bool answers = false) {
+hooks::Set hook_set(bool with_answer_phase = false) {
   hooks::Spec spec;
   spec.id = 1;
   spec.name = "h";
-  spec.phases = {true, answers, false};
+  spec.phases = {true, with_answer_phase, false};
   spec.cpu_limit = 1s;
   spec.wait_timeout = 10s;
   spec.match.contains = "hooked";
@@ -37,16 +37,16 @@
 
 class HookHarness {
  public:
-  explicit HookHarness(hooks::Set set = hooked())
+  explicit HookHarness(hooks::Set set = hook_set())
       : reducer(settings(), 1, std::size_t{64} << 20, std::move(set)) {
-    at(0ms, ListenersReady{});
-    at(0ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
-    at(0ms, Tick{});
+    post(0ms, ListenersReady{});
+    post(0ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
+    post(0ms, Tick{});
   }
-  void at(Time after, Event event) {
-    now += after;
-    feed(std::move(event));
-    // A call yields until the test has set how it ends.
+  void post(Time delay, Event event) {
+    now += delay;
+    reduce(std::move(event));
+    // A call yields until the test has set its decision.
     for (int slices = 0; slices < 3 && slice; ++slices) {
       const auto run = *std::exchange(slice, std::nullopt);
       hooks::SliceResult ran;
@@ -54,17 +54,17 @@
       ran.hook = run.hook;
       ran.cpu = 1us;
       ran.outcome = hooks::SliceResult::Outcome::yielded;
-      if (const auto end = ends.find(run.job); end != ends.end()) {
+      if (const auto end = decisions.find(run.job); end != decisions.end()) {
         ran.outcome = hooks::SliceResult::Outcome::done;
         ran.verdict = end->second;
       }
-      feed(HookRan{ran});
+      reduce(HookRan{ran});
     }
   }
-  void feed(Event event) {
-    Effects made;
-    reducer.reduce(now, std::move(event), made);
-    for (auto& effect : made) {
+  void reduce(Event event) {
+    Effects new_effects;
+    reducer.reduce(now, std::move(event), new_effects);
+    for (auto& effect : new_effects) {
       if (const auto* run = std::get_if<RunHook>(&effect)) {
         slice = *run;
         if (run->first) calls.push_back(*run);
@@ -72,10 +72,10 @@
       effects.push_back(std::move(effect));
     }
   }
-  void pass(Time time) {
+  void tick_for(Time time) {
     for (const Time end = now + time; now < end;) {
-      at(0ms, HooksTurn{});
-      at(std::min<Time>(5ms, end - now), Tick{});
+      post(0ms, HooksTurn{});
+      post(std::min<Time>(5ms, end - now), Tick{});
     }
   }
   void submit(ClientHandle client, const std::string& statement, ClassIndex cls = 0, std::uint64_t key = 0,
@@ -87,24 +87,24 @@
     submission.ordering_key = key;
     submission.body = statement;
     if (cls == 1) submission.idempotency_key = "n" + std::to_string(client);
-    at(1ms, RequestReceived{submission});
+    post(1ms, RequestReceived{submission});
   }
-  void end(std::size_t call, hooks::HookDecision verdict = {}) {
-    ends[calls.at(call).job] = std::move(verdict);
-    pass(10ms);
+  void end_call(std::size_t call, hooks::HookDecision decision = {}) {
+    decisions[calls.at(call).job] = std::move(decision);
+    tick_for(10ms);
   }
   template <class T>
   std::vector<T> all() const {
     return test::all_of<T>(effects);
   }
-  // Statements in the order in which they were transmitted.
-  std::vector<std::string> sent() {
+  // Connects all started attempts. Returns the statements in the order in which they were transmitted.
+  std::vector<std::string> transmitted_statements() {
     for (bool more = true; more;) {
       more = false;
       const auto starts = all<StartAttempt>();
-      if (begun < starts.size()) {
+      if (connected < starts.size()) {
         more = true;
-        at(0ms, AttemptConnected{starts[begun++].id});
+        post(0ms, AttemptConnected{starts[connected++].id});
       }
     }
     std::vector<std::string> out;
@@ -115,124 +115,126 @@
     AttemptEnded ended;
     ended.id = all<Transmit>().at(attempt).id;
     ended.end = AttemptEnd::served;
-    at(5ms, ended);
-    pass(10ms);
+    post(5ms, ended);
+    tick_for(10ms);
   }
 
   Time now = 1'700'000'000s;
   Reducer reducer;
   Effects effects;
-  std::optional<RunHook> slice;  // requested, and not run yet
+  std::optional<RunHook> slice;  // requested by the reducer, and not run yet
   std::vector<RunHook> calls;
-  std::map<hooks::JobId, hooks::HookDecision> ends;
-  std::size_t begun = 0;
+  std::map<hooks::JobId, hooks::HookDecision> decisions;
+  std::size_t connected = 0;
 };
 
-TEST(HookedCore, LabelsReachTheSchedulerAndARejectionIsTheFinalAnswer) {
-  HookHarness h;
-  h.submit(1, "hooked 1");
-  h.submit(2, "hooked 2");
-  EXPECT_TRUE(h.sent().empty());
-  h.end(0, {50ms, 64.0, {}, {}, {"tag"}});
-  h.end(1, {{}, {}, {}, 5s, {}});
-  EXPECT_EQ(h.sent(), std::vector<std::string>{"hooked 1"});
-  ASSERT_EQ(h.all<Answer>().size(), 1U);
-  EXPECT_EQ(h.all<Answer>()[0].client, 2U);
-  EXPECT_EQ(h.all<Answer>()[0].retry_after, 500ms) << "no longer than the settings allow";
-  h.serve(0);
-  EXPECT_EQ(h.all<Answer>().size(), 2U);
-  EXPECT_EQ(h.reducer.open_requests(), 0U);
-  const auto logs = h.all<Log>();
+TEST(HookedCore, AppliesEstimatesAndRejectionsOfHooks) {
+  HookHarness harness;
+  harness.submit(1, "hooked 1");
+  harness.submit(2, "hooked 2");
+  EXPECT_TRUE(harness.transmitted_statements().empty());
+  harness.end_call(0, {50ms, 64.0, {}, {}, {"tag"}});
+  harness.end_call(1, {{}, {}, {}, 5s, {}});
+  EXPECT_EQ(harness.transmitted_statements(), std::vector<std::string>{"hooked 1"});
+  ASSERT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_EQ(harness.all<Answer>()[0].client, 2U);
+  EXPECT_EQ(harness.all<Answer>()[0].retry_after, 500ms) << "limited by max_retry_after";
+  harness.serve(0);
+  EXPECT_EQ(harness.all<Answer>().size(), 2U);
+  EXPECT_EQ(harness.reducer.open_requests(), 0U);
+  const auto logs = harness.all<Log>();
   EXPECT_TRUE(std::ranges::any_of(logs, [](const auto& l) {
     return l.text.find("tagged: tags=tag class=lookup tenant=acme end=served") == 0;
   }));
 }
 
-TEST(HookedCore, KeepsTheOrderOfAKeyWhileTheFirstIsInHooks) {
-  // The first is served, rejected, or cancelled by its client: only then the next one of its key goes on.
-  for (const int how : {0, 1, 2}) {
-    HookHarness h;
-    h.submit(1, "hooked first", 1, 42);
-    h.submit(2, "second", 1, 42);
-    h.submit(3, "other key", 1, 43);
-    h.pass(50ms);
-    EXPECT_EQ(h.sent(), std::vector<std::string>{"other key"}) << how;
-    if (how == 0) h.end(0);
-    if (how == 1) h.end(0, {{}, {}, {}, 100ms, {}});
-    if (how == 2) h.at(1ms, ClientCancelled{1});
-    h.pass(50ms);
-    auto sent = h.sent();
-    ASSERT_EQ(sent.size(), 2U) << how;
-    EXPECT_EQ(sent[1], how == 0 ? "hooked first" : "second");
-    if (how != 0) continue;
-    h.serve(1);
-    h.pass(50ms);
-    EXPECT_EQ(h.sent().at(2), "second");
+TEST(HookedCore, KeepsTheOrderOfAKeyWhileItsFirstRequestIsInHooks) {
+  // The second request of the key continues only after the first is served, rejected or cancelled by its
+  // client.
+  for (const int outcome : {0, 1, 2}) {
+    HookHarness harness;
+    harness.submit(1, "hooked first", 1, 42);
+    harness.submit(2, "second", 1, 42);
+    harness.submit(3, "other key", 1, 43);
+    harness.tick_for(50ms);
+    EXPECT_EQ(harness.transmitted_statements(), std::vector<std::string>{"other key"}) << outcome;
+    if (outcome == 0) harness.end_call(0);
+    if (outcome == 1) harness.end_call(0, {{}, {}, {}, 100ms, {}});
+    if (outcome == 2) harness.post(1ms, ClientCancelled{1});
+    harness.tick_for(50ms);
+    auto statements = harness.transmitted_statements();
+    ASSERT_EQ(statements.size(), 2U) << outcome;
+    EXPECT_EQ(statements[1], outcome == 0 ? "hooked first" : "second");
+    if (outcome != 0) continue;
+    harness.serve(1);
+    harness.tick_for(50ms);
+    EXPECT_EQ(harness.transmitted_statements().at(2), "second");
   }
 }
 
 TEST(HookedCore, RequestInHooksTimesOutAtItsDeadline) {
-  HookHarness h;
-  h.submit(1, "hooked", 0, 0, 300ms);
-  h.pass(290ms);
-  ASSERT_EQ(h.all<Answer>().size(), 1U);
-  EXPECT_EQ(h.all<Answer>()[0].kind, AnswerKind::timed_out);
-  EXPECT_EQ(h.reducer.open_requests(), 0U);
-  h.end(0);
-  EXPECT_EQ(h.all<Answer>().size(), 1U);
-  EXPECT_FALSE(h.all<DropHook>().empty());
-  EXPECT_TRUE(h.sent().empty());
+  HookHarness harness;
+  harness.submit(1, "hooked", 0, 0, 300ms);
+  harness.tick_for(290ms);
+  ASSERT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_EQ(harness.all<Answer>()[0].kind, AnswerKind::timed_out);
+  EXPECT_EQ(harness.reducer.open_requests(), 0U);
+  harness.end_call(0);
+  EXPECT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_FALSE(harness.all<DropHook>().empty());
+  EXPECT_TRUE(harness.transmitted_statements().empty());
 }
 
-TEST(HookedCore, RequestsInHooksAreUnansweredAndCountAsOpen) {
-  HookHarness h;
-  for (ClientHandle client = 1; client <= 9; ++client) h.submit(client, "hooked");
-  EXPECT_EQ(h.reducer.unanswered_requests(), 8U);
-  ASSERT_EQ(h.all<Answer>().size(), 1U) << "the ninth is more than may be open";
-  h.at(1ms, ClientCancelled{3});
-  EXPECT_EQ(h.reducer.unanswered_requests(), 7U);
-  EXPECT_EQ(h.reducer.open_requests(), 7U);
+TEST(HookedCore, RequestsInHooksCountAsUnansweredAndOpen) {
+  HookHarness harness;
+  for (ClientHandle client = 1; client <= 9; ++client) harness.submit(client, "hooked");
+  EXPECT_EQ(harness.reducer.unanswered_requests(), 8U);
+  ASSERT_EQ(harness.all<Answer>().size(), 1U) << "the ninth exceeds max_open_requests";
+  harness.post(1ms, ClientCancelled{3});
+  EXPECT_EQ(harness.reducer.unanswered_requests(), 7U);
+  EXPECT_EQ(harness.reducer.open_requests(), 7U);
 }
 
-TEST(HookedCore, ShutdownWaitsForRequestsInHooksAndGivesThemUpBeforeTheKill) {
-  HookHarness h;
-  h.submit(1, "hooked", 0, 0, 20s);
-  h.submit(2, "hooked", 0, 0, 20s);
-  h.at(1ms, ShutdownRequested{});
-  h.pass(1s);
-  EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::draining);
-  h.end(0);
-  EXPECT_EQ(h.sent().size(), 1U) << "what was received before is finished";
-  h.serve(0);
-  // Before the kill, which comes no sooner than the longest deadline and this grace after the request.
-  h.pass(2s + Lifecycle::kKillGrace - 1s);
-  ASSERT_EQ(h.all<Answer>().size(), 2U);
-  EXPECT_EQ(h.all<Answer>()[1].kind, AnswerKind::rejected);
-  EXPECT_EQ(h.reducer.lifecycle().phase(), Phase::exited);
+TEST(HookedCore, ShutdownWaitsForHooksUntilShortlyBeforeThePlatformKill) {
+  HookHarness harness;
+  harness.submit(1, "hooked", 0, 0, 20s);
+  harness.submit(2, "hooked", 0, 0, 20s);
+  harness.post(1ms, ShutdownRequested{});
+  harness.tick_for(1s);
+  EXPECT_EQ(harness.reducer.lifecycle().phase(), Phase::draining);
+  harness.end_call(0);
+  EXPECT_EQ(harness.transmitted_statements().size(), 1U)
+      << "a request received before the shutdown is served";
+  harness.serve(0);
+  // The platform kills the program no sooner than the longest deadline plus kKillGrace after its request.
+  harness.tick_for(2s + Lifecycle::kKillGrace - 1s);
+  ASSERT_EQ(harness.all<Answer>().size(), 2U);
+  EXPECT_EQ(harness.all<Answer>()[1].kind, AnswerKind::rejected);
+  EXPECT_EQ(harness.reducer.lifecycle().phase(), Phase::exited);
 }
 
-TEST(HookedCore, ReloadLeavesRequestsInHooksToTheOldHooks) {
-  HookHarness h;
-  h.submit(1, "hooked");
+TEST(HookedCore, RequestsInHooksKeepTheirHooksAfterAReload) {
+  HookHarness harness;
+  harness.submit(1, "hooked");
   ConfigurationRead read;
   read.hooks = hooks::Set{};
-  h.at(1ms, read);
-  h.submit(2, "hooked too");
-  h.pass(10ms);
-  EXPECT_EQ(h.sent(), std::vector<std::string>{"hooked too"});
-  h.end(0, {{}, {}, {}, 100ms, {}});
-  ASSERT_EQ(h.all<Answer>().size(), 1U);
-  EXPECT_EQ(h.all<Answer>()[0].client, 1U);
-  EXPECT_EQ(h.all<RetireHook>().size(), 1U);
+  harness.post(1ms, read);
+  harness.submit(2, "hooked too");
+  harness.tick_for(10ms);
+  EXPECT_EQ(harness.transmitted_statements(), std::vector<std::string>{"hooked too"});
+  harness.end_call(0, {{}, {}, {}, 100ms, {}});
+  ASSERT_EQ(harness.all<Answer>().size(), 1U);
+  EXPECT_EQ(harness.all<Answer>()[0].client, 1U);
+  EXPECT_EQ(harness.all<RetireHook>().size(), 1U);
 }
 
 TEST(HookedCore, CallsHooksOfPhaseAnswer) {
-  HookHarness h(hooked(true));
-  h.submit(1, "hooked");
-  h.end(0, {{}, {}, {}, {}, {"t"}});
-  h.sent();
-  h.serve(0);
-  const auto& runs = h.calls;
+  HookHarness harness(hook_set(true));
+  harness.submit(1, "hooked");
+  harness.end_call(0, {{}, {}, {}, {}, {"t"}});
+  harness.transmitted_statements();
+  harness.serve(0);
+  const auto& runs = harness.calls;
   ASSERT_EQ(runs.back().phase, hooks::Phase::answer);
   EXPECT_STREQ(runs.back().subject.kind, "served");
   EXPECT_EQ(runs.back().subject.tags, std::vector<std::string>{"t"});
--- a/tests/ordering_queues_test.cpp
+++ b/tests/ordering_queues_test.cpp
@@ -1,4 +1,4 @@
-// Queues of requests by ordering key.
+// Tests the queues of requests by ordering key.
 #include "core/ordering_queues.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   EXPECT_TRUE(queues.empty());
 }
 
-TEST(OrderingQueues, ARemovedRequestHoldsUpNobody) {
+TEST(OrderingQueues, RemovedRequestDoesNotBlockLaterOnes) {
   OrderingQueues queues;
   queues.push(7, 1);
   queues.push(7, 2);
@@ -39,7 +39,7 @@
   EXPECT_EQ(advance(queues, 7, {2}), std::vector<RequestId>{2});
   EXPECT_FALSE(queues.contains(7));
   queues.remove(7, 3);
-  EXPECT_FALSE(queues.has_changed()) << "there is no such queue any more";
+  EXPECT_FALSE(queues.has_changed()) << "the queue no longer exists";
 }
 
 }  // namespace
--- a/tests/request_table_test.cpp
+++ b/tests/request_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of requests: what it counts, and when a request leaves it.
+// Tests the request table: its counts, and when a request is erased.
 #include "core/request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   EXPECT_EQ(requests.size(), 1U);
 }
 
-TEST(RequestTable, KeepsARequestUntilItIsAnsweredAndItsAttemptsHaveEnded) {
+TEST(RequestTable, StoresARequestUntilItIsAnsweredAndItsAttemptsHaveEnded) {
   RequestTable requests(1 << 20);
   const auto id = requests.insert(submission(1), 10s);
   auto& request = requests.at(id);
@@ -40,14 +40,14 @@
   EXPECT_EQ(requests.find(AttemptId{id, 1}), nullptr);
   requests.mark_answered(request);
   requests.erase_if_complete(id);
-  EXPECT_EQ(requests.size(), 1U) << "its attempt may be running";
+  EXPECT_EQ(requests.size(), 1U) << "its attempt has not ended";
   request.attempts[0].stage = AttemptStage::ended;
   requests.erase_if_complete(id);
   EXPECT_EQ(requests.size(), 0U);
   EXPECT_EQ(requests.find(AttemptId{id, 0}), nullptr);
 }
 
-TEST(RequestTable, FreesMemoryAndTicketWithTheRequest) {
+TEST(RequestTable, ErasingARequestFreesItsMemoryAndTicket) {
   RequestTable requests(4000);
   const auto first = requests.insert(submission(1, "ticket", 2000), 10s);
   EXPECT_TRUE(requests.ticket_in_use("ticket"));
--- a/tests/small_core.hpp
+++ b/tests/small_core.hpp
@@ -1,4 +1,5 @@
-// What tests and benchmarks of the core begin with: one kind, one class, one engine, and a look at effects.
+// Provides tests and benchmarks of the core with settings of one engine kind and one class, endpoint records,
+// and a filter of effects by type.
 #pragma once
 
 #include <utility>
