--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -219,7 +219,7 @@
     Server failing_change_log([](Socket& socket) { socket.reset(); });
     broker.config["changelog"] = failing_change_log.address();
     broker.reload(broker.config.dump());
-    broker.program->wait_for_log("the configuration was read again");
+    broker.program->wait_for_log("the configuration was reloaded");
   }
   std::vector<Client> idle;
   for (int n = 0; n < 300; ++n) idle.emplace_back(broker.address);
--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -213,13 +213,13 @@
   client.ask(1, "lookup", kSelect);
   engine.calls.wait(is_poll);
   broker.reload(R"({"listen": "127.0.0.1:0", "changelog": )");
-  broker.program->wait_for_log("the configuration stays as it was: configuration: is not a JSON object");
+  broker.program->wait_for_log("the configuration was not reloaded: configuration: is not a JSON object");
   broker.changes.push({server("s-00000002", engine.server.address())});
   broker.changes.wait_until_applied();  // changes are still applied
   broker.program->signal(SIGTERM);
   broker.program->wait_for_log("phase: draining");
   broker.reload(broker.config.dump());
-  broker.program->wait_for_log("the configuration was read again");
+  broker.program->wait_for_log("the configuration was reloaded");
   done = true;
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
   EXPECT_EQ(broker.program->wait(), 0);
--- a/tests/net/reconfigure_test.cpp
+++ b/tests/net/reconfigure_test.cpp
@@ -89,7 +89,7 @@
                            "\"\ntenant \"lycee\" {\n  share = 1\n  quota = 100\n}\n");
   const auto report = node.await_active(1);
   EXPECT_EQ(report.rejected_version, control::VersionId{});
-  broker.program->wait_for_log("settings of version 1.1 are in force");
+  broker.program->wait_for_log("settings of version 1.1 are active");
   new_change_log.wait_until_applied();
   done = true;
   EXPECT_TRUE(slow.answer().contains("result"));
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -409,7 +409,7 @@
       : settings(two_class_settings(client_timeout)),
         reducer(settings, 1, std::size_t{64} << 20, std::move(set), "127.0.0.1:1") {
     reduce(0ms, ListenersReady{});
-    reduce(0ms, EndpointUpdate{true, {test::member(7)}, true});
+    reduce(0ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
     reduce(0ms, Tick{});
   }
   void reduce(Time delay, Event event) {
@@ -466,7 +466,7 @@
   EXPECT_EQ(applied[0].settings, r.settings);
   EXPECT_EQ(applied[0].changelog, "127.0.0.1:2");
   EXPECT_EQ(*static_cast<const int*>(applied[0].names.get()), 7);
-  EXPECT_TRUE(r.logged("settings of version 3.17 are in force"));
+  EXPECT_TRUE(r.logged("settings of version 3.17 are active"));
   EXPECT_TRUE(r.all<SettingsRejected>().empty());
 }
 
@@ -480,7 +480,8 @@
   r.settings.classes[0].client_timeout = r.settings.classes[1].client_timeout = 400ms;
   r.effects.clear();
   r.offer_settings(1);
-  r.reduce(10ms, EndpointUpdate{true, {test::member(7)}, true});  // the scheduler receives only this event
+  r.reduce(10ms,
+           EndpointUpdate{true, {test::endpoint_record(7)}, true});  // the scheduler receives only this event
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 2U);
   EXPECT_EQ(starts[0].id.request, 2U) << "by the new ranks";
@@ -516,11 +517,11 @@
   EXPECT_EQ(r.all<SettingsRejected>()[0].number, 17U);
   EXPECT_NE(r.all<SettingsRejected>()[0].problem.find("threads"), std::string::npos);
   EXPECT_TRUE(r.all<SettingsApplied>().empty());
-  EXPECT_TRUE(r.logged("the old ones stay"));
+  EXPECT_TRUE(r.logged("the previous settings stay active"));
   r.reduce(0ms, ConfigurationRead{{}, "127.0.0.1:4", {}, {}});
   ASSERT_EQ(r.all<FollowChangeLog>().size(), 1U);
   EXPECT_EQ(r.all<FollowChangeLog>()[0].address, "127.0.0.1:2");
-  r.reduce(10ms, EndpointUpdate{true, {test::member(7)}, true});
+  r.reduce(10ms, EndpointUpdate{true, {test::endpoint_record(7)}, true});
   ASSERT_EQ(r.all<StartAttempt>().size(), 2U);
   EXPECT_EQ(r.all<StartAttempt>()[0].id.request, 1U);
   r.settings = good;
@@ -575,7 +576,7 @@
   r.reduce(0ms, AttemptConnected{in_flight});
   r.submit(2, 1, 1);
   ASSERT_EQ(r.all<RunHook>().size(), 1U);
-  r.reduce(0ms, EndpointUpdate{false, {test::member(7, policy::EngineState::draining)}, true});
+  r.reduce(0ms, EndpointUpdate{false, {test::endpoint_record(7, policy::EngineState::draining)}, true});
   r.submit(3, 0, 1);
   EXPECT_EQ(r.reducer.referenced_tenants(), (std::unordered_set<std::uint32_t>{1}));
   r.settings.tenants[1].quota_fraction = r.settings.tenants[1].quota_per_s = 0;
@@ -587,7 +588,7 @@
   result.outcome = hooks::SliceResult::Outcome::done;
   result.verdict.tags = {"seen"};
   r.reduce(0ms, HookRan{result});
-  r.reduce(10ms, EndpointUpdate{false, {test::member(7)}, true});
+  r.reduce(10ms, EndpointUpdate{false, {test::endpoint_record(7)}, true});
   r.end_attempt(in_flight, AttemptEnd::served);
   const auto starts = r.all<StartAttempt>();
   ASSERT_EQ(starts.size(), 3U);
--- a/tests/small_core.hpp
+++ b/tests/small_core.hpp
@@ -1,4 +1,5 @@
-// What tests and benchmarks of the core begin with: one kind, one class, one engine, and a look at effects.
+// Provides tests and benchmarks of the core with settings of one engine kind and one class, endpoint records,
+// and a filter of effects by type.
 #pragma once
 
 #include <utility>
@@ -21,8 +22,8 @@
   return s;
 }
 
-inline core::EndpointRecord member(core::EngineId id,
-                                   policy::EngineState state = policy::EngineState::ready) {
+inline core::EndpointRecord endpoint_record(core::EngineId id,
+                                            policy::EngineState state = policy::EngineState::ready) {
   core::EndpointRecord out;
   out.endpoint.engine = id;
   out.endpoint.state = state;
