--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -1,4 +1,4 @@
-// A gateway on a hand-driven clock, and what it has done so far.
+// Drives a Scheduler on a manually advanced clock and records the actions that it returns.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-inline Settings plain_settings() {
+inline Settings basic_settings() {
   Settings s;
   s.brokers = 1;
   s.max_attempts = 3;
@@ -43,42 +43,45 @@
   return s;
 }
 
-class Drive {
+class SchedulerHarness {
  public:
-  explicit Drive(Settings settings, std::uint64_t seed = 1) : gateway(std::move(settings), seed) {}
+  explicit SchedulerHarness(Settings settings, std::uint64_t seed = 1)
+      : scheduler(std::move(settings), seed) {}
 
-  std::vector<Action> at(Time time, std::vector<Event> events) {
+  std::vector<Action> handle(Time time, std::vector<Event> events) {
     now = time;
     std::vector<Action> out;
-    gateway.handle(now, events, out);
+    scheduler.handle(now, events, out);
     for (const auto& action : out) {
-      if (const auto* send = std::get_if<SendAttempt>(&action)) sends.push_back(*send);
-      if (std::holds_alternative<ScheduleTimer>(action)) wake = now + std::get<ScheduleTimer>(action).delay;
-      if (const auto* refuse = std::get_if<Reject>(&action)) ++refused[refuse->request];
+      if (const auto* send = std::get_if<SendAttempt>(&action)) sent.push_back(*send);
+      if (std::holds_alternative<ScheduleTimer>(action))
+        next_timer_at = now + std::get<ScheduleTimer>(action).delay;
+      if (const auto* reject = std::get_if<Reject>(&action)) ++rejected[reject->request];
       if (const auto* fail = std::get_if<Fail>(&action)) ++failed[fail->request];
-      if (const auto* off = std::get_if<CancelAttempt>(&action))
-        called_off.emplace_back(off->request, off->attempt);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action))
+        cancelled.emplace_back(cancel->request, cancel->attempt);
     }
     return out;
   }
-  // Lets the clock run; wakes come when they were asked for.
-  void until(Time time) {
-    while (wake <= time) at(wake, {TimerFired{}});
-    at(time, {});
+  // Advances the clock to `time`; each timer fires at the time that the scheduler requested.
+  void run_until(Time time) {
+    while (next_timer_at <= time) handle(next_timer_at, {TimerFired{}});
+    handle(time, {});
   }
-  void list(std::vector<Endpoint> engines, EndpointListKind kind = EndpointListKind::full) {
-    at(now, {EndpointList{kind, std::move(engines)}});
+  void set_endpoints(std::vector<Endpoint> engines, EndpointListKind kind = EndpointListKind::full) {
+    handle(now, {EndpointList{kind, std::move(engines)}});
   }
-  void ask(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
+  void submit(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
     RequestArrival a;
     a.request = id;
     a.cls = cls;
     a.time_left = left;
     a.ordering_key = key;
     a.data_group = group;
-    at(now, {a});
+    handle(now, {a});
   }
-  void ends(RequestId id, AttemptIndex n, EngineId engine, AttemptResult result, Time latency = 100ms) {
+  void complete_attempt(RequestId id, AttemptIndex n, EngineId engine, AttemptResult result,
+                        Time latency = 100ms) {
     AttemptOutcome o;
     o.request = id;
     o.attempt = n;
@@ -86,24 +89,24 @@
     o.result = result;
     o.latency = latency;
     o.request_closed = result == AttemptResult::served;
-    at(now, {o});
+    handle(now, {o});
   }
-  [[nodiscard]] int sends_of(RequestId id) const {
+  [[nodiscard]] int attempts_of(RequestId id) const {
     return static_cast<int>(
-        std::count_if(sends.begin(), sends.end(), [id](auto& s) { return s.request == id; }));
+        std::count_if(sent.begin(), sent.end(), [id](auto& s) { return s.request == id; }));
   }
-  [[nodiscard]] int sends_to(EngineId engine) const {
+  [[nodiscard]] int attempts_to(EngineId engine) const {
     return static_cast<int>(
-        std::count_if(sends.begin(), sends.end(), [engine](auto& s) { return s.engine == engine; }));
+        std::count_if(sent.begin(), sent.end(), [engine](auto& s) { return s.engine == engine; }));
   }
-  [[nodiscard]] int answers(RequestId id) { return refused[id] + failed[id]; }
+  [[nodiscard]] int answer_count(RequestId id) { return rejected[id] + failed[id]; }
 
-  Scheduler gateway;
+  Scheduler scheduler;
   Time now{100s};
-  Time wake{1000000s};
-  std::vector<SendAttempt> sends;
-  std::map<RequestId, int> refused, failed;
-  std::vector<std::pair<RequestId, AttemptIndex>> called_off;
+  Time next_timer_at{1000000s};
+  std::vector<SendAttempt> sent;
+  std::map<RequestId, int> rejected, failed;
+  std::vector<std::pair<RequestId, AttemptIndex>> cancelled;
 };
 
 inline Endpoint engine(EngineId id, std::uint16_t zone = 0, std::uint16_t kind = 0) {
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -13,19 +13,20 @@
 namespace {
 
 TEST(FastErrors, AnEngineThatFailsAtOnceIsEjectedThoughItLooksIdle) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8), engine(9)});
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
   int to_bad = 0;
   for (RequestId id = 1; id <= 60; ++id) {
-    const auto from = d.sends.size();
-    d.ask(id, 0, 5s, 0, id);  // of many data groups
-    for (auto i = from; i < d.sends.size(); ++i) {
-      const auto sent = d.sends[i];
+    const auto from = harness.sent.size();
+    harness.submit(id, 0, 5s, 0, id);  // of many data groups
+    for (auto i = from; i < harness.sent.size(); ++i) {
+      const auto sent = harness.sent[i];
       to_bad += sent.engine == 8 ? 1 : 0;
-      const auto n = static_cast<AttemptIndex>(d.sends_of(sent.request) - 1);
-      d.ends(sent.request, n, sent.engine, sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
+      const auto n = static_cast<AttemptIndex>(harness.attempts_of(sent.request) - 1);
+      harness.complete_attempt(sent.request, n, sent.engine,
+                               sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
     }
-    d.until(d.now + 20ms);
+    harness.run_until(harness.now + 20ms);
   }
   EXPECT_LE(to_bad, 4) << "two errors in a row, then one trial at a time";
   EXPECT_GE(to_bad, 2);
@@ -34,98 +35,100 @@
 // Clients sent what no engine takes, and it went from engine to engine: all were rested for it, 159 times in
 // 20 s.
 TEST(FastErrors, WhatTwoEnginesCannotUseIsShedAndNoEngineIsEjected) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8), engine(9)});
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
   for (RequestId id = 1; id <= 20; ++id) {
-    d.ask(id, 0, 5s, 0, id);
-    for (int n = 0; n < d.sends_of(id); ++n)
-      d.ends(id, static_cast<AttemptIndex>(n), d.sends.back().engine, AttemptResult::error);
-    EXPECT_EQ(d.sends_of(id), 2);
-    EXPECT_EQ(d.answers(id), 1);
-    d.until(d.now + 20ms);
+    harness.submit(id, 0, 5s, 0, id);
+    for (int n = 0; n < harness.attempts_of(id); ++n)
+      harness.complete_attempt(id, static_cast<AttemptIndex>(n), harness.sent.back().engine,
+                               AttemptResult::error);
+    EXPECT_EQ(harness.attempts_of(id), 2);
+    EXPECT_EQ(harness.answer_count(id), 1);
+    harness.run_until(harness.now + 20ms);
   }
-  for (RequestId id = 101; id <= 103; ++id) d.ask(id, 0, 5s, 0, id);
-  EXPECT_EQ(d.sends_to(7) + d.sends_to(8) + d.sends_to(9), 43);
-  EXPECT_EQ(d.sends_of(101) + d.sends_of(102) + d.sends_of(103), 3) << "none waits for an engine";
+  for (RequestId id = 101; id <= 103; ++id) harness.submit(id, 0, 5s, 0, id);
+  EXPECT_EQ(harness.attempts_to(7) + harness.attempts_to(8) + harness.attempts_to(9), 43);
+  EXPECT_EQ(harness.attempts_of(101) + harness.attempts_of(102) + harness.attempts_of(103), 3)
+      << "none waits for an engine";
 }
 
 TEST(FastErrors, AnEngineThatRecoversGetsWorkAgain) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8)});
-  const auto play = [&d](RequestId from, RequestId to, bool bad) {
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8)});
+  const auto play = [&harness](RequestId from, RequestId to, bool bad) {
     for (RequestId id = from; id <= to; ++id) {
-      const auto at = d.sends.size();
-      d.ask(id, 0, 5s, 0, id);  // of many data groups
-      for (auto i = at; i < d.sends.size(); ++i) {
-        const auto sent = d.sends[i];
-        const auto n = static_cast<AttemptIndex>(d.sends_of(sent.request) - 1);
-        d.ends(sent.request, n, sent.engine,
-               bad && sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
+      const auto at = harness.sent.size();
+      harness.submit(id, 0, 5s, 0, id);  // of many data groups
+      for (auto i = at; i < harness.sent.size(); ++i) {
+        const auto sent = harness.sent[i];
+        const auto n = static_cast<AttemptIndex>(harness.attempts_of(sent.request) - 1);
+        harness.complete_attempt(sent.request, n, sent.engine,
+                                 bad && sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
       }
-      d.until(d.now + 50ms);
+      harness.run_until(harness.now + 50ms);
     }
   };
   play(1, 20, true);
-  const int before = d.sends_to(8);
+  const int before = harness.attempts_to(8);
   play(21, 120, false);
-  EXPECT_GT(d.sends_to(8) - before, 20);
+  EXPECT_GT(harness.attempts_to(8) - before, 20);
 }
 
 TEST(Silence, QueriesOnASilentEngineAreWithdrawnAndItGetsNoMore) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.progress_interval = 500ms;
-  Drive d(s);
-  d.list({engine(7)});
-  d.ask(1, 0);
-  d.list({engine(7), engine(8), engine(9)});
-  d.until(d.now + 1700ms);
-  ASSERT_EQ(d.called_off.size(), 1U);
-  d.ends(1, 0, 7, AttemptResult::cancelled);
-  ASSERT_EQ(d.sends_of(1), 2);
-  EXPECT_NE(d.sends.back().engine, 7U);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 0);
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
+  harness.run_until(harness.now + 1700ms);
+  ASSERT_EQ(harness.cancelled.size(), 1U);
+  harness.complete_attempt(1, 0, 7, AttemptResult::cancelled);
+  ASSERT_EQ(harness.attempts_of(1), 2);
+  EXPECT_NE(harness.sent.back().engine, 7U);
 }
 
 TEST(Silence, WithoutCancelTheEngineIsStillLeftAlone) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.may_cancel = false;
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
-  ASSERT_EQ(d.sends_to(7), 4);
-  d.list({engine(7), engine(8), engine(9)});
-  d.until(d.now + 1s);
-  const int before = d.sends_to(7);
-  for (RequestId id = 10; id <= 14; ++id) d.ask(id, 0);
-  EXPECT_EQ(d.sends_to(7), before);
-  EXPECT_TRUE(d.called_off.empty());
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 4; ++id) harness.submit(id, 0);
+  ASSERT_EQ(harness.attempts_to(7), 4);
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
+  harness.run_until(harness.now + 1s);
+  const int before = harness.attempts_to(7);
+  for (RequestId id = 10; id <= 14; ++id) harness.submit(id, 0);
+  EXPECT_EQ(harness.attempts_to(7), before);
+  EXPECT_TRUE(harness.cancelled.empty());
 }
 
 // Time-outs left work behind on engines that heed no cancel, and cut honest long queries: 4% on a quiet day.
 TEST(TimeOuts, AHealthyEngineIsGivenTheWholeTime) {
-  Drive d(plain_settings());
-  d.list({engine(7)});
-  d.ask(1, 0, 5s);
-  EXPECT_GT(d.sends[0].give_up_at, d.now + 4900ms);
-  EXPECT_LT(d.sends[0].give_up_at, d.now + 5s);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 0, 5s);
+  EXPECT_GT(harness.sent[0].give_up_at, harness.now + 4900ms);
+  EXPECT_LT(harness.sent[0].give_up_at, harness.now + 5s);
 }
 
 // Every gateway without a query on a full engine still sent one; with many gateways the fleet jammed.
 // How often a query is sent whose only engine has just told such a report.
 int sends_after_report(std::vector<LoadReportField> fields, std::vector<double> load) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 8;
   s.load_report_fields = std::move(fields);
-  Drive d(s);
-  d.list({engine(7)});
-  d.ask(1, 0);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 0);
   AttemptOutcome o;
   o.request = 1;
   o.engine = 7;
   o.request_closed = true;
   o.load_report = std::move(load);
-  d.at(d.now, {o});
-  d.ask(2, 0);
-  return d.sends_of(2);
+  harness.handle(harness.now, {o});
+  harness.submit(2, 0);
+  return harness.attempts_of(2);
 }
 
 TEST(Overload, AnEngineReportedFullGetsNothing) {
@@ -134,46 +137,46 @@
 
 // One long query, far past the usual, was taken for silence: 153 times on a day without any trouble.
 TEST(Silence, OneLongQueryIsNoSilence) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[0].client_timeout = 60s;
-  Drive d(s);
-  d.list({engine(7), engine(8), engine(9)});
-  d.ask(1, 0, 60s);
-  const auto at = d.sends[0].engine;
-  d.until(d.now + 10s);
-  EXPECT_TRUE(d.called_off.empty());
-  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 24) << "engine " << at << " still counts";
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
+  harness.submit(1, 0, 60s);
+  const auto at = harness.sent[0].engine;
+  harness.run_until(harness.now + 10s);
+  EXPECT_TRUE(harness.cancelled.empty());
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 24) << "engine " << at << " still counts";
 }
 
 // Reports are late and the same for all: by them alone every gateway ran to one engine at once.
 TEST(Overload, AnEngineReportedEmptyDoesNotGetEverything) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 4;
   s.load_report_fields = {LoadReportField::inflight};
   s.kinds = {{"one", 16, 0}};
-  Drive d(s);
-  d.list({engine(7), engine(8), engine(9)});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
   for (const EngineId id : {7U, 8U, 9U}) {
     HealthCheckResult p;
     p.engine = id;
     p.load = {id == 8 ? 0.0 : 8.0};
-    d.at(d.now, {p});
+    harness.handle(harness.now, {p});
   }
-  for (RequestId id = 1; id <= 8; ++id) d.ask(id, 0);
-  EXPECT_LT(d.sends_to(8), 8);
-  EXPECT_GE(d.sends_to(8), 2) << "but more than the others";
+  for (RequestId id = 1; id <= 8; ++id) harness.submit(id, 0);
+  EXPECT_LT(harness.attempts_to(8), 8);
+  EXPECT_GE(harness.attempts_to(8), 2) << "but more than the others";
 }
 
 // Spread evenly, a group's data was warm nowhere; and two engines of equal load drew all gateways alike.
 TEST(DataGroupAffinity, QueriesOfAGroupPreferTheSameTwoEnginesWhileTheyAreAsEmpty) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.kinds = {{"one", 32, 0}};
   std::map<EngineId, int> used;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Drive d(s, seed);
-    d.list({engine(3), engine(4), engine(5), engine(6), engine(7)});
-    d.ask(1, 0, 5s, 0, 12);
-    ++used[d.sends[0].engine];
+    SchedulerHarness harness(s, seed);
+    harness.set_endpoints({engine(3), engine(4), engine(5), engine(6), engine(7)});
+    harness.submit(1, 0, 5s, 0, 12);
+    ++used[harness.sent[0].engine];
   }
   EXPECT_EQ(used.size(), 2U);
 }
@@ -181,15 +184,15 @@
 // With the engines' own choice of grants, heavy-tailed queries spilled to disk and took several times their
 // work.
 TEST(MemoryGrants, FollowTheNeedsThatAnswersTell) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.memory_grants = true;
-  Drive d(s);
-  d.list({engine(7)});
-  const auto granted = [&d](RequestId id) {
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  const auto granted = [&harness](RequestId id) {
     RequestArrival a;
     a.request = id;
     a.time_left = 5s;
-    for (const auto& action : d.at(d.now, {a}))
+    for (const auto& action : harness.handle(harness.now, {a}))
       if (const auto* terms = std::get_if<AttemptTerms>(&action)) return terms->memory_mb;
     return -1.0;
   };
@@ -200,7 +203,7 @@
   o.request_closed = true;
   o.work = 100ms;
   o.memory_mb = 100;
-  d.at(d.now, {o});
+  harness.handle(harness.now, {o});
   EXPECT_GT(granted(2), 200);
 }
 
@@ -208,17 +211,17 @@
 // memory; where they count what is in use, it costs nobody anything.
 TEST(MemoryGrants, AreSmallerWhereEnginesKeepThem) {
   for (const auto shortage : {MemoryShortage::overcommit, MemoryShortage::wait, MemoryShortage::shrink}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.memory_grants = true;
     s.memory_shortage = shortage;
-    Drive d(s);
-    d.list({engine(7)});
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7)});
     RequestArrival a;
     a.request = 1;
     a.time_left = 5s;
     a.estimated_memory_mb = 100;
     double granted = 0;
-    for (const auto& action : d.at(d.now, {a}))
+    for (const auto& action : harness.handle(harness.now, {a}))
       if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
     EXPECT_NEAR(granted, shortage == MemoryShortage::overcommit ? 200 : 160, 1);
   }
@@ -234,18 +237,18 @@
 // Every engine was probed three times a second for reports that its answers bring anyway.
 TEST(HealthChecks, AreNotSentForReportsThatComeWithAnswers) {
   for (const bool in_answers : {false, true}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.may_health_check = true;
     s.answers_report_load = in_answers;
     s.load_report_fields = {LoadReportField::inflight};
-    Drive d(s);
-    d.list({engine(7), engine(8), engine(9)});
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7), engine(8), engine(9)});
     std::size_t probes = 0;
     for (RequestId id = 1; id <= 20; ++id) {
-      d.ask(id, 0);
-      for (const auto& action : d.at(d.wake, {TimerFired{}}))
+      harness.submit(id, 0);
+      for (const auto& action : harness.handle(harness.next_timer_at, {TimerFired{}}))
         probes += std::holds_alternative<SendHealthCheck>(action) ? 1 : 0;
-      for (int i = 0; i < 20; ++i) d.at(d.wake, {TimerFired{}});
+      for (int i = 0; i < 20; ++i) harness.handle(harness.next_timer_at, {TimerFired{}});
     }
     EXPECT_EQ(probes == 0, in_answers);
   }
@@ -253,23 +256,23 @@
 
 // Where answers do not tell their work, a long query's engine passed for slow, and a short one's for swift.
 TEST(LatencyRatio, AQuerysEstimateIsTakenOutOfItWhereAnswersTellNoWork) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 20;
   s.may_gossip = true;
-  Drive d(s);
-  d.list({engine(7)});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
   unsigned least = 255, most = 0;
   for (RequestId id = 1; id <= 200; ++id) {
     RequestArrival a;
     a.request = id;
     a.time_left = 5s;
     a.estimated_work = id % 2 == 0 ? 600ms : 200ms;
-    d.at(d.now, {a});
-    d.until(d.now + 20ms);
-    if (d.sends_of(id) == 0) continue;
-    d.ends(id, 0, 7, AttemptResult::served, *a.estimated_work);
+    harness.handle(harness.now, {a});
+    harness.run_until(harness.now + 20ms);
+    if (harness.attempts_of(id) == 0) continue;
+    harness.complete_attempt(id, 0, 7, AttemptResult::served, *a.estimated_work);
     for (int tick = 0; tick < 12; ++tick) {
-      for (const auto& action : d.at(d.wake, {TimerFired{}})) {
+      for (const auto& action : harness.handle(harness.next_timer_at, {TimerFired{}})) {
         const auto* tell = std::get_if<SendGossip>(&action);
         const auto text = tell == nullptr ? std::nullopt : decode_gossip(tell->bytes);
         if (!text || text->entries.empty() || id < 100) continue;
@@ -284,58 +287,58 @@
 
 // Long classes were refused though their aim, which grows with their work, had room.
 TEST(QueueTime, AClassWhoseObjectiveGrowsWithItsWorkIsQueuedLonger) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[2].idempotency = Idempotency::idempotent;
   s.classes[2].latency_objective = s.classes[0].latency_objective;
   s.classes[2].objective_stretch = 8;
-  Drive d(s);
-  d.list({});
-  d.ask(1, 0);
-  d.ask(2, 2);
-  d.until(d.now + 1s);
-  EXPECT_EQ(d.refused[1], 1);
-  EXPECT_EQ(d.refused[2], 0);
-  d.until(d.now + 1s);
-  EXPECT_EQ(d.refused[2], 1);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({});
+  harness.submit(1, 0);
+  harness.submit(2, 2);
+  harness.run_until(harness.now + 1s);
+  EXPECT_EQ(harness.rejected[1], 1);
+  EXPECT_EQ(harness.rejected[2], 0);
+  harness.run_until(harness.now + 1s);
+  EXPECT_EQ(harness.rejected[2], 1);
 }
 
 // Loads were sent where others of their group were out, and stood behind them for longer than they ran, as
 // threads that crowd the fleet: Lakeshore's churn refused a tenth of its loads.
 TEST(DataGroupLocks, WaitForAnEngineWhereNoneOfTheirGroupIsOutAndHoldUpNoOtherGroup) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[1].locks_data_group = true;
   s.classes[0].waits_for_data_group = true;
-  Drive d(s);
-  d.list({engine(3), engine(4), engine(5)});
-  for (RequestId id = 1; id <= 4; ++id) d.ask(id, 1, 5s, 0, 12);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(3), engine(4), engine(5)});
+  for (RequestId id = 1; id <= 4; ++id) harness.submit(id, 1, 5s, 0, 12);
   std::map<EngineId, int> sent;
-  for (const auto& to : d.sends) ++sent[to.engine];
+  for (const auto& to : harness.sent) ++sent[to.engine];
   EXPECT_EQ(sent, (std::map<EngineId, int>{{3, 1}, {4, 1}, {5, 1}}));
-  EXPECT_EQ(d.sends_of(4), 0);
-  d.ask(5, 1, 5s, 0, 13);
-  EXPECT_EQ(d.sends_of(5), 1) << "another group's load passes by";
-  const auto before = d.sends.size();
-  for (RequestId id = 6; id <= 9; ++id) d.ask(id, 1, 5s, 0, 0);
-  EXPECT_EQ(d.sends.size() - before, 4U) << "where no group is named, nothing is known to be in the way";
-  const auto first = d.sends.front();
-  d.ends(first.request, 0, first.engine, AttemptResult::served);
-  ASSERT_EQ(d.sends_of(4), 1);
-  EXPECT_EQ(d.sends.back().engine, first.engine);
+  EXPECT_EQ(harness.attempts_of(4), 0);
+  harness.submit(5, 1, 5s, 0, 13);
+  EXPECT_EQ(harness.attempts_of(5), 1) << "another group's load passes by";
+  const auto before = harness.sent.size();
+  for (RequestId id = 6; id <= 9; ++id) harness.submit(id, 1, 5s, 0, 0);
+  EXPECT_EQ(harness.sent.size() - before, 4U) << "where no group is named, nothing is known to be in the way";
+  const auto first = harness.sent.front();
+  harness.complete_attempt(first.request, 0, first.engine, AttemptResult::served);
+  ASSERT_EQ(harness.attempts_of(4), 1);
+  EXPECT_EQ(harness.sent.back().engine, first.engine);
 }
 
 // Hot groups were held on nearly every engine, and most short queries stood still behind loads.
 TEST(DataGroupLocks, ReadersKeepOffEnginesWhereOneHoldsTheirGroup) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[1].locks_data_group = true;
   s.classes[0].waits_for_data_group = true;
-  Drive d(s);
-  d.list({engine(3), engine(4), engine(5), engine(6), engine(7)});
-  for (RequestId id = 1; id <= 2; ++id) d.ask(id, 1, 5s, 0, 12);
-  const std::set<EngineId> held{d.sends.at(0).engine, d.sends.at(1).engine};
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(3), engine(4), engine(5), engine(6), engine(7)});
+  for (RequestId id = 1; id <= 2; ++id) harness.submit(id, 1, 5s, 0, 12);
+  const std::set<EngineId> held{harness.sent.at(0).engine, harness.sent.at(1).engine};
   for (RequestId id = 11; id <= 16; ++id) {
-    d.ask(id, 0, 5s, 0, 12);
-    ASSERT_EQ(d.sends_of(id), 1);
-    EXPECT_FALSE(held.contains(d.sends.back().engine));
+    harness.submit(id, 0, 5s, 0, 12);
+    ASSERT_EQ(harness.attempts_of(id), 1);
+    EXPECT_FALSE(held.contains(harness.sent.back().engine));
   }
 }
 
@@ -348,13 +351,13 @@
   // Queries of one thread at engines of four cores: each makes its engine a quarter of a thread a core
   // fuller, and a price of 0.02 weighs as 0.4 of them. Without a price only chance tells both engines apart.
   for (const auto& [price, least, most] : {Case{0, 0, 1}, Case{0.02, 2, 2}, Case{0.1, 7, 8}}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.cross_zone_cost = price;
-    Drive d(s);
-    d.list({engine(7, 0), engine(8, 1)});
-    for (RequestId id = 1; id <= 8; ++id) d.ask(id, 0, 5s, 0, static_cast<std::int64_t>(id));
-    const auto away = std::ranges::find(d.sends, EngineId{8}, &SendAttempt::engine);
-    const auto near = static_cast<std::size_t>(away - d.sends.begin());
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7, 0), engine(8, 1)});
+    for (RequestId id = 1; id <= 8; ++id) harness.submit(id, 0, 5s, 0, static_cast<std::int64_t>(id));
+    const auto away = std::ranges::find(harness.sent, EngineId{8}, &SendAttempt::engine);
+    const auto near = static_cast<std::size_t>(away - harness.sent.begin());
     EXPECT_GE(near, least) << price;
     EXPECT_LE(near, most) << price;
   }
@@ -362,44 +365,44 @@
 
 // Another program took most of one engine of five: at a pace of 5 it was still sent as much as the others.
 TEST(SlowEngine, FarSlowerThanTheFleetItGetsFewerQueriesAndLoads) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.kinds = {{"one", 16, 8192}};
   s.classes[0].waits_for_data_group = s.classes[2].locks_data_group = true;
   s.classes[2].deduplication_scope = DeduplicationScope::all;
   s.answers_report_cost = true;
-  Drive d(s);
-  d.list({engine(7), engine(8), engine(9), engine(10), engine(11)});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8), engine(9), engine(10), engine(11)});
   std::vector<std::tuple<Time, RequestId, EngineId>> running;
   std::map<EngineId, int> sent, loads;
   RequestId id = 0;
   std::map<EngineId, int> later;
   for (int step = 0; step < 4000; ++step) {
-    const auto from = d.sends.size();
+    const auto from = harness.sent.size();
     const auto takes = [&](EngineId to) { return to == 8 && step < 2000 ? 500ms : 100ms; };
     const bool load = step % 3 == 0;
-    d.ask(++id, load ? 2 : 0, 5s, 0, step % 40);
-    for (auto i = from; i < d.sends.size(); ++i) {
-      const auto to = d.sends[i].engine;
-      running.emplace_back(d.now + takes(to), d.sends[i].request, to);
+    harness.submit(++id, load ? 2 : 0, 5s, 0, step % 40);
+    for (auto i = from; i < harness.sent.size(); ++i) {
+      const auto to = harness.sent[i].engine;
+      running.emplace_back(harness.now + takes(to), harness.sent[i].request, to);
       if (step >= 1000 && step < 2000) ++(load ? loads : sent)[to];
       if (step >= 3000) ++later[to];
     }
-    d.until(d.now + 10ms);
+    harness.run_until(harness.now + 10ms);
     for (auto it = running.begin(); it != running.end();) {
       const auto [end, request, to] = *it;
-      if (end > d.now) {
+      if (end > harness.now) {
         ++it;
         continue;
       }
       it = running.erase(it);
       AttemptOutcome o;
       o.request = request;
-      o.attempt = static_cast<AttemptIndex>(d.sends_of(request) - 1);
+      o.attempt = static_cast<AttemptIndex>(harness.attempts_of(request) - 1);
       o.engine = to;
       o.latency = takes(to);
       o.work = 100ms;
       o.request_closed = true;
-      d.at(d.now, {o});
+      harness.handle(harness.now, {o});
     }
   }
   EXPECT_LT(sent[8] * 10, sent[7]);
@@ -409,36 +412,36 @@
 }
 
 TEST(BadPlan, AnAttemptThatWouldTakeFarTooLongIsBegunAnewOnce) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.progress_interval = 500ms;
-  Drive d(s);
-  d.list({engine(7), engine(8)});
-  d.ask(1, 0);
-  d.until(d.now + 1s);
-  d.at(d.now, {AttemptProgress{1, 0, d.sends[0].engine, ProgressKind::progress, 0.02}});
-  ASSERT_EQ(d.called_off.size(), 1U);
-  d.ends(1, 0, d.sends[0].engine, AttemptResult::cancelled);
-  ASSERT_EQ(d.sends_of(1), 2);
-  d.until(d.now + 500ms);
-  d.at(d.now, {AttemptProgress{1, 1, d.sends[1].engine, ProgressKind::progress, 0.01}});
-  d.until(d.now + 500ms);
-  d.at(d.now, {AttemptProgress{1, 1, d.sends[1].engine, ProgressKind::progress, 0.02}});
-  EXPECT_EQ(d.called_off.size(), 1U) << "the second time it is the query that is long";
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, 0);
+  harness.run_until(harness.now + 1s);
+  harness.handle(harness.now, {AttemptProgress{1, 0, harness.sent[0].engine, ProgressKind::progress, 0.02}});
+  ASSERT_EQ(harness.cancelled.size(), 1U);
+  harness.complete_attempt(1, 0, harness.sent[0].engine, AttemptResult::cancelled);
+  ASSERT_EQ(harness.attempts_of(1), 2);
+  harness.run_until(harness.now + 500ms);
+  harness.handle(harness.now, {AttemptProgress{1, 1, harness.sent[1].engine, ProgressKind::progress, 0.01}});
+  harness.run_until(harness.now + 500ms);
+  harness.handle(harness.now, {AttemptProgress{1, 1, harness.sent[1].engine, ProgressKind::progress, 0.02}});
+  EXPECT_EQ(harness.cancelled.size(), 1U) << "the second time it is the query that is long";
 }
 
 TEST(BadPlan, ANonIdempotentAttemptIsLeftAlone) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.progress_interval = 500ms;
-  Drive d(s);
-  d.list({engine(7), engine(8)});
-  d.ask(1, 1);
-  d.until(d.now + 1s);
-  d.at(d.now, {AttemptProgress{1, 0, d.sends[0].engine, ProgressKind::progress, 0.001}});
-  EXPECT_TRUE(d.called_off.empty());
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, 1);
+  harness.run_until(harness.now + 1s);
+  harness.handle(harness.now, {AttemptProgress{1, 0, harness.sent[0].engine, ProgressKind::progress, 0.001}});
+  EXPECT_TRUE(harness.cancelled.empty());
 }
 
 Settings probed_and_told() {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 40;
   s.may_gossip = s.may_health_check = true;
   s.load_report_fields = {LoadReportField::inflight};
@@ -446,56 +449,56 @@
 }
 
 // Its one engine was sent a query.
-void send_first(Drive& d) {
-  d.list({engine(7)});
-  d.ask(1, 0);
-  d.until(d.now + 60ms);
-  ASSERT_EQ(d.sends_of(1), 1);
+void send_first(SchedulerHarness& harness) {
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 0);
+  harness.run_until(harness.now + 60ms);
+  ASSERT_EQ(harness.attempts_of(1), 1);
 }
 
 // Answers were lost all over the fleet, with a reset each: every engine was taken to have begun anew, and
 // work came only by cold turns.
 TEST(Unreachable, AnEngineHeardSoonAfterAResetHasNotBegunAnew) {
   for (const Time answer : {5ms, 900ms}) {  // no answer for so long: the process may have ended meanwhile
-    Drive d(probed_and_told());
-    ASSERT_NO_FATAL_FAILURE(send_first(d));
+    SchedulerHarness harness(probed_and_told());
+    ASSERT_NO_FATAL_FAILURE(send_first(harness));
     AttemptOutcome o;
     o.request = 1;
     o.engine = 7;
     o.result = AttemptResult::reset;
-    const auto actions = d.at(d.now, {o});
+    const auto actions = harness.handle(harness.now, {o});
     const auto asked = [](const Action& a) { return std::holds_alternative<SendHealthCheck>(a); };
     EXPECT_TRUE(std::ranges::any_of(actions, asked)) << "asked at once whether it is there";
-    d.until(d.now + answer);
+    harness.run_until(harness.now + answer);
     HealthCheckResult p;
     p.engine = 7;
     p.result = AttemptResult::served;
     p.load = {1.0};
-    d.at(d.now, {p});
-    for (RequestId id = 2; id < 10; ++id) d.ask(id, 0);
-    d.until(d.now + 60ms);
-    EXPECT_EQ(d.sends.size() > 3, answer < 500ms);
+    harness.handle(harness.now, {p});
+    for (RequestId id = 2; id < 10; ++id) harness.submit(id, 0);
+    harness.run_until(harness.now + 60ms);
+    EXPECT_EQ(harness.sent.size() > 3, answer < 500ms);
   }
 }
 
 // Both were written before its process ended, and read after a connection of it was seen to break.
 TEST(Unreachable, AnEnginesLastWordsDoNotProveThatItHasOutlivedABreak) {
   for (const bool probe : {true, false}) {
-    Drive d(probed_and_told());
-    ASSERT_NO_FATAL_FAILURE(send_first(d));
-    d.ends(1, 0, 7, AttemptResult::reset);
-    d.until(d.now + 5ms);
+    SchedulerHarness harness(probed_and_told());
+    ASSERT_NO_FATAL_FAILURE(send_first(harness));
+    harness.complete_attempt(1, 0, 7, AttemptResult::reset);
+    harness.run_until(harness.now + 5ms);
     if (probe) {
-      d.at(d.now, {HealthCheckResult{7, AttemptResult::served, 20ms, {}}});
+      harness.handle(harness.now, {HealthCheckResult{7, AttemptResult::served, 20ms, {}}});
     } else {
       GossipPayload text;
       text.has_reports = true;
       text.entries = {{7, 0, 0}};
-      d.at(d.now, {GossipMessage{3, encode_gossip(text)}});
+      harness.handle(harness.now, {GossipMessage{3, encode_gossip(text)}});
     }
-    for (RequestId id = 2; id < 10; ++id) d.ask(id, 0);
-    d.until(d.now + 60ms);
-    EXPECT_LE(d.sends.size(), 3U) << (probe ? "a probe's answer" : "a peer's report");
+    for (RequestId id = 2; id < 10; ++id) harness.submit(id, 0);
+    harness.run_until(harness.now + 60ms);
+    EXPECT_LE(harness.sent.size(), 3U) << (probe ? "a probe's answer" : "a peer's report");
   }
 }
 
@@ -504,31 +507,31 @@
 TEST(Unreachable, AnEngineThatAnswersForWhatItHadBeforeABreakHasNotBegunAnew) {
   // The answer is for a query from before the break, or from after it.
   for (const bool before : {true, false}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.brokers = 40;
     s.may_health_check = true;
     s.load_report_fields = {LoadReportField::inflight};
-    Drive d(s);
-    d.list({engine(7)});
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7)});
     const auto send = [&](RequestId id) {
-      d.ask(id, 0);
-      d.until(d.now + 60ms);
+      harness.submit(id, 0);
+      harness.run_until(harness.now + 60ms);
     };
     send(1);
     if (before) send(2);
-    d.ends(1, 0, 7, AttemptResult::reset);
-    const auto until_break = d.sends.size();
+    harness.complete_attempt(1, 0, 7, AttemptResult::reset);
+    const auto until_break = harness.sent.size();
     // Until it has a turn there.
-    for (RequestId id = 3; !before && d.sends.size() == until_break && id < 900; ++id) send(id);
-    ASSERT_EQ(d.sends.size() > until_break, !before);
-    const auto sent = before ? RequestId{2} : d.sends[until_break].request;
+    for (RequestId id = 3; !before && harness.sent.size() == until_break && id < 900; ++id) send(id);
+    ASSERT_EQ(harness.sent.size() > until_break, !before);
+    const auto sent = before ? RequestId{2} : harness.sent[until_break].request;
     const auto n = static_cast<AttemptIndex>(sent == 1 ? 1 : 0);
-    d.until(d.now + 900ms);
-    d.ends(sent, n, 7, AttemptResult::served);
-    const auto had = d.sends.size();
-    for (RequestId id = 1000; id < 1010; ++id) d.ask(id, 0);
-    d.until(d.now + 60ms);
-    EXPECT_EQ(d.sends.size() > had + 3, before);
+    harness.run_until(harness.now + 900ms);
+    harness.complete_attempt(sent, n, 7, AttemptResult::served);
+    const auto had = harness.sent.size();
+    for (RequestId id = 1000; id < 1010; ++id) harness.submit(id, 0);
+    harness.run_until(harness.now + 60ms);
+    EXPECT_EQ(harness.sent.size() > had + 3, before);
   }
 }
 
@@ -566,22 +569,23 @@
   for (const auto result : {AttemptResult::connect_failed, AttemptResult::reset}) {
     int tried = 0, early = 0;
     for (unsigned i = 0; i < 40; ++i) {
-      Settings s = plain_settings();
+      Settings s = basic_settings();
       s.brokers = 40;
       s.broker_index = i;
-      Drive d(s, 1 + i);
-      d.list({engine(7)});
-      d.until(d.now +
-              s.slow_start_overload_window);  // in its first one a process sends nothing to a cold engine
-      d.ask(1, 0);
-      d.ends(1, 0, 7, result);
-      const auto broke = d.now;
+      SchedulerHarness harness(s, 1 + i);
+      harness.set_endpoints({engine(7)});
+      harness.run_until(
+          harness.now +
+          s.slow_start_overload_window);  // in its first one a process sends nothing to a cold engine
+      harness.submit(1, 0);
+      harness.complete_attempt(1, 0, 7, result);
+      const auto broke = harness.now;
       for (RequestId id = 2; id < 30; ++id) {
-        d.ask(id, 0);
-        d.until(d.now + 100ms);
+        harness.submit(id, 0);
+        harness.run_until(harness.now + 100ms);
       }
-      tried += d.sends.size() > 1 ? 1 : 0;
-      for (std::size_t n = 1; n < d.sends.size(); ++n) early += d.now < broke + 3s ? 1 : 0;
+      tried += harness.sent.size() > 1 ? 1 : 0;
+      for (std::size_t n = 1; n < harness.sent.size(); ++n) early += harness.now < broke + 3s ? 1 : 0;
     }
     EXPECT_LT(tried, 20) << "forty trials at once would push a new process over";
     EXPECT_GT(tried, 0);
@@ -590,44 +594,44 @@
 }
 
 TEST(ManyEngines, OneThatNothingTellsOfIsNotTakenForEmpty) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 100;
   s.may_health_check = true;
   s.load_report_fields = {LoadReportField::inflight};
-  Drive d(s);
+  SchedulerHarness harness(s);
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 40; ++id) engines.push_back(engine(id));
-  d.list(engines);
+  harness.set_endpoints(engines);
   for (EngineId id = 1; id <= 40; ++id) {  // all crowded, but one that is known to be idle
     HealthCheckResult probe;
     probe.engine = id;
     probe.load = {id == 5 ? 0.0 : 20.0};
-    if (id <= 4 || id == 5 || id > 33) d.at(d.now, {probe});
+    if (id <= 4 || id == 5 || id > 33) harness.handle(harness.now, {probe});
   }
-  d.ask(1, 0);
-  d.until(d.now + 60ms);
-  ASSERT_EQ(d.sends_of(1), 1);
-  EXPECT_EQ(d.sends.back().engine, 5U);
+  harness.submit(1, 0);
+  harness.run_until(harness.now + 60ms);
+  ASSERT_EQ(harness.attempts_of(1), 1);
+  EXPECT_EQ(harness.sent.back().engine, 5U);
 }
 
 TEST(ManyEngines, AQueryCostsNoMoreHealthChecksOrBytesInALargerFleet) {
   for (const unsigned size : {20U, 200U}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.brokers = 4 * size;
     s.may_health_check = s.may_gossip = true;
     s.load_report_fields = {LoadReportField::inflight};
-    Drive d(s);
+    SchedulerHarness harness(s);
     std::vector<Endpoint> engines;
     for (EngineId id = 1; id <= size; ++id) engines.push_back(engine(id));
-    d.list(engines);
+    harness.set_endpoints(engines);
     std::size_t probes = 0, bytes = 0;
     for (RequestId id = 1; id <= 50; ++id) {
       RequestArrival a;
       a.request = id;
       a.time_left = 5s;
-      std::vector<Action> actions = d.at(d.now, {a});
+      std::vector<Action> actions = harness.handle(harness.now, {a});
       for (int tick = 0; tick < 10; ++tick) {
-        const auto more = d.at(d.wake, {TimerFired{}});
+        const auto more = harness.handle(harness.next_timer_at, {TimerFired{}});
         actions.insert(actions.end(), more.begin(), more.end());
       }
       for (const auto& action : actions) {
@@ -646,15 +650,15 @@
 }
 
 TEST(Gossip, OneThatIsMalformedIsIgnoredWhole) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 3;
   s.may_gossip = true;
   const auto choice = [&s](const std::string& bytes) {
-    Drive d(s);
-    d.list({engine(7), engine(8)});
-    d.at(d.now, {GossipMessage{1, bytes}});
-    d.ask(1, 0);
-    return d.sends.empty() ? 0U : d.sends.back().engine;
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7), engine(8)});
+    harness.handle(harness.now, {GossipMessage{1, bytes}});
+    harness.submit(1, 0);
+    return harness.sent.empty() ? 0U : harness.sent.back().engine;
   };
   const std::string on_seven("o\x07\0\0\0\x06", 6), on_eight("o\x08\0\0\0\x06", 6);
   EXPECT_EQ(choice(on_seven), 8U);
@@ -666,39 +670,39 @@
 }
 
 // One of many gateways, told of twenty engines of 16 cores again and again.
-Drive told_by_reports(bool apart, double queries, int rounds) {
-  Settings s = plain_settings();
+SchedulerHarness told_by_reports(bool apart, double queries, int rounds) {
+  Settings s = basic_settings();
   s.brokers = 200;
   s.kinds = {{"one", 16, 0}};
   s.load_report_fields = {LoadReportField::inflight};
-  Drive d(s);
+  SchedulerHarness harness(s);
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 20; ++id) engines.push_back(engine(id));
-  d.list(engines);
+  harness.set_endpoints(engines);
   for (int round = 0; round < rounds; ++round) {
-    d.until(d.now + 500ms);
+    harness.run_until(harness.now + 500ms);
     for (EngineId id = 1; id <= 20; ++id) {
       HealthCheckResult p;
       p.engine = id;
       p.load = {apart ? (id % 2 == 0 ? 0.0 : 2 * queries) : (id == 20 ? queries / 2 : queries)};
-      d.at(d.now, {p});
+      harness.handle(harness.now, {p});
     }
   }
-  return d;
+  return harness;
 }
 
 // Reports came seconds late: all gateways filled the engines that had been empty, again and again.
 TEST(OldReports, ThatLieFarApartAreBelievedInPartOnly) {
-  Drive good = told_by_reports(false, 20, 5), bad = told_by_reports(true, 20, 5);
+  SchedulerHarness good = told_by_reports(false, 20, 5), bad = told_by_reports(true, 20, 5);
   int emptiest = 0, full = 0;
   for (RequestId id = 1; id <= 100; ++id) {
-    for (auto* d : {&good, &bad}) {
-      d->ask(id, 0, 5s, 0, id);
-      ASSERT_EQ(d->sends_of(id), 1);
-      d->ends(id, 0, d->sends.back().engine, AttemptResult::served);
+    for (auto* harness : {&good, &bad}) {
+      harness->submit(id, 0, 5s, 0, id);
+      ASSERT_EQ(harness->attempts_of(id), 1);
+      harness->complete_attempt(id, 0, harness->sent.back().engine, AttemptResult::served);
     }
-    emptiest += good.sends.back().engine == 20 ? 1 : 0;
-    full += bad.sends.back().engine % 2 == 1 ? 1 : 0;
+    emptiest += good.sent.back().engine == 20 ? 1 : 0;
+    full += bad.sent.back().engine % 2 == 1 ? 1 : 0;
   }
   EXPECT_GT(emptiest, 90) << "reports that agree tell where room is";
   EXPECT_GE(full, 5) << "else what was full a while ago may be empty now";
@@ -707,138 +711,140 @@
 
 TEST(OldReports, ABrokersOwnThreadsShowThatAllOvershoot) {
   for (const bool apart : {false, true}) {
-    Drive d = told_by_reports(apart, 28, 10);
-    const auto before = d.sends.size();
-    for (RequestId id = 1; id <= 6; ++id) d.ask(id, 0, 5s, 0, id);  // far more than it has run of late
-    EXPECT_EQ(d.sends.size() - before, apart ? 2U : 6U);
+    SchedulerHarness harness = told_by_reports(apart, 28, 10);
+    const auto before = harness.sent.size();
+    for (RequestId id = 1; id <= 6; ++id)
+      harness.submit(id, 0, 5s, 0, id);  // far more than it has run of late
+    EXPECT_EQ(harness.sent.size() - before, apart ? 2U : 6U);
   }
 }
 
 // A quarter of the fleet restarted: what ran there was gone, yet the level stayed high and all was refused.
 TEST(ManyBrokers, TheLevelByMessagesFollowsWithinSeconds) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 40;
   s.may_gossip = true;
   s.load_report_fields = {LoadReportField::util};
-  Drive other(s), d(s, 2);
+  SchedulerHarness other(s), harness(s, 2);
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 5; ++id) engines.push_back(engine(id));
-  for (auto* each : {&other, &d}) each->list(engines);
+  for (auto* each : {&other, &harness}) each->set_endpoints(engines);
   const auto message = [&other] {  // what the other gateway says now
     for (RequestId id = 100; id < 110; ++id)
-      other.ask(id, 5);  // of no class: refused, but they pay for bytes
+      other.submit(id, 5);  // of no class: refused, but they pay for bytes
     for (int tick = 0; tick < 50; ++tick) {
-      for (const auto& action : other.at(other.wake, {TimerFired{}}))
+      for (const auto& action : other.handle(other.next_timer_at, {TimerFired{}}))
         if (const auto* tell = std::get_if<SendGossip>(&action)) return tell->bytes;
     }
     return std::string();
   };
-  for (RequestId id = 1; id <= 3; ++id) other.ask(id, 0);
-  ASSERT_EQ(other.sends.size(), 3U);
+  for (RequestId id = 1; id <= 3; ++id) other.submit(id, 0);
+  ASSERT_EQ(other.sent.size(), 3U);
   const auto busy = message();
-  const auto sent = other.sends;
-  for (const auto& send : sent) other.ends(send.request, 0, send.engine, AttemptResult::served);
+  const auto sent = other.sent;
+  for (const auto& send : sent) other.complete_attempt(send.request, 0, send.engine, AttemptResult::served);
   const auto idle = message();
   ASSERT_NE(busy, idle);
-  const auto tell = [&d](const std::string& bytes) {
+  const auto tell = [&harness](const std::string& bytes) {
     GossipMessage m;
     m.from = 1;
     m.bytes = bytes;
-    d.at(d.now + 100ms, {m});
+    harness.handle(harness.now + 100ms, {m});
   };
   for (int i = 0; i < 30; ++i) tell(busy);
-  d.ask(1, 0);
-  EXPECT_EQ(d.sends.size(), 0U) << "six threads a core by messages";
+  harness.submit(1, 0);
+  EXPECT_EQ(harness.sent.size(), 0U) << "six threads a core by messages";
   for (int i = 0; i < 20; ++i) tell(idle);
-  d.ask(2, 0);
-  EXPECT_GT(d.sends.size(), 0U);
+  harness.submit(2, 0);
+  EXPECT_GT(harness.sent.size(), 0U);
 }
 
 TEST(ManyBrokers, LaterRanksStopEarlierSoThatTheFirstClassFindsCapacity) {
   // Traffic has turned to a heavy class for good: the fleet stands between both limits.
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 100;
   s.may_health_check = true;
   s.load_report_fields = {LoadReportField::inflight};
-  Drive d(s);
-  d.list({engine(7), engine(8)});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
   for (EngineId id : {7U, 8U}) {
     HealthCheckResult probe;
     probe.engine = id;
     probe.load = {7.0};  // 1.75 threads a core
-    d.at(d.now, {probe});
+    harness.handle(harness.now, {probe});
   }
-  d.ask(1, 1);
-  d.ask(2, 0);
-  d.until(d.now + 60ms);
-  EXPECT_EQ(d.sends_of(1), 0);
-  EXPECT_EQ(d.sends_of(2), 1);
+  harness.submit(1, 1);
+  harness.submit(2, 0);
+  harness.run_until(harness.now + 60ms);
+  EXPECT_EQ(harness.attempts_of(1), 0);
+  EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
 TEST(LostAnswers, AnEngineThatAnswersOthersIsNotEjectedAndTheLostAreSettledInTime) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.max_attempts = 1;
-  Drive d(s);
-  d.list({engine(7)});
-  const auto start = d.now;
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  const auto start = harness.now;
   for (RequestId id = 1; id <= 40; ++id) {
-    d.ask(id, 0);
-    ASSERT_EQ(d.sends_of(id), 1) << "still trusted at " << id;
-    if (id % 10 != 0) d.ends(id, 0, 7, AttemptResult::served);
-    if (id % 10 == 0) d.ask(100 + id, 0), d.ends(100 + id, 0, 7, AttemptResult::served);
-    d.until(d.now + 100ms);
+    harness.submit(id, 0);
+    ASSERT_EQ(harness.attempts_of(id), 1) << "still trusted at " << id;
+    if (id % 10 != 0) harness.complete_attempt(id, 0, 7, AttemptResult::served);
+    if (id % 10 == 0)
+      harness.submit(100 + id, 0), harness.complete_attempt(100 + id, 0, 7, AttemptResult::served);
+    harness.run_until(harness.now + 100ms);
   }
-  d.until(start + 10s);
-  for (RequestId id = 10; id <= 40; id += 10) EXPECT_EQ(d.answers(id), 1);
+  harness.run_until(start + 10s);
+  for (RequestId id = 10; id <= 40; id += 10) EXPECT_EQ(harness.answer_count(id), 1);
 }
 
 TEST(Stalls, ABrokerThatHadNoTurnBlamesNoEngineAndSettlesWhatIsOverdue) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.progress_interval = 500ms;
-  Drive d(s);
-  d.list({engine(7), engine(8)});
-  d.ask(1, 0);
-  d.ask(2, 0);
-  d.now += 2s;  // no call meanwhile; the client of one that was held has little time left
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, 0);
+  harness.submit(2, 0);
+  harness.now += 2s;  // no call meanwhile; the client of one that was held has little time left
   RequestArrival late;
   late.request = 3;
   late.time_left = 30ms;
-  d.at(d.now, {TimerFired{}, late});
-  EXPECT_TRUE(d.called_off.empty());
-  d.until(d.now + 40ms);
-  EXPECT_EQ(d.answers(3), 1);
-  d.until(d.now + 2s);
-  EXPECT_EQ(d.called_off.size(), 2U) << "silence that it did see is still told";
+  harness.handle(harness.now, {TimerFired{}, late});
+  EXPECT_TRUE(harness.cancelled.empty());
+  harness.run_until(harness.now + 40ms);
+  EXPECT_EQ(harness.answer_count(3), 1);
+  harness.run_until(harness.now + 2s);
+  EXPECT_EQ(harness.cancelled.size(), 2U) << "silence that it did see is still told";
 }
 
 TEST(Stalls, WhatWaitedMeanwhileIsSettledAtOnceIfItCantBeInTime) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8)});
-  d.ask(1, 0);  // comes with 5 s left, as all do
-  d.ends(1, 0, d.sends.back().engine, AttemptResult::served);
-  d.now += 2s;
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, 0);  // comes with 5 s left, as all do
+  harness.complete_attempt(1, 0, harness.sent.back().engine, AttemptResult::served);
+  harness.now += 2s;
   RequestArrival old, young;
   old.request = 2;
   old.time_left = 3200ms;
   young.request = 3;
   young.time_left = 4900ms;
-  d.at(d.now, {old, young});
-  EXPECT_EQ(d.answers(2), 1);
-  EXPECT_EQ(d.sends_of(2), 0);
-  EXPECT_EQ(d.sends_of(3), 1);
-  d.until(d.now + 100ms);
-  d.ask(4, 0, 3200ms);  // with a turn in time, little time left is the client's own choice
-  EXPECT_EQ(d.sends_of(4), 1);
+  harness.handle(harness.now, {old, young});
+  EXPECT_EQ(harness.answer_count(2), 1);
+  EXPECT_EQ(harness.attempts_of(2), 0);
+  EXPECT_EQ(harness.attempts_of(3), 1);
+  harness.run_until(harness.now + 100ms);
+  harness.submit(4, 0, 3200ms);  // with a turn in time, little time left is the client's own choice
+  EXPECT_EQ(harness.attempts_of(4), 1);
 }
 
 TEST(TenantQuota, AFloodDoesNotRaiseTheQuotaThatItIsMeasuredAgainst) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.over_quota_weight = 0.05;
   s.may_health_check = true;
   s.load_report_fields = {LoadReportField::inflight};
   s.tenants = {{"a", 0.5, 5}, {"b", 0.5, 5}};
-  Drive d(s);
-  d.list({engine(7), engine(8)});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
   RequestId id = 0;
   const auto second = [&](int of_first) {
     std::vector<int> served(2);
@@ -850,12 +856,12 @@
       HealthCheckResult probe;
       probe.engine = 7 + id % 2;
       probe.load = {of_first > 5 ? 7.0 : 0.0};  // crowded by the others, past 1.5 threads a core
-      d.at(d.now, {probe, a});
-      if (d.sends_of(id) > 0) {
+      harness.handle(harness.now, {probe, a});
+      if (harness.attempts_of(id) > 0) {
         ++served[a.tenant];
-        d.ends(id, 0, d.sends.back().engine, AttemptResult::served, 50ms);
+        harness.complete_attempt(id, 0, harness.sent.back().engine, AttemptResult::served, 50ms);
       }
-      d.until(d.now + 1000ms / (of_first + 5));
+      harness.run_until(harness.now + 1000ms / (of_first + 5));
     }
     return served;
   };
@@ -871,65 +877,65 @@
 }
 
 TEST(EndpointLists, AnEngineLongGoneIsForgottenAndOneThatReturnsIsNew) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8)});
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8)});
   for (int n = 0; n < 2; ++n) {
-    d.ask(1 + n, 0);
-    d.ends(1 + n, 0, d.sends.back().engine, AttemptResult::reset);
+    harness.submit(1 + n, 0);
+    harness.complete_attempt(1 + n, 0, harness.sent.back().engine, AttemptResult::reset);
   }
-  d.list({engine(9)});
-  d.ask(10, 0);
-  EXPECT_EQ(d.sends.back().engine, 9U);
-  d.ends(10, 0, 9, AttemptResult::served);
-  d.list({engine(7)});
-  d.ask(11, 0);
-  EXPECT_EQ(d.sends_of(11), 1) << "what it did long ago no longer counts";
+  harness.set_endpoints({engine(9)});
+  harness.submit(10, 0);
+  EXPECT_EQ(harness.sent.back().engine, 9U);
+  harness.complete_attempt(10, 0, 9, AttemptResult::served);
+  harness.set_endpoints({engine(7)});
+  harness.submit(11, 0);
+  EXPECT_EQ(harness.attempts_of(11), 1) << "what it did long ago no longer counts";
 }
 
 // Hundreds asked and withdrawn at once used up the share of the tenant's usual clients.
 TEST(TenantQuota, WhatIsWithdrawnBeforeItWasSentUsesNothingOfTheQuota) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.over_quota_weight = 0.1;
   s.tenants = {{"a", 0.5, 10}, {"b", 0.5, 10}};
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 40; ++id) d.ask(id, 0, 20s, 0, 1);  // until queries wait
-  const auto held = [&] { return d.gateway.class_status(0).queued; };
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 40; ++id) harness.submit(id, 0, 20s, 0, 1);  // until queries wait
+  const auto held = [&] { return harness.scheduler.class_status(0).queued; };
   ASSERT_GT(held(), 0U);
   for (RequestId id = 1000; id < 1400; ++id) {
     RequestArrival a;
     a.request = id;
     a.tenant = 1;
     a.time_left = 5s;
-    d.at(d.now, {a, RequestCancelled{id}});
+    harness.handle(harness.now, {a, RequestCancelled{id}});
   }
   RequestArrival usual;
   usual.request = 5000;
   usual.tenant = 1;
   usual.time_left = 5s;
-  d.at(d.now, {usual});
-  EXPECT_EQ(d.answers(5000), 0);
+  harness.handle(harness.now, {usual});
+  EXPECT_EQ(harness.answer_count(5000), 0);
 }
 
 TEST(TenantQuota, AFloodIsRejectedOnceQueriesWaitAndOthersAreNot) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
-  Drive d(s);
-  d.list({});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({});
   RequestId id = 0;
   const auto ask = [&](std::uint32_t tenant) {
     RequestArrival a;
     a.request = ++id;
     a.tenant = tenant;
     a.time_left = 5s;
-    d.at(d.now, {a});
+    harness.handle(harness.now, {a});
     return id;
   };
   for (int i = 0; i < 60; ++i) ask(1);
-  EXPECT_EQ(d.refused[id], 1);
+  EXPECT_EQ(harness.rejected[id], 1);
   const auto calm = ask(0);
-  EXPECT_EQ(d.refused[calm], 0);
+  EXPECT_EQ(harness.rejected[calm], 0);
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -16,7 +16,7 @@
 
 // As the platform's settings are for a hundred brokers: engines of 8 cores, lookups, reports and loads.
 Settings fleet_settings() {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = kGateways;
   s.min_call_interval = 1ms;
   s.max_attempts = 4;
@@ -56,29 +56,29 @@
   explicit Fleet(Settings settings) {
     for (unsigned i = 0; i < settings.brokers; ++i) {
       settings.broker_index = i;
-      all.push_back(std::make_unique<Drive>(settings, 1000 + i));
+      all.push_back(std::make_unique<SchedulerHarness>(settings, 1000 + i));
       std::vector<Endpoint> engines;
       for (EngineId id = 1; id <= kEngines; ++id) engines.push_back(engine(id));
-      all.back()->list(engines);
+      all.back()->set_endpoints(engines);
     }
   }
-  std::vector<std::unique_ptr<Drive>> all;
+  std::vector<std::unique_ptr<SchedulerHarness>> all;
 };
 
 // On Laval's calm day three in ten queries waited for memory in their engines. They counted for running ones:
 // the fleet seemed crowded, and 13% of all requests were refused as too big while cores stood idle.
 TEST(Fleet, WhatWaitsForMemoryAtAnEngineDoesNotOverloadItsCores) {
   for (const double util : {0.5, 1.0}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.load_report_fields = {LoadReportField::inflight, LoadReportField::util};
-    Drive d(s);
-    d.list({engine(7)});
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7)});
     HealthCheckResult report;
     report.engine = 7;
     report.result = AttemptResult::served;
     report.load = {12, util};  // on 4 cores
-    d.at(d.now, {report});
-    EXPECT_NEAR(d.gateway.load_level(), util < 1 ? 0.8 : 3, 0.01) << "threads a core";
+    harness.handle(harness.now, {report});
+    EXPECT_NEAR(harness.scheduler.load_level(), util < 1 ? 0.8 : 3, 0.01) << "threads a core";
   }
 }
 
@@ -89,14 +89,14 @@
   s.load_report_fields = {LoadReportField::queue, LoadReportField::disk_share, LoadReportField::memory_share};
   Fleet fleet(s);
   std::size_t probes = 0, sends = 0;
-  for (auto& d : fleet.all) {
+  for (auto& harness : fleet.all) {
     for (RequestId id = 1; id <= 6; ++id) {
       RequestArrival a;
       a.request = id;
       a.time_left = 840ms;
-      for (const auto& action : d->at(d->now + 100ms, {a}))
+      for (const auto& action : harness->handle(harness->now + 100ms, {a}))
         probes += std::holds_alternative<SendHealthCheck>(action) ? 1 : 0;
-      sends += d->sends.size() == id ? 1 : 0;
+      sends += harness->sent.size() == id ? 1 : 0;
     }
   }
   EXPECT_EQ(probes, 0U);
@@ -125,7 +125,7 @@
       }
       running[i] -= static_cast<int>(std::ranges::count_if(
           events, [](const Event& e) { return std::holds_alternative<AttemptOutcome>(e); }));
-      for (const auto& action : fleet.all[i]->at(now, std::move(events))) {
+      for (const auto& action : fleet.all[i]->handle(now, std::move(events))) {
         if (const auto* tell = std::get_if<SendGossip>(&action)) {
           ++datagrams;
           mail[*tell->to].emplace_back(GossipMessage{static_cast<std::uint32_t>(i), tell->bytes});
@@ -144,7 +144,7 @@
         refused += std::holds_alternative<Reject>(action) ? 1 : 0;
       }
     }
-    for (std::size_t i = 0; i < mail.size() && !silent; ++i) fleet.all[i]->at(now, std::move(mail[i]));
+    for (std::size_t i = 0; i < mail.size() && !silent; ++i) fleet.all[i]->handle(now, std::move(mail[i]));
   }
   bool silent = false;  // the gateways don't hear each other
   Fleet& fleet;
@@ -175,7 +175,7 @@
     load.step(chance, 200ms);
     for (unsigned i = 0; i < kGateways; ++i) {
       truth += 4.0 * load.running[i] / (8.0 * kEngines);
-      const double told = fleet.all[i]->gateway.load_level();
+      const double told = fleet.all[i]->scheduler.load_level();
       sum += told;
       squares += told * told;
     }
@@ -200,7 +200,7 @@
       load.step(chance, 2s);
       for (unsigned i = 0; i < kGateways; ++i) {
         truth += 4.0 * load.running[i] / (8.0 * kEngines);
-        sum += fleet.all[i]->gateway.load_level();
+        sum += fleet.all[i]->scheduler.load_level();
       }
     }
     return std::pair(sum / 50 / kGateways, truth / 50);
@@ -272,7 +272,7 @@
     anew.push_back(engine(id));
     anew.back().started_at = began;
   }
-  for (auto& d : fleet.all) d->list(anew, EndpointListKind::delta);
+  for (auto& harness : fleet.all) harness->set_endpoints(anew, EndpointListKind::delta);
   const double work = 0.8;  // core-seconds of a query, four threads for 200 ms
   std::map<EngineId, std::deque<Time>> last;
   double worst = 0, cold = 0, warm = 0;
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -145,19 +145,19 @@
 namespace {
 
 Settings shared() {
-  auto s = plain_settings();
+  auto s = basic_settings();
   s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
   return s;
 }
 
-RequestId ask_for(Drive& d, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
+RequestId ask_for(SchedulerHarness& harness, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
   RequestArrival a;
   a.request = id;
   a.cls = cls;
   a.tenant = tenant;
   a.time_left = 5s;
-  d.at(d.now, {a});
+  harness.handle(harness.now, {a});
   return id;
 }
 
@@ -172,12 +172,12 @@
 
 TEST(Reconfigure, WhatCannotChangeIsNamedAndNothingHasChanged) {
   const auto base = shared();
-  Drive d(base);
+  SchedulerHarness harness(base);
   const auto with = [&](auto change) {
     auto s = base;
     s.classes[0].latency_objective = 9s;  // would be taken up otherwise
     change(s);
-    return refusal(d.gateway, s);
+    return refusal(harness.scheduler, s);
   };
   EXPECT_NE(with([](auto& s) { s.classes.pop_back(); }).find("the number of classes"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.classes[2].threads = 2; }).find("classes[].threads"), std::string::npos);
@@ -198,11 +198,11 @@
   EXPECT_NE(with([](auto& s) { s.tenants[1].quota_fraction = -1; }).find("must not be below 0"),
             std::string::npos);
   // Class 0 is still the first in rank: of two that wait, it goes first.
-  d.ask(1, 1);
-  d.ask(2, 0);
-  d.list({engine(7)});
-  ASSERT_EQ(d.sends.size(), 2U);
-  EXPECT_EQ(d.sends[0].request, 2U);
+  harness.submit(1, 1);
+  harness.submit(2, 0);
+  harness.set_endpoints({engine(7)});
+  ASSERT_EQ(harness.sent.size(), 2U);
+  EXPECT_EQ(harness.sent[0].request, 2U);
 }
 
 std::string text_of(const std::vector<Action>& actions) {
@@ -226,8 +226,8 @@
   auto s = shared();
   s.brokers = 2;
   s.may_gossip = true;
-  Drive d(s, 5);
-  d.list({engine(7), engine(8), engine(9)});
+  SchedulerHarness harness(s, 5);
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
   std::mt19937_64 random(11);
   std::multimap<Time, std::pair<SendAttempt, ClassIndex>> out;
   std::map<RequestId, ClassIndex> classes;
@@ -236,9 +236,9 @@
   RequestId id = 0;
   std::size_t seen = 0;
   for (int step = 0; step < 2000; ++step) {
-    const Time now = d.now + 10ms;
+    const Time now = harness.now + 10ms;
     std::vector<Event> events;
-    if (d.wake <= now) events.emplace_back(TimerFired{});
+    if (harness.next_timer_at <= now) events.emplace_back(TimerFired{});
     for (; !out.empty() && out.begin()->first <= now; out.erase(out.begin())) {
       const auto& send = out.begin()->second.first;
       AttemptOutcome o;
@@ -258,10 +258,10 @@
       a.time_left = 3s;
       events.emplace_back(a);
     }
-    if (step % 10 == 0) at(d.gateway, step / 10);
-    text += text_of(d.at(now, events));
-    for (; seen < d.sends.size(); ++seen)
-      out.insert({now + 100ms + std::chrono::milliseconds(random() % 300), {d.sends[seen], 0}});
+    if (step % 10 == 0) at(harness.scheduler, step / 10);
+    text += text_of(harness.handle(now, events));
+    for (; seen < harness.sent.size(); ++seen)
+      out.insert({now + 100ms + std::chrono::milliseconds(random() % 300), {harness.sent[seen], 0}});
   }
   return text;
 }
@@ -284,15 +284,15 @@
 }
 
 TEST(Reconfigure, RanksAreMadeAnewForWhatWaits) {
-  auto s = plain_settings();
-  Drive d(s);
-  d.ask(1, 0);
-  d.ask(2, 2);
+  auto s = basic_settings();
+  SchedulerHarness harness(s);
+  harness.submit(1, 0);
+  harness.submit(2, 2);
   s.classes[2].latency_objective = 500ms;
-  d.gateway.reconfigure(s);
-  d.list({engine(7)});
-  ASSERT_EQ(d.sends.size(), 2U);
-  EXPECT_EQ(d.sends[0].request, 2U);
+  harness.scheduler.reconfigure(s);
+  harness.set_endpoints({engine(7)});
+  ASSERT_EQ(harness.sent.size(), 2U);
+  EXPECT_EQ(harness.sent[0].request, 2U);
 }
 
 // The formula of the control loop, by its own state and error: a version at every sample does not disturb it.
@@ -303,75 +303,75 @@
   s.classes[0].latency_objective = 100s;  // wait aim 30 s
   s.classes[0].objective_stretch = 10;    // nothing is given up meanwhile
   s.classes[0].client_timeout = 1000s;
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.class_status(0).queued, 1U);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 21; ++id) harness.submit(id, 0, 900s);
+  ASSERT_EQ(harness.scheduler.class_status(0).queued, 1U);
   double u = 1, before = 0;
   for (int m = 1; m <= 25; ++m) {
     s.classes[0].priority_weight = m;
     s.tenants = {{"t" + std::to_string(m), 1, 10}};
-    d.gateway.reconfigure(s);
-    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
-    d.until(100s + std::chrono::milliseconds(2000 * m + 19));
+    harness.scheduler.reconfigure(s);
+    harness.handle(harness.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
+    harness.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double error = (30 - (m == 1 ? 2.0 / 21 : 2.0 * m)) / 30;
     u = std::clamp(u - 0.8 * 2 * (error - 0.3 * before), 1.0, 20.0);
     before = error;
-    EXPECT_NEAR(d.gateway.class_status(0).budget, u, 1e-6) << "period " << m;
+    EXPECT_NEAR(harness.scheduler.class_status(0).budget, u, 1e-6) << "period " << m;
   }
   EXPECT_GT(u, 1.0);
 }
 
 TEST(Reconfigure, BucketsCarryOverAndNewOnesBeginAsAtTheStart) {
   auto s = shared();
-  Drive d(s);
-  d.list({});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({});
   RequestId id = 0;
   const auto until_refused = [&](std::uint32_t tenant) {
     int taken = 0;
-    while (taken < 1000 && d.refused[ask_for(d, ++id, tenant)] == 0) ++taken;
+    while (taken < 1000 && harness.rejected[ask_for(harness, ++id, tenant)] == 0) ++taken;
     return taken;
   };
-  ask_for(d, ++id, 0);  // one waits: from here on what is past its share is refused
+  ask_for(harness, ++id, 0);  // one waits: from here on what is past its share is refused
   const int at_start = until_refused(1);
   EXPECT_GT(at_start, 10);
   // The bucket is empty, and stays empty though its tenant's share grows.
   s.tenants[1].quota_fraction = 0.9;
   s.tenants.push_back({"new", 0.5, 20});
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   EXPECT_EQ(until_refused(1), 0);
   EXPECT_EQ(until_refused(2), at_start) << "as its share has it, whoever else is there";
   // A full bucket is cut to what its tenant's new share lets it hold: 2 s of it, and 3 on top.
   s.tenants[0] = {"calm", 0.01, 0.1};
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   EXPECT_LE(until_refused(0), 4);
   // Another name in the same place is another tenant.
   s.tenants[1] = {"other", 0.5, 20};
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   EXPECT_EQ(until_refused(1), at_start);
   // Removed, it keeps what it has, and gets nothing more.
   s.tenants[2].quota_fraction = s.tenants[2].quota_per_s = 0;
-  d.gateway.reconfigure(s);
-  d.until(d.now + 5s);
+  harness.scheduler.reconfigure(s);
+  harness.run_until(harness.now + 5s);
   EXPECT_LE(until_refused(2), 3);
 }
 
 // With a shorter limit nothing has waited longer: after an absence of the gateway fresh queries are not taken
 // for old ones.
 TEST(Reconfigure, AShorterLimitIsNotTakenForWaiting) {
-  auto s = plain_settings();
-  Drive d(s);
-  d.list({engine(7)});
-  d.ask(1, 0, 5s);
-  d.ends(1, 0, 7, AttemptResult::served);
+  auto s = basic_settings();
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 0, 5s);
+  harness.complete_attempt(1, 0, 7, AttemptResult::served);
   s.classes[0].client_timeout = 2s;
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   RequestArrival fresh;
   fresh.request = 2;
   fresh.time_left = 2s;
-  d.at(d.now + 3s, {fresh});  // away for so long
-  EXPECT_EQ(d.answers(2), 0);
-  EXPECT_EQ(d.sends_of(2), 1);
+  harness.handle(harness.now + 3s, {fresh});  // away for so long
+  EXPECT_EQ(harness.answer_count(2), 0);
+  EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -12,57 +12,57 @@
 // ---- one final answer, before the deadline --------------------------------------------------------------
 
 TEST(FinalAnswer, AQueuedRequestIsShedAtOnceWhenItsObjectiveIsLost) {
-  Drive d(plain_settings());
-  d.list({});
-  d.ask(1, kQuick);
-  d.until(d.now + 900ms);
-  EXPECT_EQ(d.refused[1], 1);
-  d.until(d.now + 6s);
-  EXPECT_EQ(d.answers(1), 1);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({});
+  harness.submit(1, kQuick);
+  harness.run_until(harness.now + 900ms);
+  EXPECT_EQ(harness.rejected[1], 1);
+  harness.run_until(harness.now + 6s);
+  EXPECT_EQ(harness.answer_count(1), 1);
 }
 
 TEST(FinalAnswer, AShortDeadlineIsKeptWithNothingSent) {
-  Drive d(plain_settings());
-  d.list({});
-  d.ask(1, kOnce, 200ms);
-  d.until(d.now + 200ms);
-  EXPECT_EQ(d.refused[1], 1) << "nothing ran, so an unsafe request may be refused";
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({});
+  harness.submit(1, kOnce, 200ms);
+  harness.run_until(harness.now + 200ms);
+  EXPECT_EQ(harness.rejected[1], 1) << "nothing ran, so an unsafe request may be refused";
 }
 
 TEST(FinalAnswer, WithANonIdempotentAttemptOutItFailsBeforeTheDeadline) {
-  Drive d(plain_settings());
-  d.list({engine(7)});
-  d.ask(1, kOnce, 1s);
-  ASSERT_EQ(d.sends_of(1), 1);
-  EXPECT_LT(d.sends[0].give_up_at, d.now + 1s);
-  d.until(d.now + 1s);
-  EXPECT_EQ(d.failed[1], 1);
-  EXPECT_EQ(d.refused[1], 0);
-  d.ends(1, 0, 7, AttemptResult::cancelled);
-  d.until(d.now + 3s);
-  EXPECT_EQ(d.answers(1), 1);
-  EXPECT_EQ(d.sends_of(1), 1);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, kOnce, 1s);
+  ASSERT_EQ(harness.attempts_of(1), 1);
+  EXPECT_LT(harness.sent[0].give_up_at, harness.now + 1s);
+  harness.run_until(harness.now + 1s);
+  EXPECT_EQ(harness.failed[1], 1);
+  EXPECT_EQ(harness.rejected[1], 0);
+  harness.complete_attempt(1, 0, 7, AttemptResult::cancelled);
+  harness.run_until(harness.now + 3s);
+  EXPECT_EQ(harness.answer_count(1), 1);
+  EXPECT_EQ(harness.attempts_of(1), 1);
 }
 
 TEST(FinalAnswer, ALateOutcomeOfAClosedRequestIsOnlyBookedOut) {
-  Drive d(plain_settings());
-  d.list({engine(7)});
-  d.ask(1, kQuick);
-  ASSERT_EQ(d.gateway.class_status(kQuick).running, 1U);
-  d.at(d.now, {RequestCancelled{1}});
-  EXPECT_EQ(d.gateway.class_status(kQuick).running, 1U) << "the engine may still work on it";
-  d.ends(1, 0, 7, AttemptResult::error);
-  d.ends(1, 0, 7, AttemptResult::error);
-  EXPECT_EQ(d.gateway.class_status(kQuick).running, 0U);
-  EXPECT_EQ(d.answers(1), 0);
-  EXPECT_EQ(d.sends_of(1), 1);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, kQuick);
+  ASSERT_EQ(harness.scheduler.class_status(kQuick).running, 1U);
+  harness.handle(harness.now, {RequestCancelled{1}});
+  EXPECT_EQ(harness.scheduler.class_status(kQuick).running, 1U) << "the engine may still work on it";
+  harness.complete_attempt(1, 0, 7, AttemptResult::error);
+  harness.complete_attempt(1, 0, 7, AttemptResult::error);
+  EXPECT_EQ(harness.scheduler.class_status(kQuick).running, 0U);
+  EXPECT_EQ(harness.answer_count(1), 0);
+  EXPECT_EQ(harness.attempts_of(1), 1);
 }
 
 TEST(FinalAnswer, AClassThatIsNotInTheSettingsIsRejected) {
-  Drive d(plain_settings());
-  d.list({engine(7)});
-  d.ask(1, 99);
-  EXPECT_EQ(d.refused[1], 1);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 99);
+  EXPECT_EQ(harness.rejected[1], 1);
 }
 
 // ---- no effect twice ------------------------------------------------------------------------------------
@@ -71,15 +71,15 @@
 
 TEST_P(AfterOutcome, ANonIdempotentRequestIsSentAgainOnlyIfItNeverRan) {
   const auto [result, again] = GetParam();
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8)});
-  d.ask(1, kOnce);
-  ASSERT_EQ(d.sends_of(1), 1);
-  d.ends(1, 0, d.sends[0].engine, result);
-  d.until(d.now + 300ms);
-  EXPECT_EQ(d.sends_of(1), again ? 2 : 1);
-  EXPECT_EQ(d.failed[1], again ? 0 : 1);
-  EXPECT_EQ(d.refused[1], 0);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, kOnce);
+  ASSERT_EQ(harness.attempts_of(1), 1);
+  harness.complete_attempt(1, 0, harness.sent[0].engine, result);
+  harness.run_until(harness.now + 300ms);
+  EXPECT_EQ(harness.attempts_of(1), again ? 2 : 1);
+  EXPECT_EQ(harness.failed[1], again ? 0 : 1);
+  EXPECT_EQ(harness.rejected[1], 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(AllOutcomes, AfterOutcome,
@@ -92,78 +92,79 @@
                                            std::pair{AttemptResult::cancelled, false}));
 
 TEST(Repeats, AKeyedRequestThatMayHaveRunStaysInItsZone) {
-  Drive d(plain_settings());
-  d.list({engine(7, 0)});
-  d.ask(1, kKeyed);
-  d.list({engine(7, 0), engine(8, 1)});
-  d.ends(1, 0, 7, AttemptResult::error);
-  d.until(d.now + 300ms);
-  ASSERT_EQ(d.sends_of(1), 2);
-  EXPECT_EQ(d.sends.back().engine, 7U);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7, 0)});
+  harness.submit(1, kKeyed);
+  harness.set_endpoints({engine(7, 0), engine(8, 1)});
+  harness.complete_attempt(1, 0, 7, AttemptResult::error);
+  harness.run_until(harness.now + 300ms);
+  ASSERT_EQ(harness.attempts_of(1), 2);
+  EXPECT_EQ(harness.sent.back().engine, 7U);
 }
 
 TEST(Repeats, AKeyedRequestIsNotSentAgainAfterItsWindow) {
   for (const bool late : {false, true}) {
-    Drive d(plain_settings());
-    d.list({engine(7, 0)});
-    d.ask(1, kKeyed);
-    d.until(d.now + (late ? 2000ms : 1900ms));
-    d.ends(1, 0, 7, AttemptResult::error);
-    EXPECT_EQ(d.sends_of(1), late ? 1 : 2);
-    EXPECT_EQ(d.failed[1], late ? 1 : 0) << "a refusal would promise too much";
+    SchedulerHarness harness(basic_settings());
+    harness.set_endpoints({engine(7, 0)});
+    harness.submit(1, kKeyed);
+    harness.run_until(harness.now + (late ? 2000ms : 1900ms));
+    harness.complete_attempt(1, 0, 7, AttemptResult::error);
+    EXPECT_EQ(harness.attempts_of(1), late ? 1 : 2);
+    EXPECT_EQ(harness.failed[1], late ? 1 : 0) << "a refusal would promise too much";
   }
 }
 
 TEST(Repeats, NeverTwoAttemptsOut) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.progress_interval = 500ms;
-  Drive d(s);
-  d.list({engine(7), engine(8)});
-  d.ask(1, kQuick);
-  ASSERT_EQ(d.sends_of(1), 1);
-  d.until(d.now + 3s);  // silent: called off, but no word of that yet
-  ASSERT_FALSE(d.called_off.empty());
-  EXPECT_EQ(d.sends_of(1), 1);
-  d.ends(1, 0, d.sends[0].engine, AttemptResult::cancelled);
-  EXPECT_EQ(d.sends_of(1), 2);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, kQuick);
+  ASSERT_EQ(harness.attempts_of(1), 1);
+  harness.run_until(harness.now + 3s);  // silent: called off, but no word of that yet
+  ASSERT_FALSE(harness.cancelled.empty());
+  EXPECT_EQ(harness.attempts_of(1), 1);
+  harness.complete_attempt(1, 0, harness.sent[0].engine, AttemptResult::cancelled);
+  EXPECT_EQ(harness.attempts_of(1), 2);
 }
 
 TEST(Repeats, NoMoreAttemptsThanAllowed) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8), engine(9), engine(10)});
-  d.ask(1, kQuick);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8), engine(9), engine(10)});
+  harness.submit(1, kQuick);
   for (AttemptIndex n = 0; n < 3; ++n) {
-    ASSERT_EQ(d.sends_of(1), n + 1);
-    d.ends(1, n, d.sends.back().engine, AttemptResult::timed_out);
+    ASSERT_EQ(harness.attempts_of(1), n + 1);
+    harness.complete_attempt(1, n, harness.sent.back().engine, AttemptResult::timed_out);
   }
-  EXPECT_EQ(d.sends_of(1), 3);
-  EXPECT_EQ(d.refused[1], 1);
+  EXPECT_EQ(harness.attempts_of(1), 3);
+  EXPECT_EQ(harness.rejected[1], 1);
 }
 
 // ---- drains ---------------------------------------------------------------------------------------------
 
 TEST(Draining, NothingGoesToAnEngineToldDrainingGoneOrLeftOutOfAFullList) {
-  Drive d(plain_settings());
-  d.list({engine(7), engine(8), engine(9), engine(10)});
-  d.list({with_state(engine(7), EngineState::draining), with_state(engine(8), EngineState::gone)},
-         EndpointListKind::delta);
-  d.list({}, EndpointListKind::failed);
-  for (RequestId id = 1; id <= 4; ++id) d.ask(id, kQuick);
-  EXPECT_EQ(d.sends_to(7) + d.sends_to(8), 0);
-  d.list({engine(9)});
-  for (RequestId id = 5; id <= 7; ++id) d.ask(id, kQuick);
-  EXPECT_EQ(d.sends_to(10), 2);
-  EXPECT_EQ(d.sends_to(9), 5);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7), engine(8), engine(9), engine(10)});
+  harness.set_endpoints(
+      {with_state(engine(7), EngineState::draining), with_state(engine(8), EngineState::gone)},
+      EndpointListKind::delta);
+  harness.set_endpoints({}, EndpointListKind::failed);
+  for (RequestId id = 1; id <= 4; ++id) harness.submit(id, kQuick);
+  EXPECT_EQ(harness.attempts_to(7) + harness.attempts_to(8), 0);
+  harness.set_endpoints({engine(9)});
+  for (RequestId id = 5; id <= 7; ++id) harness.submit(id, kQuick);
+  EXPECT_EQ(harness.attempts_to(10), 2);
+  EXPECT_EQ(harness.attempts_to(9), 5);
 }
 
 TEST(Draining, AnEngineThatIsListedAgainGetsWork) {
-  Drive d(plain_settings());
-  d.list({engine(7)}, EndpointListKind::cached);
-  d.list({with_state(engine(7), EngineState::gone)}, EndpointListKind::delta);
-  d.ask(1, kQuick);
-  EXPECT_EQ(d.sends_of(1), 0);
-  d.list({engine(7)}, EndpointListKind::delta);
-  EXPECT_EQ(d.sends_of(1), 1);
+  SchedulerHarness harness(basic_settings());
+  harness.set_endpoints({engine(7)}, EndpointListKind::cached);
+  harness.set_endpoints({with_state(engine(7), EngineState::gone)}, EndpointListKind::delta);
+  harness.submit(1, kQuick);
+  EXPECT_EQ(harness.attempts_of(1), 0);
+  harness.set_endpoints({engine(7)}, EndpointListKind::delta);
+  EXPECT_EQ(harness.attempts_of(1), 1);
 }
 
 // ---- cold engines ---------------------------------------------------------------------------------------
@@ -173,30 +174,31 @@
   static constexpr double kWork = 0.5;  // core-s of a query, by the module's first estimate: half the aim
   // Core-s sent to it at each moment.
   static std::map<Time, double> play(unsigned count, std::uint64_t seed) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.brokers = count;
-    std::vector<Drive> gateways;
+    std::vector<SchedulerHarness> gateways;
     for (unsigned i = 0; i < s.brokers; ++i) {
       s.broker_index = i;
       gateways.emplace_back(s, seed + i);
       auto cold = engine(7);
       cold.started_at = gateways.back().now - 1s;
-      gateways.back().list({cold});
+      gateways.back().set_endpoints({cold});
     }
     std::map<Time, double> work;
     RequestId id = 0;
     for (int step = 0; step < 300; ++step) {
       for (unsigned i = 0; i < s.brokers; ++i) {
-        auto& d = gateways[i];
+        auto& harness = gateways[i];
         if (step % (1 + i % 7) == 0) {
-          d.ask(++id, kQuick);
-          const bool sent = d.sends_of(id) > 0;
-          if (sent && d.sends.back().engine == 7) work[d.now] += kWork;
-          if (sent) d.ends(id, 0, d.sends.back().engine, AttemptResult::served, 500ms);
+          harness.submit(++id, kQuick);
+          const bool sent = harness.attempts_of(id) > 0;
+          if (sent && harness.sent.back().engine == 7) work[harness.now] += kWork;
+          if (sent) harness.complete_attempt(id, 0, harness.sent.back().engine, AttemptResult::served, 500ms);
         }
-        const auto before = d.sends.size();
-        d.until(d.now + 20ms);
-        for (auto n = before; n < d.sends.size(); ++n) work[d.now] += d.sends[n].engine == 7 ? kWork : 0;
+        const auto before = harness.sent.size();
+        harness.run_until(harness.now + 20ms);
+        for (auto n = before; n < harness.sent.size(); ++n)
+          work[harness.now] += harness.sent[n].engine == 7 ? kWork : 0;
       }
     }
     return work;
@@ -241,142 +243,142 @@
 }
 
 TEST(SlowStartLimits, AWarmEngineIsNotHeldBack) {
-  Settings s = plain_settings();
-  Drive d(s);
+  Settings s = basic_settings();
+  SchedulerHarness harness(s);
   auto warm = engine(7);
-  warm.started_at = d.now - 10s;
-  d.list({warm});
-  for (RequestId id = 1; id <= 8; ++id) d.ask(id, kQuick);
-  EXPECT_EQ(d.sends_to(7), 8);
+  warm.started_at = harness.now - 10s;
+  harness.set_endpoints({warm});
+  for (RequestId id = 1; id <= 8; ++id) harness.submit(id, kQuick);
+  EXPECT_EQ(harness.attempts_to(7), 8);
 }
 
 // ---- order, placement, attempt budget
 // -----------------------------------------------------------------------
 
 TEST(Order, OneAtATimeByKeyAndABlockAfterATimeOut) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[kQuick].ordered_by_key = true;
   s.ordering_key_hold = 300ms;
   s.max_attempts = 1;
-  Drive d(s);
-  d.list({engine(7), engine(8)});
-  d.ask(1, kQuick, 5s, 42);
-  d.ask(2, kQuick, 5s, 42);
-  d.ask(3, kQuick, 5s, 43);
-  d.ask(4, kQuick, 5s, 0);
-  EXPECT_EQ(d.sends_of(1), 1);
-  EXPECT_EQ(d.sends_of(2), 0);
-  EXPECT_EQ(d.sends_of(3), 1);
-  EXPECT_EQ(d.sends_of(4), 1);
-  const Time over = d.now;
-  d.ends(1, 0, d.sends[0].engine, AttemptResult::timed_out);
-  d.until(over + 280ms);
-  EXPECT_EQ(d.sends_of(2), 0);
-  d.until(over + 320ms);
-  EXPECT_EQ(d.sends_of(2), 1);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8)});
+  harness.submit(1, kQuick, 5s, 42);
+  harness.submit(2, kQuick, 5s, 42);
+  harness.submit(3, kQuick, 5s, 43);
+  harness.submit(4, kQuick, 5s, 0);
+  EXPECT_EQ(harness.attempts_of(1), 1);
+  EXPECT_EQ(harness.attempts_of(2), 0);
+  EXPECT_EQ(harness.attempts_of(3), 1);
+  EXPECT_EQ(harness.attempts_of(4), 1);
+  const Time over = harness.now;
+  harness.complete_attempt(1, 0, harness.sent[0].engine, AttemptResult::timed_out);
+  harness.run_until(over + 280ms);
+  EXPECT_EQ(harness.attempts_of(2), 0);
+  harness.run_until(over + 320ms);
+  EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
 // What an attempt's driver could not prove to be over rests its key for longer than the settings ask.
 TEST(Order, AKeyIsBlockedWhileAnAttemptMayLingerAtItsEngine) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[kQuick].ordered_by_key = true;
   s.classes[kQuick].latency_objective = 20s;  // so that it is held for long
   for (const auto result : {AttemptResult::cancelled, AttemptResult::error}) {
-    Drive d(s);
-    d.list({engine(7), engine(8)});
-    d.ask(1, kQuick, 60s, 42);
-    d.ask(2, kQuick, 60s, 42);
-    d.at(d.now, {RequestCancelled{1}});
+    SchedulerHarness harness(s);
+    harness.set_endpoints({engine(7), engine(8)});
+    harness.submit(1, kQuick, 60s, 42);
+    harness.submit(2, kQuick, 60s, 42);
+    harness.handle(harness.now, {RequestCancelled{1}});
     AttemptOutcome o;
     o.request = 1;
-    o.engine = d.sends[0].engine;
+    o.engine = harness.sent[0].engine;
     o.result = result;
     o.may_run_for = 2s;
-    const Time over = d.now;
-    d.at(d.now, {o});
-    d.until(over + 1980ms);
-    EXPECT_EQ(d.sends_of(2), 0);
-    d.until(over + 2020ms);
-    EXPECT_EQ(d.sends_of(2), 1);
+    const Time over = harness.now;
+    harness.handle(harness.now, {o});
+    harness.run_until(over + 1980ms);
+    EXPECT_EQ(harness.attempts_of(2), 0);
+    harness.run_until(over + 2020ms);
+    EXPECT_EQ(harness.attempts_of(2), 1);
   }
 }
 
 // On Laval's split+mass a statement whose connection was reset went to a second engine while it ran on at the
 // first, for 2.3 s as its driver told: a second copy, which those settings do not allow.
 TEST(Hedging, WhatNothingProvesOverHasNoAttemptBesideItWhereHedgesAreNotAllowed) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   for (const bool copies : {true, false}) {
     for (const bool patient : {true, false}) {
       s.hedging = copies;
       s.classes[kQuick].latency_objective = patient ? 20s : 1s;  // how long it may be held
-      Drive d(s);
-      d.list({engine(7), engine(8)});
-      d.ask(1, kQuick, 60s);
-      d.ask(2, kQuick, 60s);
+      SchedulerHarness harness(s);
+      harness.set_endpoints({engine(7), engine(8)});
+      harness.submit(1, kQuick, 60s);
+      harness.submit(2, kQuick, 60s);
       AttemptOutcome o;
       o.request = 1;
-      o.engine = d.sends[0].engine;
+      o.engine = harness.sent[0].engine;
       o.result = AttemptResult::reset;
       o.may_run_for = 2s;
-      const Time over = d.now;
-      d.at(d.now, {o});
-      EXPECT_EQ(d.sends_of(1), copies ? 2 : 1);
-      EXPECT_EQ(d.answers(1), copies || patient ? 0 : 1) << "what can't wait is told so at once";
-      d.ask(3, kQuick, 60s);
-      EXPECT_EQ(d.sends_of(3), 1) << "those behind it do not wait";
-      d.until(over + 1980ms);
-      EXPECT_EQ(d.sends_of(1), copies ? 2 : 1);
-      d.until(over + 2020ms);
-      EXPECT_EQ(d.sends_of(1), copies || patient ? 2 : 1);
+      const Time over = harness.now;
+      harness.handle(harness.now, {o});
+      EXPECT_EQ(harness.attempts_of(1), copies ? 2 : 1);
+      EXPECT_EQ(harness.answer_count(1), copies || patient ? 0 : 1) << "what can't wait is told so at once";
+      harness.submit(3, kQuick, 60s);
+      EXPECT_EQ(harness.attempts_of(3), 1) << "those behind it do not wait";
+      harness.run_until(over + 1980ms);
+      EXPECT_EQ(harness.attempts_of(1), copies ? 2 : 1);
+      harness.run_until(over + 2020ms);
+      EXPECT_EQ(harness.attempts_of(1), copies || patient ? 2 : 1);
     }
   }
 }
 
 TEST(Order, AnEarlierOneThatClosedWithItsAttemptOutStillHoldsTheKey) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[kQuick].ordered_by_key = true;
-  Drive d(s);
-  d.list({engine(7)});
-  d.ask(1, kQuick, 5s, 42);
-  d.ask(2, kQuick, 5s, 42);
-  d.at(d.now, {RequestCancelled{1}});
-  EXPECT_EQ(d.sends_of(2), 0);
-  d.ends(1, 0, 7, AttemptResult::error);
-  EXPECT_EQ(d.sends_of(2), 1);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, kQuick, 5s, 42);
+  harness.submit(2, kQuick, 5s, 42);
+  harness.handle(harness.now, {RequestCancelled{1}});
+  EXPECT_EQ(harness.attempts_of(2), 0);
+  harness.complete_attempt(1, 0, 7, AttemptResult::error);
+  EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
 TEST(Placement, HoldsAtEveryAttemptAndWhenAllAllowedAreGone) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[kQuick].zones = {{1}};
   s.classes[kQuick].kinds = {{1}};
-  Drive d(s);
-  d.list({engine(7, 1, 0), engine(8, 0, 1), engine(9, 1, 1), engine(10, 1, 1)});
-  d.ask(1, kQuick);
-  d.ends(1, 0, d.sends.back().engine, AttemptResult::timed_out);
-  d.ends(1, 1, d.sends.back().engine, AttemptResult::timed_out);
-  EXPECT_EQ(d.sends_of(1), 3);
-  EXPECT_EQ(d.sends_to(7) + d.sends_to(8), 0);
-  d.list({engine(7, 1, 0), engine(8, 0, 1)});
-  d.ask(2, kQuick);
-  d.until(d.now + 2s);
-  EXPECT_EQ(d.sends_of(2), 0);
-  EXPECT_EQ(d.answers(2), 1);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7, 1, 0), engine(8, 0, 1), engine(9, 1, 1), engine(10, 1, 1)});
+  harness.submit(1, kQuick);
+  harness.complete_attempt(1, 0, harness.sent.back().engine, AttemptResult::timed_out);
+  harness.complete_attempt(1, 1, harness.sent.back().engine, AttemptResult::timed_out);
+  EXPECT_EQ(harness.attempts_of(1), 3);
+  EXPECT_EQ(harness.attempts_to(7) + harness.attempts_to(8), 0);
+  harness.set_endpoints({engine(7, 1, 0), engine(8, 0, 1)});
+  harness.submit(2, kQuick);
+  harness.run_until(harness.now + 2s);
+  EXPECT_EQ(harness.attempts_of(2), 0);
+  EXPECT_EQ(harness.answer_count(2), 1);
 }
 
 TEST(RetryBudgets, CountsRetriesAgainstRequestsInTheWindow) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.retry_budget = RetryBudget{10s, 1, 0.2};
-  Drive d(s);
-  d.list({engine(7), engine(8), engine(9), engine(10)});
-  const auto retried = [&d](RequestId id) {
-    d.ask(id, kQuick);
-    const auto first = d.sends.back();
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7), engine(8), engine(9), engine(10)});
+  const auto retried = [&harness](RequestId id) {
+    harness.submit(id, kQuick);
+    const auto first = harness.sent.back();
     if (first.request != id) return false;
-    const auto before = d.sends.size();
-    d.ends(id, 0, first.engine, AttemptResult::rejected);
-    d.until(d.now + 400ms);
-    const bool again = d.sends.size() > before;
-    if (again) d.ends(id, 1, d.sends.back().engine, AttemptResult::served);
+    const auto before = harness.sent.size();
+    harness.complete_attempt(id, 0, first.engine, AttemptResult::rejected);
+    harness.run_until(harness.now + 400ms);
+    const bool again = harness.sent.size() > before;
+    if (again) harness.complete_attempt(id, 1, harness.sent.back().engine, AttemptResult::served);
     return again;
   };
   EXPECT_TRUE(retried(1));   // 1 <= 1 + 0.2
@@ -385,14 +387,14 @@
   EXPECT_FALSE(retried(4));
   EXPECT_TRUE(retried(5));  // 2 <= 1 + 1.0
   EXPECT_FALSE(retried(6));
-  d.until(d.now + 11s);
+  harness.run_until(harness.now + 11s);
   EXPECT_TRUE(retried(7)) << "the window has passed";
 }
 
 // ---- settings -------------------------------------------------------------------------------------------
 
 TEST(InvalidSettings, AreNamed) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = 0;
   try {
     Scheduler g(s, 1);
@@ -400,24 +402,24 @@
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("gateways"), std::string::npos);
   }
-  s = plain_settings();
+  s = basic_settings();
   s.classes[0].latency_objective = 0s;
   EXPECT_THROW(Scheduler(s, 1), std::invalid_argument);
-  s = plain_settings();
+  s = basic_settings();
   s.kinds.clear();
   EXPECT_THROW(Scheduler(s, 1), std::invalid_argument);
 }
 
 TEST(ZeroSettings, OptionalOnesMayBeAbsent) {
   Settings s;
-  s.classes = {plain_settings().classes[0]};
+  s.classes = {basic_settings().classes[0]};
   s.kinds = {{"one", 1, 0}};
-  Drive d(s);
+  SchedulerHarness harness(s);
   auto cold = engine(7);
-  cold.started_at = d.now;
-  d.list({cold});
-  d.ask(1, 0);
-  EXPECT_EQ(d.sends_of(1), 1);
+  cold.started_at = harness.now;
+  harness.set_endpoints({cold});
+  harness.submit(1, 0);
+  EXPECT_EQ(harness.attempts_of(1), 1);
 }
 
 }  // namespace
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -22,7 +22,7 @@
 
 // Lookups, reports and loads, as a school's query engines see them.
 Settings school_settings(unsigned gateways, double cold_from) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = gateways;
   s.kinds = {{"std-8", 8, 16384}};
   s.classes.clear();
@@ -59,8 +59,8 @@
       : mix_(mix), random_(seed), settings_(school_settings(gateways, cold_from)) {
     for (unsigned i = 0; i < gateways; ++i) {
       settings_.broker_index = i;
-      brokers_.push_back(std::make_unique<Drive>(settings_, seed * 1000 + i));
-      brokers_.back()->list({engine(1), engine(2), engine(3)});
+      brokers_.push_back(std::make_unique<SchedulerHarness>(settings_, seed * 1000 + i));
+      brokers_.back()->set_endpoints({engine(1), engine(2), engine(3)});
       ends_.emplace_back();
       taken_.push_back(0);
     }
@@ -72,14 +72,14 @@
   void start_cold_engine() {
     cold_ = engine(kCold);
     cold_.started_at = began_ = now_;
-    for (auto& broker : brokers_) broker->list({cold_}, EndpointListKind::delta);
+    for (auto& broker : brokers_) broker->set_endpoints({cold_}, EndpointListKind::delta);
   }
   // A broker's process is killed, and the next one knows nothing of what that one has sent. Engines run on.
   void restart(std::size_t broker) {
     settings_.broker_index = static_cast<unsigned>(broker);
-    auto& next = brokers_[broker] = std::make_unique<Drive>(settings_, random_());
+    auto& next = brokers_[broker] = std::make_unique<SchedulerHarness>(settings_, random_());
     next->now = now_;
-    next->list({engine(1), engine(2), engine(3), cold_}, EndpointListKind::cached);
+    next->set_endpoints({engine(1), engine(2), engine(3), cold_}, EndpointListKind::cached);
     ends_[broker].clear();
     taken_[broker] = 0;
   }
@@ -132,14 +132,14 @@
       std::poisson_distribution<int> count(rate * std::chrono::duration<double>(kStep).count() /
                                            static_cast<double>(brokers_.size()));
       std::discrete_distribution<int> classes(mix_.shares.begin(), mix_.shares.end());
-      broker.until(now_);
+      broker.run_until(now_);
       finish(i);
       for (int n = count(random_); n > 0; --n) {
         const auto cls = static_cast<ClassIndex>(classes(random_));
         class_of_[++last_] = cls;
-        broker.ask(last_, cls, settings_.classes[cls].client_timeout);
+        broker.submit(last_, cls, settings_.classes[cls].client_timeout);
       }
-      for (; taken_[i] < broker.sends.size(); ++taken_[i]) take(i, broker.sends[taken_[i]]);
+      for (; taken_[i] < broker.sent.size(); ++taken_[i]) take(i, broker.sent[taken_[i]]);
     }
   }
 
@@ -165,13 +165,13 @@
       over.emplace_back(o);
       return true;
     });
-    if (!over.empty()) brokers_[broker]->at(now_, over);
+    if (!over.empty()) brokers_[broker]->handle(now_, over);
   }
 
   Mix mix_;
   std::mt19937_64 random_;
   Settings settings_;
-  std::vector<std::unique_ptr<Drive>> brokers_;
+  std::vector<std::unique_ptr<SchedulerHarness>> brokers_;
   std::vector<std::vector<End>> ends_;
   std::vector<std::size_t> taken_;  // sends of each broker, heeded so far
   std::map<RequestId, ClassIndex> class_of_;
