--- a/src/policy/latency_monitor.cpp
+++ b/src/policy/latency_monitor.cpp
@@ -29,7 +29,7 @@
   return times <= kMinSlowness ? 1 : std::min(times, kMaxSlowness);
 }
 
-void LatencyMonitor::recover_unheard(const std::vector<Engine*>& engines) const {
+void LatencyMonitor::cap_stale_ratios(const std::vector<Engine*>& engines) const {
   for (auto* engine : engines) {
     if (context_.now <= engine->last_seen_at + kUnheardTimeout) continue;
     engine->latency_ratio = std::min(engine->latency_ratio, kMinSlowness * std::max(1.0, fleet_ratio_));
--- a/src/policy/latency_monitor.hpp
+++ b/src/policy/latency_monitor.hpp
@@ -25,7 +25,7 @@
   [[nodiscard]] double slowness(const Engine& engine) const;
 
   /// Gives slow engines without a recent answer another chance.
-  void recover_unheard(const std::vector<Engine*>& engines) const;
+  void cap_stale_ratios(const std::vector<Engine*>& engines) const;
 
  private:
   const Context& context_;
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -110,7 +110,7 @@
   own_threads_fast_ += std::min(1.0, elapsed_seconds / kPeerDecaySeconds) * (running - own_threads_fast_);
 }
 
-void LoadEstimator::forget_removed() {
+void LoadEstimator::erase_removable() {
   std::erase_if(recent_reports_, [](const Report& report) { return is_removable(*report.engine); });
 }
 
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -51,7 +51,7 @@
   /// Time passes, with this broker's threads as they are.
   void advance(double elapsed_seconds);
   /// Forgets engines that are about to be removed.
-  void forget_removed();
+  void erase_removable();
 
   /// Threads a core over the fleet; below 0: not known.
   [[nodiscard]] double level() const;
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -100,7 +100,7 @@
   // Engines that have left the list are forgotten everywhere before they are removed.
   void refresh_fleet() {
     affinity_.clear();
-    load_.forget_removed();
+    load_.erase_removable();
     slow_start_.forget_removed();
     fleet_.refresh();
   }
@@ -205,7 +205,7 @@
     quotas_.measure_arrival_rate(to_seconds(context_.now - sampled_at_));
     sampled_at_ = context_.now;
     overload_.adapt();
-    latency_.recover_unheard(fleet_.ready());
+    latency_.cap_stale_ratios(fleet_.ready());
     thread_budgets_.sample();
   }
 
