--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -10,17 +10,17 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Without progress events, an engine is silent after both.
+// Without progress events, an engine is silent once both limits are exceeded.
 constexpr double kMaxOverdueAnswers = 6;  // in mean latencies of their classes
 constexpr Time kMinSilence = 800ms;
-constexpr double kMaxOverduePerAttempt = 3;  // a single long query is no silence
+constexpr double kMaxOverduePerAttempt = 3;  // a single long query must not count as silence
 
-constexpr int kMaxMissedIntervals = 2;  // of progress events, before an attempt or its answer is lost
+constexpr int kMaxMissedIntervals = 2;  // of progress events, before an attempt or its answer counts as lost
 
-constexpr Time kMinProgressAge = 900ms;     // an attempt is not judged by its progress before
-constexpr double kMaxPredictedLatency = 5;  // in mean latencies; beyond, the plan or the engine is bad
+constexpr Time kMinProgressAge = 900ms;     // the progress of a younger attempt is ignored
+constexpr double kMaxPredictedLatency = 5;  // in mean latencies; above it, the plan or the engine is bad
 constexpr double kMinProgress = 0.005;      // fraction done
-constexpr double kWaitsForDataGroup = 1.5;  // amounts of a waiting event above it
+constexpr double kWaitsForDataGroup = 1.5;  // a waiting event with an amount above it
 }  // namespace
 
 void AttemptMonitor::record_progress(const AttemptProgress& progress) {
@@ -35,7 +35,7 @@
   if (blocked || is_too_slow(*request, progress)) dispatcher_.withdraw(progress.request, progress.attempt);
 }
 
-// What is left of a first attempt takes longer than to begin anew elsewhere.
+// Whether the rest of a first attempt is predicted to take longer than a new attempt at another engine.
 bool AttemptMonitor::is_too_slow(const Request& request, const AttemptProgress& progress) const {
   if (progress.kind != ProgressKind::progress || progress.attempt != 0) return false;
   const double age = to_seconds(context_.now - request.attempts[progress.attempt].sent_at);
--- a/src/policy/attempt_monitor.hpp
+++ b/src/policy/attempt_monitor.hpp
@@ -1,4 +1,4 @@
-// Watches attempts in flight: progress that is too slow, and engines that have become silent.
+// Monitors attempts in flight for slow progress, and engines that have stopped responding.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -11,7 +11,7 @@
 
 namespace bellstair::policy {
 
-/// Withdraws slow or lost attempts, and ejects engines that give no word while answers are overdue.
+/// Withdraws slow or lost attempts, and ejects engines that send nothing while answers are overdue.
 class AttemptMonitor {
  public:
   AttemptMonitor(const Context& context, const ClassTable& classes, Fleet& fleet, RequestTable& requests,
@@ -29,7 +29,8 @@
   /// Checks all engines with attempts in flight, once in each tick.
   void check();
 
-  /// Counts the broker's own stall as no silence of its engines: all waits begin that much later.
+  /// Excludes the broker's own stall from the silence of engines: shifts all times of last contact by its
+  /// length.
   void discount_stall();
 
  private:
--- a/src/policy/context.hpp
+++ b/src/policy/context.hpp
@@ -1,4 +1,4 @@
-// What all decisions share: the settings in force, the time, the random source and the actions decided on.
+// The context shared by all decisions: active settings, time, random source and the actions decided on.
 #pragma once
 
 #include <random>
@@ -17,8 +17,8 @@
 struct Context {
   const Settings& settings;
   std::mt19937_64 random;
-  Time now{};                              // of this call
-  Time stall{};                            // without a call, before this one; 0 unless the broker was stalled
+  Time now{};    // of this call
+  Time stall{};  // time without a call before this one; 0 unless the broker was stalled
   std::vector<Action>* actions = nullptr;  // of this call
 
   void emit(Action action) const { actions->push_back(std::move(action)); }
--- a/src/policy/data_group_affinity.cpp
+++ b/src/policy/data_group_affinity.cpp
@@ -5,9 +5,9 @@
 namespace bellstair::policy {
 namespace {
 constexpr std::size_t kMinPreferred = 2;
-constexpr std::size_t kEnginesForOnePreferred = 5;  // in a large fleet
+constexpr std::size_t kEnginesForOnePreferred = 5;  // in a large fleet, one engine in this many is preferred
 
-// splitmix64 of the group and the engine.
+// The splitmix64 hash of the group and the engine.
 std::uint64_t hash(std::int64_t data_group, EngineId engine) {
   std::uint64_t x = (static_cast<std::uint64_t>(data_group) << 32) + engine + 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/policy/data_group_affinity.hpp
+++ b/src/policy/data_group_affinity.hpp
@@ -1,4 +1,4 @@
-// Which engines are to keep a data group cached.
+// Chooses the engines that keep a data group cached.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,18 @@
 
 namespace bellstair::policy {
 
-/// Rendezvous hashing of data groups: all brokers order engines alike for a group, by ids alone.
+/// Rendezvous hashing of data groups: the order of engines for a group depends only on ids, so that all
+/// brokers compute the same order.
 class DataGroupAffinity {
  public:
   explicit DataGroupAffinity(const Fleet& fleet) : fleet_(fleet) {}
 
-  /// The engines that are to keep the group cached: healthy or on trial, empty only if there are none.
+  /// The engines that should keep the group cached. Ejected engines are left out; empty only if no other is
+  /// ready.
   [[nodiscard]] const std::vector<Engine*>& preferred_engines(std::int64_t data_group);
   [[nodiscard]] bool prefers(std::int64_t data_group, const Engine& engine);
 
-  /// The ready engines or their health have changed.
+  /// Discards the computed preferences, after a change of the ready engines or their health.
   void clear() { preferred_.clear(); }
 
  private:
--- a/src/policy/endpoint_scorer.cpp
+++ b/src/policy/endpoint_scorer.cpp
@@ -4,14 +4,15 @@
 
 namespace bellstair::policy {
 namespace {
-// Limits in threads a core of all brokers.
-constexpr double kMaxThreadsPerCore = 2.2;     // even within this broker's share
-constexpr double kLowerRankLimitFactor = 0.7;  // with a small pool, for all classes but the highest in rank
-constexpr double kUsualLatencyRatio = 1.5;     // up to it an engine answers at its usual speed,
-constexpr double kMaxFleetAllowance = 1.2;     // or times the fleet's ratio, up to this
-constexpr double kHalfQuery = 0.5;             // of the next query's threads that count against a limit
+// Limits, in threads a core of all brokers together.
+constexpr double kMaxThreadsPerCore = 2.2;     // applies within this broker's share too
+constexpr double kLowerRankLimitFactor = 0.7;  // with a small pool, for all classes below the highest rank
+constexpr double kUsualLatencyRatio = 1.5;     // an engine up to this ratio answers at its usual speed
+constexpr double kMaxFleetAllowance = 1.2;     // the fleet's ratio raises that limit by at most this factor
+constexpr double kHalfQuery = 0.5;  // fraction of the next query's threads that counts against a limit
 
-// Reports are late and alike at all brokers: by them alone, all would choose the same engine at once.
+// Reports arrive late and are the same at all brokers: going by them alone, all brokers would choose the same
+// engine at the same time. This broker's own threads are therefore part of the load.
 constexpr double kOwnLoadWeight = 0.25;
 constexpr double kMaxBrokersInOwnLoad = 6;
 
@@ -22,7 +23,7 @@
 constexpr double kCachedDataBonus = 0.3;
 }  // namespace
 
-// Locks by other brokers' requests show only in latencies.
+// Locks held by other brokers' requests are not known; they show only in latencies.
 bool is_data_group_locked(const Request& request, const Engine& engine) {
   return request.arrival.data_group != 0 && engine.locked_data_groups.contains(request.arrival.data_group);
 }
@@ -54,7 +55,7 @@
   const double cores = cores_of(context_.settings, engine);
   const auto all = load_.engine_threads(engine);
   if (all && *all + added > kMaxThreadsPerCore * factor * cores) return false;
-  // A slow engine without a query still gets one, so that its recovery is seen.
+  // A slow engine that runs no query of this broker still gets one, so that its recovery is detected.
   const double effective_cores = cores / latency_.slowness(engine);
   const double own = engine.threads + added;
   const double pool_threads = kPoolThreadsPerCore * effective_cores;
--- a/src/policy/endpoint_scorer.hpp
+++ b/src/policy/endpoint_scorer.hpp
@@ -1,4 +1,5 @@
-// How suitable an engine is for a request: its capacity left, and a score to compare engines by.
+// Rates how suitable an engine is for a request: whether it has capacity left, and a score to compare
+// engines.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -15,21 +16,22 @@
 /// Whether a request of this broker that is in flight at the engine locks the request's data group there.
 [[nodiscard]] bool is_data_group_locked(const Request& request, const Engine& engine);
 
-/// Decides by the estimated load of an engine and by what it can do now.
+/// Rates engines by their estimated load and their present capacity.
 class EndpointScorer {
  public:
   EndpointScorer(const Context& context, const Fleet& fleet, const ClassTable& classes,
                  const SlowStart& slow_start, const LatencyMonitor& latency, const LoadEstimator& load,
                  const OverloadDetector& overload, DataGroupAffinity& affinity);
 
-  /// Whether a query of the class fits this broker's share of the engine, or goes past it while the engine
-  /// answers at its usual speed.
+  /// Whether the engine has capacity for a query of the class: the query fits this broker's share of the
+  /// engine, or exceeds the share while the engine is not overloaded or answers at its usual speed.
   [[nodiscard]] bool has_capacity(const Engine& engine, ClassIndex cls) const;
 
-  /// Threads a core that the engine would run, with penalties in the same unit; the lowest is the best.
+  /// Threads a core that the engine would run with the request, plus penalties in the same unit. The engine
+  /// with the lowest score is the best.
   [[nodiscard]] double score(const Request& request, const Engine& engine) const;
 
-  /// Whether some class waits for data groups that others lock: cached data then decides nothing.
+  /// Whether some class waits for data groups that are locked. If so, scores ignore cached data.
   [[nodiscard]] bool ignores_affinity() const { return ignores_affinity_; }
 
  private:
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -8,11 +8,13 @@
 constexpr std::size_t kMaxComparedFleet = kMaxRecentReports;  // engines; larger fleets are sampled
 constexpr std::size_t kRandomCandidates = 2;
 constexpr Time kHealthCheckWait = std::chrono::milliseconds(40);
-constexpr std::size_t kHealthChecksForHeavyRequest = 4;  // others leave so many to the next heavy one
-constexpr double kHeavyFraction = 0.5;  // of the heaviest class's work, above which one is heavy
-// Scores differ at random by up to this many threads a core, so that brokers don't choose alike.
+// Light requests send a check only while the budget holds this many.
+constexpr std::size_t kHealthChecksForHeavyRequest = 4;
+constexpr double kHeavyFraction = 0.5;  // of the heaviest class's work; a request above it is heavy
+// Random noise of up to this many threads a core is added to scores, so that brokers choose different
+// engines.
 constexpr double kMinScoreNoise = 0.01;
-constexpr double kMaxScoreNoise = 4.0;  // added where reports are not believed at all
+constexpr double kMaxScoreNoise = 4.0;  // added if the confidence in reports is 0
 }  // namespace
 
 Engine* EndpointSelector::select(Request& request) {
@@ -52,8 +54,8 @@
   engine->last_comparison = comparison_;
 }
 
-// A broker with a small pool checks engines for single requests; with a large pool, all reports are kept
-// recent.
+// A broker with a small pool sends health checks for single requests. With a large pool this is not needed,
+// because all reports are kept recent.
 bool EndpointSelector::awaits_health_checks(Request& request, const std::vector<Engine*>& engines) {
   if (!in_.fleet.has_small_pool()) return false;
   auto& awaited_until = request.health_checks_awaited_until;
--- a/src/policy/endpoint_selector.hpp
+++ b/src/policy/endpoint_selector.hpp
@@ -1,4 +1,4 @@
-// The choice of an engine for a request.
+// Chooses the engine that a request is sent to.
 #pragma once
 
 #include <vector>
@@ -15,7 +15,7 @@
 
 namespace bellstair::policy {
 
-/// What the selector goes by.
+/// The modules that the selector uses.
 struct SelectorInputs {
   const Fleet& fleet;
   const ClassTable& classes;
@@ -28,13 +28,14 @@
   HealthChecker& health_checker;
 };
 
-/// Compares all engines of a small fleet; of a large one those of the newest reports and a few at random.
+/// Compares all engines of a small fleet. In a large fleet, compares the engines with the newest reports and
+/// a few engines chosen at random.
 class EndpointSelector {
  public:
   EndpointSelector(Context& context, SelectorInputs inputs) : context_(context), in_(inputs) {}
 
-  /// The engine that the request is sent to now; nullptr if there is none, or while health checks that were
-  /// sent for it are awaited. A random draw for each engine that may be chosen.
+  /// The engine to send the request to now; nullptr if no engine is eligible, or while the request waits for
+  /// the health checks sent for it. Makes one random draw for each eligible engine.
   [[nodiscard]] Engine* select(Request& request);
 
  private:
@@ -46,8 +47,8 @@
 
   Context& context_;
   SelectorInputs in_;
-  std::vector<Engine*> candidates_;  // of the last choice in a large fleet
-  std::uint64_t comparison_ = 0;     // number of that choice
+  std::vector<Engine*> candidates_;  // of the last selection in a large fleet
+  std::uint64_t comparison_ = 0;     // number of that selection
 };
 
 }  // namespace bellstair::policy
--- a/src/policy/engine_state.hpp
+++ b/src/policy/engine_state.hpp
@@ -1,4 +1,4 @@
-// The record of an engine.
+// The state that this broker keeps for an engine.
 #pragma once
 
 #include <chrono>
@@ -15,13 +15,13 @@
 
 enum class Health { healthy, ejected, on_trial };
 
-/// An engine of the endpoint list, or one that has left it with attempts still in flight.
+/// An engine of the endpoint list, or one that has left the list while attempts are in flight.
 struct Engine {
-  /// No process restarts in less time.
+  /// Minimum time that a restart of the process takes.
   static constexpr Time kMinRestartTime = std::chrono::milliseconds(500);
 
   Endpoint endpoint;
-  bool ready = false;  // may be sent queries, by the endpoint list
+  bool ready = false;  // the endpoint list allows sending it queries
 
   // This broker's attempts in flight.
   unsigned threads = 0;
@@ -32,12 +32,12 @@
   // Outlier detection.
   Health health = Health::healthy;
   Time ejected_until{};
-  Time ejection_duration{};  // length of the last ejection; 0: none since it was healthy
+  Time ejection_duration{};  // of the last ejection; 0: none since it was healthy
   double error_rate = 0;     // moving average, 0 to 1
   Time last_seen_at{};
-  Time last_reset_at{};  // of a connection; 0: none, or heard since
+  Time last_reset_at{};  // of a connection; 0: none, or a response has arrived since
 
-  // Latency over what was to be expected.
+  // Latency over the expected latency.
   double latency_ratio = 1;  // moving average
   double last_latency_ratio = 1;
 
@@ -50,16 +50,16 @@
   Time reported_at{};
   Time health_checked_at{};
 
-  std::uint64_t last_comparison = 0;  // number of the last choice that it took part in
+  std::uint64_t last_comparison = 0;  // number of the last selection that compared it
 
-  /// At `at` came a word on what was sent at `sent_at`.
+  /// Records that a response to a message sent at `sent_at` arrived at `at`.
   void record_alive(Time at, Time sent_at) {
     start.record_alive(at, sent_at, kMinRestartTime);
     if (at > last_reset_at) last_reset_at = Time::zero();
   }
 };
 
-/// Whether it has left the endpoint list and nothing is in flight there.
+/// Whether the engine has left the endpoint list and has no attempt in flight.
 inline bool is_removable(const Engine& engine) { return !engine.ready && engine.in_flight.empty(); }
 
 inline double cores_of(const Settings& settings, const Engine& engine) {
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -4,7 +4,7 @@
 
 namespace bellstair::policy {
 namespace {
-constexpr double kSmallPoolQueries = 4;  // of the class with the most threads
+constexpr double kSmallPoolQueries = 4;  // queries of the class with the most threads
 }  // namespace
 
 Fleet::Fleet(const Context& context, const SlowStart& slow_start)
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -1,4 +1,4 @@
-// The engines of the endpoint list, and what is summed over them.
+// The engines of the endpoint list, and totals over them.
 #pragma once
 
 #include <map>
@@ -11,23 +11,24 @@
 
 namespace bellstair::policy {
 
-/// Of the thread pool, for each core of an engine: near the peak of its throughput for usual mixes.
+/// Threads in the pool for each core of an engine: close to the engine's peak throughput for usual mixes.
 inline constexpr double kPoolThreadsPerCore = 2.0;
 
-/// All engines that are listed, or that have left the list with attempts in flight.
+/// Owns all engines that are listed, or that have left the list while attempts are in flight.
 class Fleet {
  public:
   Fleet(const Context& context, const SlowStart& slow_start);
 
   void apply(const EndpointList& list);
 
-  /// An engine's health has changed: refresh() is due.
+  /// Records that an engine's health has changed, so that refresh() is due.
   void mark_changed() { changed_ = true; }
   [[nodiscard]] bool changed() const { return changed_; }
 
-  /// Removes engines that are removable (is_removable) and sums anew. Pointers to those become invalid.
+  /// Removes engines for which is_removable() holds and recomputes the totals. Pointers to the removed
+  /// engines become invalid.
   void refresh();
-  /// Sums the cores anew: engines warm up with time.
+  /// Recomputes warm_cores(), which grows while engines warm up.
   void update_warm_cores();
 
   void begin_attempt(Engine& engine, AttemptKey attempt, unsigned threads);
@@ -37,15 +38,15 @@
   [[nodiscard]] const Engine* find(EngineId id) const;
   [[nodiscard]] Engine& at(EngineId id) { return engines_.at(id); }
 
-  /// Engines that may be sent queries by the list, in the order of their ids.
+  /// Engines that the list allows sending queries to, ordered by id.
   [[nodiscard]] const std::vector<Engine*>& ready() const { return ready_; }
   /// Engines with an attempt of this broker in flight.
   [[nodiscard]] const std::set<EngineId>& busy() const { return busy_; }
   /// This broker's share of the threads of all engines that are not ejected.
   [[nodiscard]] double thread_pool() const { return thread_pool_; }
-  /// Cores of all ready engines, each by what it can do now.
+  /// Cores of all ready engines, each engine scaled by its present slow start capacity.
   [[nodiscard]] double warm_cores() const { return warm_cores_; }
-  /// Whether this broker's pool holds so few queries that budgets can't keep classes apart.
+  /// Whether this broker's pool holds too few queries for thread budgets to separate the classes.
   [[nodiscard]] bool has_small_pool() const { return small_pool_; }
 
  private:
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -10,11 +10,11 @@
 constexpr Time kSendInterval = std::chrono::milliseconds(200);
 constexpr unsigned kMaxBrokersForBroadcast = 10;
 constexpr double kBytesPerRequest = 250;      // of reports
-constexpr double kMaxBudgetRequests = 4;      // whose bytes may be saved up
+constexpr double kMaxBudgetRequests = 4;      // requests whose bytes may be saved up
 constexpr double kDatagramHeaderBytes = 28;   // IP and UDP
 constexpr std::size_t kMaxLatencyRatios = 3;  // in one message
 constexpr unsigned kMaxReportAge = 255;       // ticks
-constexpr double kMinRate = 0.2;              // 1/s, of what a message stands for
+constexpr double kMinRate = 0.2;              // 1/s, of messages; the inverse of the seconds that one covers
 constexpr double kMinSeconds = 1e-3;
 constexpr unsigned kRateScale = 16;  // of GossipPayload::rate, per 1/s
 constexpr unsigned kLoadScale = 32;  // of GossipEntry::value, per thread a core or latency ratio of 1
@@ -47,7 +47,8 @@
   const auto size = kDatagramHeaderBytes + static_cast<double>(encode_gossip(payload).size());
   const double count = std::floor(budget_bytes_ / size);
   if (count < 1) return;
-  // Each message stands for a part of the time since the last ones: in busy times they come close together.
+  // Each message covers only a part of the time since the last ones: in busy times messages are more
+  // frequent.
   payload.rate = static_cast<unsigned>(kRateScale * count * size / kBytesPerRequest /
                                        std::max(kMinSeconds, unsent_seconds_));
   const auto bytes = encode_gossip(payload);
@@ -63,8 +64,8 @@
 GossipPayload Gossip::report_payload() {
   GossipPayload payload;
   payload.has_reports = true;
-  // Messages follow arrivals, when more runs than usual: the mean since the last ones is sent, rounded at
-  // random.
+  // Messages are sent after arrivals, when more threads run than on average. The message therefore has the
+  // mean since the last ones, rounded at random.
   const double mean_threads = unsent_thread_seconds_ / std::max(kMinSeconds, unsent_seconds_);
   payload.mean_threads = static_cast<unsigned>(mean_threads + context_.uniform());
   const std::size_t limit = load_.uses_reports() ? kMaxRecentReports : kMaxLatencyRatios;
@@ -99,7 +100,7 @@
   const Time reported_at = context_.now - entry.age * kTickInterval;
   if (engine == nullptr || !engine->ready) return;
   if (load_.uses_reports() && reported_at <= engine->reported_at) return;
-  // The message does not tell when the peer had sent what was answered.
+  // The message does not contain the time at which the peer sent the request that the engine answered.
   engine->record_alive(reported_at, reported_at - StartTracker::kMaxTransitTime);
   const double load = entry.value / static_cast<double>(kLoadScale);
   if (load_.uses_reports()) {
--- a/src/policy/gossip.hpp
+++ b/src/policy/gossip.hpp
@@ -1,4 +1,4 @@
-// Gossip between brokers: what each tells the others of its load and of engines.
+// Gossip between brokers: each broker sends the others its own load and what it knows about engines.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -10,23 +10,24 @@
 
 namespace bellstair::policy {
 
-/// Few brokers send all others their own threads by engine; many send a few others their newest reports.
-/// Where reports don't tell load, latency ratios of the last answers are sent in their place.
+/// In a small deployment, each broker broadcasts its own threads by engine. In a large one, it sends its
+/// newest load reports to a few random brokers; if reports have no load, latency ratios of the last answers
+/// instead.
 class Gossip {
  public:
   Gossip(Context& context, Fleet& fleet, const ClassTable& classes, LoadEstimator& load)
       : context_(context), fleet_(fleet), classes_(classes), load_(load) {}
 
-  /// The first call of this process.
+  /// Starts the send interval, in the first call of this process.
   void begin() { sent_at_ = context_.now; }
-  /// A request has arrived: it adds to the budget of bytes.
+  /// Records that a request has arrived, which adds to the budget of bytes.
   void record_request();
-  /// Time passes, with this broker's threads as they are.
+  /// Adds the elapsed time to the average of this broker's threads.
   void advance(double elapsed_seconds);
 
-  /// Sends what is due.
+  /// Sends messages if the send interval has passed.
   void send();
-  /// Malformed messages are ignored.
+  /// Processes a message of another broker. Ignores malformed messages.
   void receive(const GossipMessage& message);
 
  private:
--- a/src/policy/health_checker.hpp
+++ b/src/policy/health_checker.hpp
@@ -1,4 +1,4 @@
-// Health checks and their budget.
+// Sends health checks within a budget.
 #pragma once
 
 #include "policy/context.hpp"
@@ -6,17 +6,18 @@
 
 namespace bellstair::policy {
 
-/// Sends health checks, at most one for each request on average.
+/// Limits health checks to one for each request on average.
 class HealthChecker {
  public:
   explicit HealthChecker(const Context& context);
 
-  /// A request has arrived: it adds to the budget.
+  /// Records that a request has arrived, which adds to the budget.
   void record_request();
 
   /// Sends a check if the budget allows it; returns whether it did.
   bool check(Engine& engine);
-  /// Sends a check if the engine's last report is old and the budget holds `reserve` checks beside this one.
+  /// Sends a check if the engine's last report or check is old and the budget holds `reserve` checks in
+  /// addition to this one. Returns whether it did.
   bool check_if_stale(Engine& engine, double reserve);
 
  private:
--- a/src/policy/latency_monitor.cpp
+++ b/src/policy/latency_monitor.cpp
@@ -9,9 +9,9 @@
 
 constexpr double kEngineStep = 0.1;   // weight of one answer in an engine's ratio
 constexpr double kFleetStep = 0.04;   // weight of one answer in the fleet's ratio
-constexpr double kMinSlowness = 2.0;  // times slower than the fleet; less is chance
+constexpr double kMinSlowness = 2.0;  // times slower than the fleet; lower ratios are due to chance
 constexpr double kMaxSlowness = 6.0;
-constexpr Time kUnheardTimeout = 4s;  // without an answer
+constexpr Time kMaxAnswerAge = 4s;  // of an engine's last answer, before its ratio is capped
 }  // namespace
 
 void LatencyMonitor::record_answer(Engine& engine, double ratio) {
@@ -31,7 +31,7 @@
 
 void LatencyMonitor::cap_stale_ratios(const std::vector<Engine*>& engines) const {
   for (auto* engine : engines) {
-    if (context_.now <= engine->last_seen_at + kUnheardTimeout) continue;
+    if (context_.now <= engine->last_seen_at + kMaxAnswerAge) continue;
     engine->latency_ratio = std::min(engine->latency_ratio, kMinSlowness * std::max(1.0, fleet_ratio_));
   }
 }
--- a/src/policy/latency_monitor.hpp
+++ b/src/policy/latency_monitor.hpp
@@ -1,4 +1,4 @@
-// How slow engines and the fleet answer, against what their queries let expect.
+// Compares the latencies of engines and of the fleet with the latencies expected for their queries.
 #pragma once
 
 #include <vector>
@@ -8,23 +8,24 @@
 
 namespace bellstair::policy {
 
-/// Moving latency ratios: an answer's latency over what the query's own work lets expect.
+/// Keeps moving averages of latency ratios: an answer's latency over the latency expected for the query's
+/// work.
 class LatencyMonitor {
  public:
   explicit LatencyMonitor(const Context& context) : context_(context) {}
 
-  /// An answer of this engine to this broker.
+  /// Records an answer of this engine to this broker.
   void record_answer(Engine& engine, double ratio);
-  /// An answer of this engine to this broker or to another one.
+  /// Records an answer of this engine to this broker or to another one.
   static void record_engine_ratio(Engine& engine, double ratio);
 
   [[nodiscard]] double fleet_ratio() const { return fleet_ratio_; }
 
-  /// Times that the engine is slower than the fleet, as when another program takes a part of it; 1 up to what
-  /// chance explains. Load reports don't show it.
+  /// Factor by which the engine is slower than the fleet, for instance because another program uses its
+  /// cores; 1 while chance explains the difference. Load reports don't show this.
   [[nodiscard]] double slowness(const Engine& engine) const;
 
-  /// Gives slow engines without a recent answer another chance.
+  /// Caps the ratios of engines without a recent answer, so that a slow engine is tried again.
   void cap_stale_ratios(const std::vector<Engine*>& engines) const;
 
  private:
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -1,4 +1,4 @@
-// Estimates of how many threads run at an engine and in the fleet, from reports of load, from gossip and from
+// Estimates how many threads run at each engine and in the fleet, from load reports, from gossip and from
 // this broker's own attempts.
 #pragma once
 
@@ -15,12 +15,13 @@
 
 namespace bellstair::policy {
 
-/// Older reports say nothing about an engine.
+/// Reports older than this are ignored.
 inline constexpr Time kReportLifetime = std::chrono::milliseconds(2500);
-/// Newest reports that are kept; of a larger fleet, also the engines that are compared at a choice.
+/// Number of newest reports that are stored. In a fleet with more engines, a selection compares these
+/// engines.
 inline constexpr std::size_t kMaxRecentReports = 12;
 
-/// Whether reports have a field that tells the threads running at an engine.
+/// Whether reports have a field from which the threads running at an engine follow.
 bool reports_have_load(const Settings& settings);
 
 /// Estimates threads at engines, and the fleet's load level in threads a core.
@@ -34,34 +35,35 @@
   LoadEstimator(const Context& context, const Fleet& fleet, const SlowStart& slow_start,
                 const ClassTable& classes);
 
-  /// Takes a report of the fields Settings::load_report_fields, of an answer or a health check.
+  /// Records a load report of an answer or a health check, with the fields Settings::load_report_fields.
   void record_report(Engine& engine, const std::vector<double>& report);
-  /// All threads running at an engine at `at`, as a report tells them.
+  /// Records the threads of all brokers that ran at an engine at `at`, according to a report.
   void record_engine_threads(Engine& engine, double threads, Time at);
-  /// As above, but with no weight in the fleet's level.
+  /// As record_engine_threads(), but without an effect on the fleet's level.
   void record_engine_threads_only(Engine& engine, double threads, Time at);
-  /// This broker has learned of the engine at `at` what it may pass on.
-  void record_recent(Engine& engine, Time at);
+  /// Adds the engine to recent_reports(), with a report or an answer of `at`.
+  void add_recent_report(Engine& engine, Time at);
 
-  /// Threads of another broker, by engine.
+  /// Records the threads of another broker, by engine.
   void record_peer_threads(std::uint32_t broker, std::map<EngineId, unsigned> threads);
-  /// Mean threads of another broker over `interval_seconds`.
+  /// Records the mean threads of another broker over `interval_seconds`.
   void record_peer_mean(double threads, double interval_seconds);
 
-  /// Time passes, with this broker's threads as they are.
+  /// Updates the averages of this broker's threads for the elapsed time.
   void advance(double elapsed_seconds);
-  /// Forgets engines that are about to be removed.
+  /// Erases the reports of engines that are about to be removed.
   void erase_removable();
 
-  /// Threads a core over the fleet; below 0: not known.
+  /// Threads a core over the fleet; below 0 if not known.
   [[nodiscard]] double level() const;
-  /// Threads of all brokers at an engine; nothing if nothing is known. Without a recent word of its own an
-  /// engine is taken to be like the others, never as idle: all brokers would choose those they know least of.
+  /// Threads of all brokers at an engine; nullopt if not known. An engine without a recent report is assumed
+  /// to be as loaded as the others, never idle: otherwise all brokers would choose the engines with the least
+  /// data.
   [[nodiscard]] std::optional<double> engine_threads(const Engine& engine) const;
-  /// How far an engine's report is believed where it differs from the fleet's level, 0 to 1.
+  /// Weight, 0 to 1, of the difference between an engine's report and the fleet's level.
   [[nodiscard]] double report_confidence() const;
   [[nodiscard]] bool uses_reports() const { return uses_reports_; }
-  /// The newest first.
+  /// Ordered from the newest to the oldest.
   [[nodiscard]] const std::deque<Report>& recent_reports() const { return recent_reports_; }
 
  private:
@@ -70,10 +72,10 @@
     std::map<EngineId, unsigned> by_engine;
   };
 
-  [[nodiscard]] bool hears_peers() const { return peer_level_ >= 0; }
+  [[nodiscard]] bool has_peer_level() const { return peer_level_ >= 0; }
   [[nodiscard]] std::optional<double> threads_of_peers(const Engine& engine) const;
-  [[nodiscard]] double own_load_swing() const;
-  void record_scatter(const Engine& engine, double threads);
+  [[nodiscard]] double own_load_ratio() const;
+  void record_dispersion(const Engine& engine, double threads);
 
   const Context& context_;
   const Fleet& fleet_;
@@ -85,9 +87,9 @@
   std::deque<Report> recent_reports_;
   std::map<std::uint32_t, PeerThreads> peer_threads_;
 
-  double reported_level_ = -1;  // threads a core, moving average over reports; -1: none came
+  double reported_level_ = -1;  // threads a core, moving average over reports; -1: no report yet
   Time reported_level_at_{};
-  double report_scatter_ = 1;  // variance of the queries at an engine over their mean, in reports
+  double report_dispersion_ = 1;  // variance over mean of the queries at an engine, in reports
 
   double peer_level_ = -1;  // threads a core, from other brokers' messages; -1: not known
   unsigned peer_messages_ = 0;
@@ -98,7 +100,7 @@
   // This broker's threads.
   double own_threads_slow_ = 0;     // moving average
   double own_threads_fast_ = 0;     // moving average
-  double own_threads_at_peer_ = 0;  // the fast one at the last message of a peer
+  double own_threads_at_peer_ = 0;  // the fast average at the last message of a peer
 };
 
 }  // namespace bellstair::policy
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -2,7 +2,7 @@
 
 namespace bellstair::policy {
 namespace {
-constexpr double kThreadsPerCoreAtCapacity = 4;  // of an engine that rejected a query, at the least
+constexpr double kThreadsPerCoreAtCapacity = 4;  // assumed minimum at an engine that rejected a query
 }  // namespace
 
 void OutcomeRecorder::record(Engine& engine, const Request& request, const AttemptOutcome& outcome) {
@@ -11,7 +11,8 @@
     case AttemptResult::served:
       return record_served(engine, request, outcome);
     case AttemptResult::error:
-      // The statement may be at fault. Where another engine can be asked, its answer tells.
+      // The statement may be at fault. If it can be retried at another engine, that engine's answer shows
+      // whether it is.
       if (class_settings(context_.settings, request).idempotency == Idempotency::not_idempotent)
         outliers_.record_failure(engine, kErrorWeight);
       return;
@@ -32,16 +33,16 @@
   engine.last_seen_at = context_.now;
   engine.record_alive(context_.now, request.attempts[outcome.attempt].sent_at);
   outliers_.record_success(engine);
-  blame_engines_with_errors(request, engine);
+  record_errors_of_engines(request, engine);
   outliers_.pass_trial(engine);
   const double threads = class_settings(context_.settings, request).threads;
   auto& estimates = classes_[request.arrival.cls].estimates;
   latency_.record_answer(engine, estimates.learn(request, outcome, threads, context_.settings.memory_grants));
-  if (!load_.uses_reports()) load_.record_recent(engine, context_.now);
+  if (!load_.uses_reports()) load_.add_recent_report(engine, context_.now);
 }
 
-// Another engine has served the statement: it is not at fault.
-void OutcomeRecorder::blame_engines_with_errors(const Request& request, const Engine& served_by) {
+// Another engine has served the statement, so the errors were the engines' fault and not the statement's.
+void OutcomeRecorder::record_errors_of_engines(const Request& request, const Engine& served_by) {
   for (const auto& attempt : request.attempts) {
     if (attempt.in_flight || attempt.result != AttemptResult::error) continue;
     Engine* engine = fleet_.find(attempt.engine);
@@ -56,7 +57,7 @@
   load_.record_engine_threads_only(engine, threads, context_.now);
 }
 
-// The process may have ended, and start again before a list tells.
+// The process may have ended, and may start again before the endpoint list reports it.
 void OutcomeRecorder::record_connect_failed(Engine& engine) {
   engine.start.suspect_restart(context_.now, true);
   engine.last_reset_at = Time::zero();
@@ -66,7 +67,7 @@
 void OutcomeRecorder::record_reset(Engine& engine) {
   engine.start.suspect_restart(context_.now, false);
   engine.last_reset_at = context_.now;
-  const bool checked = health_checker_.check(engine);  // its answer will tell more
+  const bool checked = health_checker_.check(engine);  // its result will show whether the engine is down
   outliers_.record_failure(engine, checked ? kErrorWeight : 2 * kErrorWeight);
 }
 
--- a/src/policy/outcome_recorder.hpp
+++ b/src/policy/outcome_recorder.hpp
@@ -1,4 +1,4 @@
-// What the outcomes of attempts and of health checks tell about engines, classes and the fleet.
+// Updates what is known about engines, classes and the fleet from outcomes of attempts and health checks.
 #pragma once
 
 #include "policy/class_table.hpp"
@@ -11,7 +11,7 @@
 
 namespace bellstair::policy {
 
-/// Passes each outcome on to the estimators and to outlier detection.
+/// Passes each outcome on to the estimators and to the outlier detector.
 class OutcomeRecorder {
  public:
   OutcomeRecorder(const Context& context, Fleet& fleet, ClassTable& classes, LatencyMonitor& latency,
@@ -24,7 +24,7 @@
         outliers_(outliers),
         health_checker_(health_checker) {}
 
-  /// Of an attempt that is recorded as ended.
+  /// Records the outcome of an attempt that has already been marked as ended.
   void record(Engine& engine, const Request& request, const AttemptOutcome& outcome);
   void record(const HealthCheckResult& result);
 
@@ -33,7 +33,7 @@
   void record_rejected(Engine& engine);
   void record_connect_failed(Engine& engine);
   void record_reset(Engine& engine);
-  void blame_engines_with_errors(const Request& request, const Engine& served_by);
+  void record_errors_of_engines(const Request& request, const Engine& served_by);
 
   const Context& context_;
   Fleet& fleet_;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -22,24 +22,25 @@
 /// Weight of one error in an engine's error rate.
 inline constexpr double kErrorWeight = 0.25;
 
-/// Keeps engines' error rates and health. Ejections last for a random time that doubles while trials fail.
+/// Tracks the error rate and the health of each engine. An ejection lasts for a random time around a duration
+/// that doubles each time a trial fails.
 class OutlierDetector {
  public:
   /// `on_ejected` is called each time an engine is ejected, from within eject() after its health has changed.
   OutlierDetector(Context& context, Fleet& fleet, std::function<void(Engine&)> on_ejected)
       : context_(context), fleet_(fleet), on_ejected_(std::move(on_ejected)) {}
 
-  /// An error or a lost connection: raises the engine's rate by `weight` of what it lacks to 1, and ejects it
-  /// if the rate is far above the fleet's or the engine is on trial.
+  /// Records an error or a lost connection: moves the engine's error rate towards 1 by the fraction `weight`
+  /// of the distance, and ejects the engine if its rate is far above the fleet's or if it is on trial.
   void record_failure(Engine& engine, double weight);
-  /// A served query.
+  /// Records a served query, which lowers the engine's error rate.
   void record_success(Engine& engine);
-  /// To be called for each served query: an engine on trial becomes healthy.
+  /// Makes an engine on trial healthy again. Called for each served query.
   void pass_trial(Engine& engine);
   void eject(Engine& engine, EjectionReason reason);
 
-  /// Whether the request may go to the engine by its health. Begins a trial, of one idempotent query at a
-  /// time, once the ejection is over.
+  /// Whether the engine's health allows sending it the request. Once the ejection is over, puts the engine on
+  /// trial: it then gets one idempotent query at a time.
   [[nodiscard]] bool try_admit(const Request& request, Engine& engine) const;
 
  private:
--- a/src/policy/overload_detector.cpp
+++ b/src/policy/overload_detector.cpp
@@ -6,8 +6,8 @@
 namespace {
 constexpr double kOverloadLatencyRatio = 1.5;  // of the fleet
 constexpr double kMinLimitFactor = 0.5;
-constexpr double kLimitDecrease = 0.85;  // factor for a period
-constexpr double kLimitIncrease = 0.05;  // added for a period
+constexpr double kLimitDecrease = 0.85;  // factor in a period of overload
+constexpr double kLimitIncrease = 0.05;  // added in any other period
 }  // namespace
 
 bool OverloadDetector::is_overloaded() const {
@@ -17,7 +17,8 @@
 }
 
 void OverloadDetector::adapt() {
-  // Priorities keep the short classes quick; a broker with a small pool hears too little to tell.
+  // With priorities, short classes stay quick without this. A broker with a small pool receives too few
+  // answers to measure the ratio.
   if (context_.settings.priorities || fleet_.has_small_pool()) return;
   limit_factor_ = latency_.fleet_ratio() > kOverloadLatencyRatio
                       ? std::max(kMinLimitFactor, limit_factor_ * kLimitDecrease)
--- a/src/policy/overload_detector.hpp
+++ b/src/policy/overload_detector.hpp
@@ -1,4 +1,4 @@
-// Whether the fleet is overloaded, and how far concurrency is reduced.
+// Detects overload of the fleet, and sets how far concurrency is reduced.
 #pragma once
 
 #include "policy/context.hpp"
@@ -11,7 +11,7 @@
 /// Threads a core of all brokers above which the fleet is overloaded.
 inline constexpr double kOverloadThreadsPerCore = 1.5;
 
-/// Decides by the fleet's load level or, where that is not known, by its latency ratio.
+/// Detects overload from the fleet's load level or, if that is not known, from its latency ratio.
 class OverloadDetector {
  public:
   OverloadDetector(const Context& context, const Fleet& fleet, const LatencyMonitor& latency,
@@ -20,11 +20,11 @@
 
   [[nodiscard]] bool is_overloaded() const;
 
-  /// Factor, 1 or less, on all limits in threads a core.
+  /// Factor, at most 1, on all limits in threads a core.
   [[nodiscard]] double limit_factor() const { return limit_factor_; }
 
-  /// Adapts the factor, once in each control period: a fleet slower than usual is past its peak throughput,
-  /// wherever that lies with the present mix.
+  /// Adapts the factor, once in each control period. A fleet that is slower than usual runs more threads than
+  /// give its peak throughput, whose position depends on the present mix of queries.
   void adapt();
 
  private:
--- a/src/policy/start_tracker.hpp
+++ b/src/policy/start_tracker.hpp
@@ -1,4 +1,4 @@
-// When an engine's process started, as far as lists and broken connections tell.
+// Tracks when an engine's process started, from endpoint lists and broken connections.
 #pragma once
 
 #include <algorithm>
@@ -10,27 +10,28 @@
 
 namespace bellstair::policy {
 
-/// Tracks since when an engine's process is taken to run.
+/// Tracks the time at which an engine's process is assumed to have started.
 ///
-/// A lost or refused connection may mean a restart, which a list tells late, or be the network's doing. It
-/// counts as a start until the process turns out to have outlived it.
+/// A lost or refused connection may be due to a restart, which the endpoint list reports late, or to the
+/// network. It counts as a start until a response proves that the process ran before and after it.
 class StartTracker {
  public:
-  /// Time between a process's last words and their being read on another connection, at most.
+  /// Maximum time between a process's last messages and their receipt on another connection.
   static constexpr Time kMaxTransitTime = std::chrono::milliseconds(50);
 
-  /// Start of the process; 0: long ago.
+  /// Assumed start of the process; 0: long ago.
   [[nodiscard]] Time started_at() const {
     return suspicions_.empty() ? confirmed_ : std::max(confirmed_, suspicions_.back().at);
   }
 
-  /// The endpoint list gives this start.
+  /// Records the start that the endpoint list reports.
   void confirm(Time started_at) {
     confirmed_ = started_at;
     suspicions_.clear();
   }
 
-  /// A connection was lost or, if `refused`, nobody listened: a word soon afterwards may be a new process's.
+  /// Records a lost connection or, if `refused`, a refused one: after a refusal, an early response may come
+  /// from a new process.
   void suspect_restart(Time at, bool refused) {
     if (suspicions_.size() == kMaxSuspicions) {
       confirmed_ = std::max(confirmed_, suspicions_.front().at);
@@ -39,8 +40,8 @@
     suspicions_.push_back({at, refused});
   }
 
-  /// At `at` came a word on what was sent at `sent_at`: the process has lived since then, and through a break
-  /// less than `min_restart_time` ago.
+  /// Records that a response to a message sent at `sent_at` arrived at `at`: the process has run since
+  /// `sent_at`, and did not restart at a connection loss less than `min_restart_time` ago.
   void record_alive(Time at, Time sent_at, Time min_restart_time) {
     std::erase_if(suspicions_, [&](const Suspicion& suspicion) {
       if (sent_at < suspicion.at) return suspicion.at + kMaxTransitTime < at;
@@ -53,7 +54,7 @@
     Time at{};
     bool refused = false;
   };
-  static constexpr std::size_t kMaxSuspicions = 16;  // beyond, the oldest counts as confirmed
+  static constexpr std::size_t kMaxSuspicions = 16;  // if there are more, the oldest is confirmed
 
   Time confirmed_{};
   std::deque<Suspicion> suspicions_;
--- a/src/policy/units.hpp
+++ b/src/policy/units.hpp
@@ -8,10 +8,10 @@
 
 namespace bellstair::policy {
 
-/// A span in seconds.
-inline double to_seconds(Time span) { return std::chrono::duration<double>(span).count(); }
+/// Converts a duration to seconds.
+inline double to_seconds(Time duration) { return std::chrono::duration<double>(duration).count(); }
 
-/// A span of so many seconds, rounded towards zero to whole nanoseconds.
+/// Converts seconds to a duration, rounded towards zero to whole nanoseconds.
 inline Time from_seconds(double seconds) { return Time(static_cast<std::int64_t>(seconds * 1e9)); }
 
 }  // namespace bellstair::policy
