--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -71,25 +71,26 @@
   void set_endpoints(std::vector<Endpoint> engines, EndpointListKind kind = EndpointListKind::full) {
     handle(now, {EndpointList{kind, std::move(engines)}});
   }
-  void submit(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
-    RequestArrival a;
-    a.request = id;
-    a.cls = cls;
-    a.time_left = left;
-    a.ordering_key = key;
-    a.data_group = group;
-    handle(now, {a});
+  void submit(RequestId id, ClassIndex cls, Time time_left = 5s, std::uint64_t ordering_key = 0,
+              std::int64_t data_group = 1) {
+    RequestArrival arrival;
+    arrival.request = id;
+    arrival.cls = cls;
+    arrival.time_left = time_left;
+    arrival.ordering_key = ordering_key;
+    arrival.data_group = data_group;
+    handle(now, {arrival});
   }
-  void complete_attempt(RequestId id, AttemptIndex n, EngineId engine, AttemptResult result,
+  void complete_attempt(RequestId id, AttemptIndex attempt, EngineId engine, AttemptResult result,
                         Time latency = 100ms) {
-    AttemptOutcome o;
-    o.request = id;
-    o.attempt = n;
-    o.engine = engine;
-    o.result = result;
-    o.latency = latency;
-    o.request_closed = result == AttemptResult::served;
-    handle(now, {o});
+    AttemptOutcome outcome;
+    outcome.request = id;
+    outcome.attempt = attempt;
+    outcome.engine = engine;
+    outcome.result = result;
+    outcome.latency = latency;
+    outcome.request_closed = result == AttemptResult::served;
+    handle(now, {outcome});
   }
   [[nodiscard]] int attempts_of(RequestId id) const {
     return static_cast<int>(
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -134,12 +134,12 @@
 }
 
 RequestArrival estimated(RequestId id, Time cost, double memory_mb = 0) {
-  RequestArrival a;
-  a.request = id;
-  a.time_left = 5s;
-  a.estimated_work = cost;
-  a.estimated_memory_mb = memory_mb;
-  return a;
+  RequestArrival arrival;
+  arrival.request = id;
+  arrival.time_left = 5s;
+  arrival.estimated_work = cost;
+  arrival.estimated_memory_mb = memory_mb;
+  return arrival;
 }
 
 // One query of many times the usual work took the place of several, and half of all reports were refused.
@@ -153,13 +153,13 @@
     for (RequestId id = from; id < from + 60; ++id) {
       harness.handle(harness.now, {estimated(id, 100ms)});
       if (harness.attempts_of(id) == 1) {
-        AttemptOutcome o;
-        o.request = id;
-        o.engine = engine_of(harness, id, 0);
-        o.latency = 100ms;
-        o.request_closed = true;
-        o.load_report = {inflight};
-        harness.handle(harness.now, {o});
+        AttemptOutcome outcome;
+        outcome.request = id;
+        outcome.engine = engine_of(harness, id, 0);
+        outcome.latency = 100ms;
+        outcome.request_closed = true;
+        outcome.load_report = {inflight};
+        harness.handle(harness.now, {outcome});
       }
       harness.run_until(harness.now + 100ms);
     }
@@ -271,11 +271,11 @@
     harness.set_endpoints({engine(7), engine(8)});
     RequestId id = 0;
     const auto ask = [&](std::uint32_t tenant, Time took) {
-      RequestArrival a;
-      a.request = ++id;
-      a.tenant = tenant;
-      a.time_left = 5s;
-      harness.handle(harness.now, {a});
+      RequestArrival arrival;
+      arrival.request = ++id;
+      arrival.tenant = tenant;
+      arrival.time_left = 5s;
+      harness.handle(harness.now, {arrival});
       if (harness.attempts_of(id) == 1)
         harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served, took);
     };
@@ -310,13 +310,13 @@
     harness.set_endpoints({engine(7), engine(8)});
     for (RequestId id = 1; id <= 40; ++id) {
       harness.submit(id, 0);
-      AttemptOutcome o;
-      o.request = id;
-      o.engine = harness.sent.back().engine;
-      o.latency = 100ms;
-      o.request_closed = true;
-      o.load_report = {7};
-      harness.handle(harness.now, {o});
+      AttemptOutcome outcome;
+      outcome.request = id;
+      outcome.engine = harness.sent.back().engine;
+      outcome.latency = 100ms;
+      outcome.request_closed = true;
+      outcome.load_report = {7};
+      harness.handle(harness.now, {outcome});
     }
     harness.submit(50, 0);
     ASSERT_EQ(harness.attempts_of(50), 1);
@@ -371,14 +371,14 @@
     if (id == 1) {
       EXPECT_NEAR(granted, 100, 1) << "nothing told yet: twice the estimate";
     }
-    AttemptOutcome o;
-    o.request = id;
-    o.engine = engine_of(harness, id, 0);
-    o.latency = 100ms;
-    o.request_closed = true;
-    o.work = 100ms;
-    o.memory_mb = 150;
-    harness.handle(harness.now, {o});
+    AttemptOutcome outcome;
+    outcome.request = id;
+    outcome.engine = engine_of(harness, id, 0);
+    outcome.latency = 100ms;
+    outcome.request_closed = true;
+    outcome.work = 100ms;
+    outcome.memory_mb = 150;
+    harness.handle(harness.now, {outcome});
   }
   EXPECT_NEAR(granted, 300, 3) << "needs are three times what the class's estimates say";
 }
@@ -391,14 +391,14 @@
   SchedulerHarness harness(s);
   harness.set_endpoints({engine(7), engine(8)});
   harness.submit(1, 0);
-  AttemptOutcome o;
-  o.request = 1;
-  o.engine = harness.sent.back().engine;
-  o.latency = 100ms;
-  o.request_closed = true;
-  o.work = 100ms;
-  o.memory_mb = 150;
-  harness.handle(harness.now, {o});
+  AttemptOutcome outcome;
+  outcome.request = 1;
+  outcome.engine = harness.sent.back().engine;
+  outcome.latency = 100ms;
+  outcome.request_closed = true;
+  outcome.work = 100ms;
+  outcome.memory_mb = 150;
+  harness.handle(harness.now, {outcome});
   double granted = 0;
   for (const auto& action : harness.handle(harness.now, {estimated(2, 100ms, 50)}))
     if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -91,10 +91,10 @@
   std::size_t probes = 0, sends = 0;
   for (auto& harness : fleet.all) {
     for (RequestId id = 1; id <= 6; ++id) {
-      RequestArrival a;
-      a.request = id;
-      a.time_left = 840ms;
-      for (const auto& action : harness->handle(harness->now + 100ms, {a}))
+      RequestArrival arrival;
+      arrival.request = id;
+      arrival.time_left = 840ms;
+      for (const auto& action : harness->handle(harness->now + 100ms, {arrival}))
         probes += std::holds_alternative<SendHealthCheck>(action) ? 1 : 0;
       sends += harness->sent.size() == id ? 1 : 0;
     }
@@ -115,12 +115,12 @@
       due[i].erase(now);
       events.emplace_back(TimerFired{});
       if (std::generate_canonical<double, 32>(random) < chance[i]) {
-        RequestArrival a;
-        a.request = ++last;
-        a.time_left = 8s;
-        a.cls = cls;
-        a.tenant = std::generate_canonical<double, 32>(random) < 0.59 ? 0 : 1;
-        events.emplace_back(a);
+        RequestArrival arrival;
+        arrival.request = ++last;
+        arrival.time_left = 8s;
+        arrival.cls = cls;
+        arrival.tenant = std::generate_canonical<double, 32>(random) < 0.59 ? 0 : 1;
+        events.emplace_back(arrival);
         ++queries;
       }
       running[i] -= static_cast<int>(std::ranges::count_if(
@@ -131,13 +131,13 @@
           mail[*tell->to].emplace_back(GossipMessage{static_cast<std::uint32_t>(i), tell->bytes});
         }
         if (const auto* send = std::get_if<SendAttempt>(&action)) {
-          AttemptOutcome o;
-          o.request = send->request;
-          o.engine = send->engine;
-          o.latency = send->engine == slow_engine ? 5 * lasts : lasts;
-          o.work = 4 * lasts;  // as for four threads, at every engine
-          o.request_closed = true;
-          due[i][now + o.latency].emplace_back(o);
+          AttemptOutcome outcome;
+          outcome.request = send->request;
+          outcome.engine = send->engine;
+          outcome.latency = send->engine == slow_engine ? 5 * lasts : lasts;
+          outcome.work = 4 * lasts;  // as for four threads, at every engine
+          outcome.request_closed = true;
+          due[i][now + outcome.latency].emplace_back(outcome);
           ++running[i];
           ++sends[send->engine];
         }
