--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -1,4 +1,4 @@
-// Second copies, and what estimates of work and memory decide.
+// Tests of hedging, and of decisions by estimates of work and memory.
 #include <gtest/gtest.h>
 
 #include "bench.hpp"
@@ -6,34 +6,34 @@
 namespace bellstair::policy::test {
 namespace {
 
-Settings copying() {
+Settings hedging_settings() {
   Settings s = basic_settings();
   s.hedging = true;
   return s;
 }
 
-// Enough was asked and answered to pay for copies; nothing is out.
-void warm_up(SchedulerHarness& harness, ClassIndex cls = 0) {
+// Serves enough requests to fill the hedging budget. No attempt is in flight afterwards.
+void fill_hedging_budget(SchedulerHarness& harness, ClassIndex cls = 0) {
   for (RequestId id = 1; id <= 20; ++id) {
     harness.submit(id, cls);
     harness.complete_attempt(id, 0, harness.sent.back().engine, AttemptResult::served);
   }
 }
 
-EngineId engine_of(const SchedulerHarness& harness, RequestId id, int n) {
+EngineId engine_of(const SchedulerHarness& harness, RequestId id, int attempt) {
   for (const auto& send : harness.sent) {
-    if (send.request == id && n-- == 0) return send.engine;
+    if (send.request == id && attempt-- == 0) return send.engine;
   }
   return 0;
 }
 
-TEST(Hedging, AnAttemptFarOverdueGetsOneElsewhereOnlyWhereAllowed) {
+TEST(HedgingPolicy, HedgesOverdueAttemptAtOtherEngineIfAllowed) {
   for (const bool allowed : {true, false}) {
-    Settings s = copying();
+    Settings s = hedging_settings();
     s.hedging = allowed;
     SchedulerHarness harness(s);
     harness.set_endpoints({engine(7), engine(8)});
-    warm_up(harness);
+    fill_hedging_budget(harness);
     harness.submit(50, 0);
     harness.run_until(harness.now + 500ms);
     ASSERT_EQ(harness.attempts_of(50), allowed ? 2 : 1);
@@ -43,11 +43,11 @@
   }
 }
 
-TEST(Hedging, TheFirstAnswerClosesAndTheOtherIsCancelled) {
+TEST(HedgingPolicy, FirstAnswerClosesRequestAndCancelsOtherAttempt) {
   for (const AttemptIndex first : {AttemptIndex{0}, AttemptIndex{1}}) {
-    SchedulerHarness harness(copying());
+    SchedulerHarness harness(hedging_settings());
     harness.set_endpoints({engine(7), engine(8)});
-    warm_up(harness);
+    fill_hedging_budget(harness);
     harness.submit(50, 0);
     harness.run_until(harness.now + 500ms);
     ASSERT_EQ(harness.attempts_of(50), 2);
@@ -62,14 +62,14 @@
   }
 }
 
-TEST(Hedging, OneThatFailsNeitherEndsNorHoldsTheRequestWhileTheOtherRuns) {
+TEST(HedgingPolicy, FailedAttemptDoesNotEndRequestWhileOtherRuns) {
   for (const auto result :
        {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected, AttemptResult::cancelled}) {
-    Settings s = copying();
+    Settings s = hedging_settings();
     s.max_attempts = 2;
     SchedulerHarness harness(s);
     harness.set_endpoints({engine(7), engine(8)});
-    warm_up(harness);
+    fill_hedging_budget(harness);
     harness.submit(50, 0);
     harness.run_until(harness.now + 500ms);
     ASSERT_EQ(harness.attempts_of(50), 2);
@@ -82,24 +82,24 @@
   }
 }
 
-TEST(Hedging, AttemptsAndTheirBudgetCountBoth) {
-  Settings s = copying();
+TEST(HedgingPolicy, HedgesCountAsAttemptsAndAgainstRetryBudget) {
+  Settings s = hedging_settings();
   s.max_attempts = 2;
   s.retry_budget = RetryBudget{60s, 1, 0};
   SchedulerHarness harness(s);
   harness.set_endpoints({engine(7), engine(8), engine(9)});
-  warm_up(harness);
+  fill_hedging_budget(harness);
   harness.submit(50, 0);
   harness.submit(51, 0);
   harness.run_until(harness.now + 4s);
-  EXPECT_EQ(harness.attempts_of(50) + harness.attempts_of(51), 3) << "one further attempt in all";
+  EXPECT_EQ(harness.attempts_of(50) + harness.attempts_of(51), 3) << "one additional attempt in total";
   for (const RequestId id : {50U, 51U}) EXPECT_LE(harness.attempts_of(id), 2);
 }
 
-TEST(Hedging, NoneForNonIdempotentClassesAndKeyedOnesStayInTheirGroup) {
-  SchedulerHarness harness(copying());
+TEST(HedgingPolicy, FollowsIdempotencyAndDeduplicationScope) {
+  SchedulerHarness harness(hedging_settings());
   harness.set_endpoints({engine(7, 0), engine(8, 1)});
-  warm_up(harness, 1);
+  fill_hedging_budget(harness, 1);
   for (RequestId id = 21; id <= 40; ++id) {
     harness.submit(id, 2);
     harness.complete_attempt(id, 0, harness.sent.back().engine, AttemptResult::served);
@@ -108,50 +108,51 @@
   harness.submit(51, 2);
   harness.run_until(harness.now + 4900ms);
   EXPECT_EQ(harness.attempts_of(50), 1);
-  EXPECT_EQ(harness.attempts_of(51), 1) << "the only engine of its zone has it already";
+  EXPECT_EQ(harness.attempts_of(51), 1) << "the only engine of its zone runs it already";
 }
 
-TEST(Hedging, WhatIsLostTwiceIsSentAThirdTime) {
-  SchedulerHarness harness(copying());
+TEST(HedgingPolicy, SendsThirdAttemptAfterTwoAreLost) {
+  SchedulerHarness harness(hedging_settings());
   harness.set_endpoints({engine(7), engine(8), engine(9)});
-  warm_up(harness);
+  fill_hedging_budget(harness);
   harness.submit(50, 0);
   harness.run_until(harness.now + 4s);
   ASSERT_EQ(harness.attempts_of(50), 3);
   EXPECT_EQ(harness.cancelled.front(), (std::pair<RequestId, AttemptIndex>{50, 0}))
-      << "two are awaited at most";
+      << "at most two attempts are awaited";
 }
 
-// Copies for all that is slow would double the load just when the fleet can't bear it.
-TEST(Hedging, TheyAreRationedByTheWorkThatWasAskedFor) {
-  SchedulerHarness harness(copying());
+// Hedging every slow attempt would double the load when the fleet is already overloaded.
+TEST(HedgingPolicy, BudgetIsFractionOfRequestedWork) {
+  SchedulerHarness harness(hedging_settings());
   harness.set_endpoints({engine(7), engine(8), engine(9), engine(10)});
   for (RequestId id = 1; id <= 8; ++id) harness.submit(id, 0);
   harness.run_until(harness.now + 4s);
-  std::size_t further = 0;
-  for (RequestId id = 1; id <= 8; ++id) further += static_cast<std::size_t>(harness.attempts_of(id) - 1);
-  EXPECT_EQ(further, 1U) << "a fifth of eight queries' work";
+  std::size_t hedges = 0;
+  for (RequestId id = 1; id <= 8; ++id) hedges += static_cast<std::size_t>(harness.attempts_of(id) - 1);
+  EXPECT_EQ(hedges, 1U) << "a fifth of eight queries' work";
 }
 
-RequestArrival estimated(RequestId id, Time cost, double memory_mb = 0) {
+RequestArrival arrival_with_estimate(RequestId id, Time work, double memory_mb = 0) {
   RequestArrival arrival;
   arrival.request = id;
   arrival.time_left = 5s;
-  arrival.estimated_work = cost;
+  arrival.estimated_work = work;
   arrival.estimated_memory_mb = memory_mb;
   return arrival;
 }
 
-// One query of many times the usual work took the place of several, and half of all reports were refused.
-TEST(RequestSizes, UnderOverloadTheLargestAreRejectedFirst) {
+// A query with many times the usual work used the capacity of several others, and half of all reports were
+// rejected.
+TEST(LoadShedder, RejectsLargestRequestsFirstUnderOverload) {
   Settings s = basic_settings();
   s.classes.resize(1);
   s.load_report_fields = {LoadReportField::inflight};
   SchedulerHarness harness(s);
   harness.set_endpoints({engine(7), engine(8)});
-  const auto play = [&harness](RequestId from, double inflight) {
+  const auto run_queries = [&harness](RequestId from, double inflight) {
     for (RequestId id = from; id < from + 60; ++id) {
-      harness.handle(harness.now, {estimated(id, 100ms)});
+      harness.handle(harness.now, {arrival_with_estimate(id, 100ms)});
       if (harness.attempts_of(id) == 1) {
         AttemptOutcome outcome;
         outcome.request = id;
@@ -164,104 +165,103 @@
       harness.run_until(harness.now + 100ms);
     }
   };
-  play(1, 1);
-  harness.handle(harness.now, {estimated(500, 400ms)});
-  EXPECT_EQ(harness.answer_count(500), 0) << "no crowd";
+  run_queries(1, 1);
+  harness.handle(harness.now, {arrival_with_estimate(500, 400ms)});
+  EXPECT_EQ(harness.answer_count(500), 0) << "no overload";
   harness.complete_attempt(500, 0, engine_of(harness, 500, 0), AttemptResult::served);
-  play(101, 5.5);
-  harness.handle(harness.now, {estimated(501, 400ms), estimated(502, 100ms)});
+  run_queries(101, 5.5);
+  harness.handle(harness.now, {arrival_with_estimate(501, 400ms), arrival_with_estimate(502, 100ms)});
   EXPECT_EQ(harness.answer_count(501), 1);
   EXPECT_EQ(harness.answer_count(502), 0);
 }
 
-TEST(RequestSizes, WhatTakesLongerThanItsClientWaitsIsRejectedAtOnce) {
+TEST(LoadShedder, RejectsRequestThatTakesLongerThanItsTimeout) {
   SchedulerHarness harness(basic_settings());
   harness.set_endpoints({engine(7), engine(8)});
   for (RequestId id = 1; id <= 40; ++id) {
-    harness.handle(harness.now, {estimated(id, 100ms)});
+    harness.handle(harness.now, {arrival_with_estimate(id, 100ms)});
     harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served, 400ms);
   }
-  harness.handle(harness.now, {estimated(50, 3s)});
+  harness.handle(harness.now, {arrival_with_estimate(50, 3s)});
   EXPECT_EQ(harness.rejected[50], 1);
 }
 
-// What tips a cold engine over is work, and one query may be many times the usual.
-TEST(RequestSizes, AWarmingUpEngineIsChargedAQuerysOwnWork) {
-  for (const Time cost : {100ms, 2000ms}) {
+// An engine that is warming up is overloaded by work, and one query may have many times the usual work.
+TEST(SlowStart, ChargesLargeQueryItsOwnWork) {
+  for (const Time work : {100ms, 2000ms}) {
     Settings s = basic_settings();
     s.classes.resize(1);
     s.classes[0].client_timeout = 60s;
     SchedulerHarness harness(s);
     harness.set_endpoints({engine(7)});
     for (RequestId id = 1; id <= 40; ++id) {
-      harness.handle(harness.now, {estimated(id, 100ms)});
+      harness.handle(harness.now, {arrival_with_estimate(id, 100ms)});
       harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served);
     }
-    harness.run_until(
-        harness.now +
-        s.slow_start_overload_window);  // in its first one a process sends nothing to a cold engine
-    auto cold = engine(8);
-    cold.started_at = harness.now;
-    harness.set_endpoints({cold});
+    // In its first window, a broker sends nothing to an engine that is warming up.
+    harness.run_until(harness.now + s.slow_start_overload_window);
+    auto warming_up = engine(8);
+    warming_up.started_at = harness.now;
+    harness.set_endpoints({warming_up});
     harness.run_until(harness.now + 1s);
-    auto asked = estimated(50, cost);
-    asked.time_left = 60s;
-    harness.handle(harness.now, {asked});
+    auto arrival = arrival_with_estimate(50, work);
+    arrival.time_left = 60s;
+    harness.handle(harness.now, {arrival});
     harness.run_until(harness.now + 300ms);
-    EXPECT_EQ(harness.attempts_of(50), cost == 2s ? 0 : 1);
+    EXPECT_EQ(harness.attempts_of(50), work == 2s ? 0 : 1);
   }
 }
 
-// Small queries were charged less than the rule counts, and the class's work was learned from what was served
-// while large ones were refused: a cold engine was sent 4.5 times what it could do.
-TEST(RequestSizes, SmallQueriesAreChargedTheirClasssUsualWorkOnWarmingUpEngines) {
+// Small queries were charged only their own work, and the class's mean work came from served queries while
+// large ones were rejected: an engine that was warming up received 4.5 times what it could run.
+TEST(SlowStart, ChargesSmallQueryItsClassMeanWork) {
   Settings s = basic_settings();
   s.classes.resize(1);
   s.brokers = 20;
   SchedulerHarness harness(s);
   harness.set_endpoints({engine(7)});
-  const auto ask = [&harness](RequestId id) {  // one in five is large, and is never served; 100 ms on average
+  const auto submit = [&harness](RequestId id) {  // one in five is large and never served; the mean is 100 ms
     const Time work = id % 5 == 0 ? 400ms : 25ms;
-    harness.handle(harness.now, {estimated(id, work)});
+    harness.handle(harness.now, {arrival_with_estimate(id, work)});
     if (harness.attempts_of(id) == 0) return harness.handle(harness.now, {RequestCancelled{id}});
     if (id % 5 != 0) harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served, work);
     if (id % 5 == 0) harness.handle(harness.now, {RequestCancelled{id}});
     if (id % 5 == 0) harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::cancelled);
     return std::vector<Action>{};
   };
-  for (RequestId id = 1; id <= 200; ++id) ask(id);
-  auto cold = engine(8);
-  cold.started_at = harness.now;
-  harness.set_endpoints({cold});
+  for (RequestId id = 1; id <= 200; ++id) submit(id);
+  auto warming_up = engine(8);
+  warming_up.started_at = harness.now;
+  harness.set_endpoints({warming_up});
   for (RequestId id = 1000; id < 3000; ++id) {
     harness.run_until(harness.now + 5ms);
-    ask(id);
+    submit(id);
   }
-  // A twentieth of 0.8 x 2.5 x 0.4 to 1 x 0.85 x 4 core-seconds a second, for ten seconds, is 2.4; half more
-  // by chance.
+  // The broker's share for ten seconds is a twentieth of 0.8 x 2.5 x (0.4 to 1) x 0.85 x 4 core-seconds a
+  // second: 2.4 core-seconds. The limit is half more, since permits are random.
   EXPECT_LE(harness.attempts_to(8) * 0.1, 3.6);
   EXPECT_GT(harness.attempts_to(8), 0);
 }
 
-TEST(RequestSizes, AQueuedQueryIsShedWhenItsAnswerWouldComeTooLate) {
-  for (const Time cost : {100ms, 30ms}) {  // of the usual size; small, with more time left to wait
+TEST(LoadShedder, ShedsQueuedQueryWhoseAnswerWouldBeLate) {
+  for (const Time work : {100ms, 30ms}) {  // the usual size; a small query, which may wait longer
     Settings s = basic_settings();
     s.classes.resize(1);
     SchedulerHarness harness(s);
     harness.set_endpoints({engine(7)});
     for (RequestId id = 1; id <= 60; ++id) {
-      harness.handle(harness.now, {estimated(id, 100ms)});
+      harness.handle(harness.now, {arrival_with_estimate(id, 100ms)});
       harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served, 250ms);
     }
     harness.set_endpoints({});
-    harness.handle(harness.now, {estimated(70, cost)});
+    harness.handle(harness.now, {arrival_with_estimate(70, work)});
     harness.run_until(harness.now + 700ms);
-    EXPECT_EQ(harness.answer_count(70), cost == 100ms ? 1 : 0);
+    EXPECT_EQ(harness.answer_count(70), work == 100ms ? 1 : 0);
   }
 }
 
-// Where engines report nothing and messages are not allowed, a crowd was never seen.
-TEST(WithoutLoadReports, SlowAnswersTellAnOverloadAndAFloodPastItsQuotaIsRejected) {
+// If engines report no load and gossip is not allowed, overload was never detected.
+TEST(OverloadDetector, DetectsOverloadByLatencyWithoutLoadReports) {
   for (const bool slow : {false, true}) {
     Settings s = basic_settings();
     s.classes.resize(1);
@@ -270,25 +270,25 @@
     SchedulerHarness harness(s);
     harness.set_endpoints({engine(7), engine(8)});
     RequestId id = 0;
-    const auto ask = [&](std::uint32_t tenant, Time took) {
+    const auto run_query = [&](std::uint32_t tenant, Time latency) {
       RequestArrival arrival;
       arrival.request = ++id;
       arrival.tenant = tenant;
       arrival.time_left = 5s;
       harness.handle(harness.now, {arrival});
       if (harness.attempts_of(id) == 1)
-        harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served, took);
+        harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served, latency);
     };
     for (int n = 0; n < 60; ++n) {
-      ask(0, 100ms);
+      run_query(0, 100ms);
       harness.run_until(harness.now + 200ms);
     }
-    for (int n = 0; n < 20; ++n) ask(1, slow ? 400ms : 100ms);
+    for (int n = 0; n < 20; ++n) run_query(1, slow ? 400ms : 100ms);
     EXPECT_EQ(harness.answer_count(id), slow ? 1 : 0);
   }
 }
 
-TEST(WithoutLoadReports, AFullEngineRestsAndItsQueriesAreWithdrawnWhereNothingTellsItsLoad) {
+TEST(OutlierDetector, EjectsFullEngineWithoutLoadReports) {
   SchedulerHarness harness(basic_settings());
   harness.set_endpoints({engine(7)});
   harness.submit(1, 0);
@@ -296,14 +296,14 @@
   harness.set_endpoints({engine(7), engine(8)});
   harness.complete_attempt(2, 0, 7, AttemptResult::rejected);
   EXPECT_EQ(harness.cancelled, (std::vector<std::pair<RequestId, AttemptIndex>>{{1, 0}}));
-  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 8) << "of the other engine";
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 8) << "only the other engine counts";
 }
 
-// Lost answers passed for running queries until their deadlines; the level that all gateways go by rose, and
-// copies stopped just when they were needed.
-TEST(Hedging, UnderOverloadAnOverdueAttemptIsMovedThoughNoHedgeIsSent) {
-  for (const bool noted : {false, true}) {  // an attempt that gave notes runs
-    Settings s = copying();
+// Queries whose answers were lost counted as running until their deadlines. The load level rose at all
+// brokers, and hedging stopped when it was needed.
+TEST(HedgingPolicy, MovesOverdueAttemptUnderOverloadWithoutHedge) {
+  for (const bool has_progress : {false, true}) {  // an attempt with progress events is running
+    Settings s = hedging_settings();
     s.progress_interval = 10s;
     s.load_report_fields = {LoadReportField::inflight};
     SchedulerHarness harness(s);
@@ -321,44 +321,44 @@
     harness.submit(50, 0);
     ASSERT_EQ(harness.attempts_of(50), 1);
     harness.run_until(harness.now + 100ms);
-    if (noted)
+    if (has_progress)
       harness.handle(harness.now,
                      {AttemptProgress{50, 0, harness.sent.back().engine, ProgressKind::progress, 0.5}});
     harness.run_until(harness.now + 380ms);
     EXPECT_TRUE(harness.cancelled.empty());
     harness.run_until(harness.now + 250ms);
-    EXPECT_EQ(harness.attempts_of(50), 1) << "no copy";
-    EXPECT_EQ(harness.cancelled.size(), noted ? 0U : 1U);
-    if (noted) continue;
+    EXPECT_EQ(harness.attempts_of(50), 1) << "no hedge";
+    EXPECT_EQ(harness.cancelled.size(), has_progress ? 0U : 1U);
+    if (has_progress) continue;
     harness.complete_attempt(50, 0, engine_of(harness, 50, 0), AttemptResult::cancelled);
     EXPECT_EQ(harness.attempts_of(50) + static_cast<int>(harness.scheduler.class_status(0).queued), 2)
-        << "sent again, or held for room";
+        << "retried, or queued until there is capacity";
   }
 }
 
-TEST(RequestSizes, OfLaterClassesSmallerQueriesGetPriority) {
+TEST(AttemptTerms, SmallerQueriesOfLowerRanksGetHigherPriority) {
   Settings s = basic_settings();
   s.priorities = true;
   s.classes[1].idempotency = Idempotency::idempotent;
   SchedulerHarness harness(s);
   harness.set_endpoints({engine(7), engine(8)});
   std::vector<int> priorities;
-  const auto ask = [&](RequestId id, Time cost) {
-    auto asked = estimated(id, cost);
-    asked.cls = 1;
-    for (const auto& action : harness.handle(harness.now, {asked}))
+  const auto run_query = [&](RequestId id, Time work) {
+    auto arrival = arrival_with_estimate(id, work);
+    arrival.cls = 1;
+    for (const auto& action : harness.handle(harness.now, {arrival}))
       if (const auto* terms = std::get_if<AttemptTerms>(&action)) priorities.push_back(terms->priority);
     harness.complete_attempt(id, 0, engine_of(harness, id, 0), AttemptResult::served);
   };
-  for (RequestId id = 1; id <= 30; ++id) ask(id, 100ms);
+  for (RequestId id = 1; id <= 30; ++id) run_query(id, 100ms);
   priorities.clear();
-  ask(40, 20ms);
-  ask(41, 100ms);
-  ask(42, 280ms);
+  run_query(40, 20ms);
+  run_query(41, 100ms);
+  run_query(42, 280ms);
   EXPECT_EQ(priorities, (std::vector<int>{2, 1, 0}));
 }
 
-TEST(MemoryGrants, EstimatesAreSetRightByWhatAnswersTell) {
+TEST(AttemptTerms, AnswersCorrectMemoryEstimates) {
   Settings s = basic_settings();
   s.memory_grants = true;
   s.memory_shortage = MemoryShortage::overcommit;
@@ -366,10 +366,10 @@
   harness.set_endpoints({engine(7), engine(8)});
   double granted = 0;
   for (RequestId id = 1; id <= 100; ++id) {
-    for (const auto& action : harness.handle(harness.now, {estimated(id, 100ms, 50)}))
+    for (const auto& action : harness.handle(harness.now, {arrival_with_estimate(id, 100ms, 50)}))
       if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
     if (id == 1) {
-      EXPECT_NEAR(granted, 100, 1) << "nothing told yet: twice the estimate";
+      EXPECT_NEAR(granted, 100, 1) << "no need reported yet: twice the estimate";
     }
     AttemptOutcome outcome;
     outcome.request = id;
@@ -380,11 +380,11 @@
     outcome.memory_mb = 150;
     harness.handle(harness.now, {outcome});
   }
-  EXPECT_NEAR(granted, 300, 3) << "needs are three times what the class's estimates say";
+  EXPECT_NEAR(granted, 300, 3) << "needs are three times the class's estimates";
 }
 
-// The need of queries without an estimate was set against an estimate of nothing: a grant without end.
-TEST(MemoryGrants, AnEstimateAfterAnswersToQueriesWithoutOneIsTakenAsItIs) {
+// The need of queries without an estimate was divided by an estimate of 0, which gave an unlimited grant.
+TEST(AttemptTerms, QueriesWithoutMemoryEstimateCorrectNone) {
   Settings s = basic_settings();
   s.memory_grants = true;
   s.memory_shortage = MemoryShortage::overcommit;
@@ -400,13 +400,13 @@
   outcome.memory_mb = 150;
   harness.handle(harness.now, {outcome});
   double granted = 0;
-  for (const auto& action : harness.handle(harness.now, {estimated(2, 100ms, 50)}))
+  for (const auto& action : harness.handle(harness.now, {arrival_with_estimate(2, 100ms, 50)}))
     if (const auto* terms = std::get_if<AttemptTerms>(&action)) granted = terms->memory_mb;
   EXPECT_NEAR(granted, 100, 1);
 }
 
-// Queries that stood in an engine's line gave notes all the time, and the engine was rested as silent.
-TEST(ProgressEvents, WhoGivesThemIsNotSilentAndAnAttemptWithoutThemIsLost) {
+// An engine was ejected as silent although its queued queries sent progress events all the time.
+TEST(AttemptMonitor, ProgressEventsShowThatEngineIsNotSilent) {
   Settings s = basic_settings();
   s.progress_interval = 1s;
   s.classes[0].client_timeout = 30s;
@@ -416,13 +416,13 @@
   harness.set_endpoints({engine(7), engine(8)});
   for (int second = 1; second <= 4; ++second) {
     harness.run_until(harness.now + 1s);
-    std::vector<Event> notes;
+    std::vector<Event> events;
     for (RequestId id = 1; id <= 3; ++id)
-      notes.push_back(AttemptProgress{id, 0, 7, ProgressKind::waiting, 1});
-    harness.handle(harness.now, notes);
+      events.push_back(AttemptProgress{id, 0, 7, ProgressKind::waiting, 1});
+    harness.handle(harness.now, events);
   }
   EXPECT_EQ(harness.cancelled, (std::vector<std::pair<RequestId, AttemptIndex>>{{4, 0}}));
-  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 16) << "the engine is well";
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 16) << "the engine is not ejected";
 }
 
 }  // namespace
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -186,7 +186,7 @@
 
 // With grants chosen by the engines, queries with a heavy-tailed memory need spilled to disk and took several
 // times their work.
-TEST(MemoryGrants, FollowNeedsReportedInAnswers) {
+TEST(AttemptTerms, MemoryGrantsFollowNeedsReportedInAnswers) {
   Settings s = basic_settings();
   s.memory_grants = true;
   SchedulerHarness harness(s);
@@ -212,7 +212,7 @@
 
 // If engines reserve the whole grant, a grant far above the estimate makes other queries wait for memory. If
 // they count only memory in use, it has no cost.
-TEST(MemoryGrants, AreSmallerWhereEnginesReserveThem) {
+TEST(AttemptTerms, GrantsLessMemoryWhereEnginesReserveIt) {
   for (const auto shortage : {MemoryShortage::overcommit, MemoryShortage::wait, MemoryShortage::shrink}) {
     Settings s = basic_settings();
     s.memory_grants = true;
@@ -310,7 +310,7 @@
 // Loads were sent to engines that ran another load of their group. They waited for its lock longer than they
 // ran themselves, and their threads overloaded the fleet: in the Lakeshore churn scenario, a tenth of all
 // loads was rejected.
-TEST(DataGroupLocks, LoadWaitsForEngineWithoutLockOfItsGroup) {
+TEST(EndpointSelector, LoadWaitsForEngineWithoutLockOfItsGroup) {
   Settings s = basic_settings();
   s.classes[1].locks_data_group = true;
   s.classes[0].waits_for_data_group = true;
@@ -333,7 +333,7 @@
 }
 
 // Popular groups were locked at nearly every engine, and most short queries waited for loads.
-TEST(DataGroupLocks, ReadersAvoidEnginesThatLockTheirGroup) {
+TEST(EndpointSelector, ReadersAvoidEnginesThatLockTheirGroup) {
   Settings s = basic_settings();
   s.classes[1].locks_data_group = true;
   s.classes[0].waits_for_data_group = true;
