--- a/include/bellstair/policy/actions.hpp
+++ b/include/bellstair/policy/actions.hpp
@@ -1,4 +1,4 @@
-// What the policy module decides: actions that the caller carries out in their order.
+// The actions that the policy module returns. The caller carries them out in order.
 #pragma once
 
 #include <cstdint>
@@ -14,48 +14,48 @@
 struct SendAttempt {
   RequestId request = 0;
   EngineId engine = 0;
-  Time give_up_at{};  // clock time at which the attempt is given up
+  Time give_up_at{};  // clock time at which the attempt must be aborted
 };
-/// Cancels an attempt; its outcome still comes.
+/// Cancels an attempt. Its AttemptOutcome event still follows.
 struct CancelAttempt {
   RequestId request = 0;
   AttemptIndex attempt = 0;
 };
-/// Why a request ends without having been served.
+/// Why a request is not served.
 enum class UnservedReason : std::uint8_t {
   unknown_class,
-  over_quota,          // its tenant has used up its quota, and others wait
-  no_time,             // an answer takes longer than its client waits
-  too_big,             // for the present load
+  over_quota,          // its tenant has used up its quota, and requests are queued or the fleet is overloaded
+  no_time,             // the expected latency exceeds the time left until its deadline
+  too_big,             // its work is too large for the present load
   overdue_on_arrival,  // the broker was stalled while it waited
   deadline,
   queued_too_long,   // an answer would come after its latency objective
-  no_attempt_left,   // by the rules on retries, their number, or the engines that are left
+  no_attempt_left,   // the retry rules, max_attempts or the available engines allow no further attempt
   request_at_fault,  // two healthy engines have answered it with an error
 };
 
-/// Ends a request that its client may safely send again.
+/// Ends a request that its client may safely retry.
 struct Reject {
   RequestId request = 0;
   Time retry_after{};
   UnservedReason reason = UnservedReason::deadline;
 };
-/// Ends a request that may have run and may be unsafe to send again.
+/// Ends a request that may have run and may be unsafe to retry.
 struct Fail {
   RequestId request = 0;
   UnservedReason reason = UnservedReason::deadline;
 };
-/// Terms of the request's next attempts; the priority also of those in flight.
+/// Sets the terms of the request's next attempts. The priority also applies to its attempts in flight.
 struct AttemptTerms {
   RequestId request = 0;
-  double memory_mb = 0;       // granted; 0: the engine's own choice
+  double memory_mb = 0;       // granted; 0: the engine chooses
   std::uint8_t priority = 1;  // 0 to 3, the highest
 };
-/// Sends TimerFired after the delay.
+/// Requests a TimerFired event after the delay.
 struct ScheduleTimer {
   Time delay{};
 };
-/// Checks an engine's health; HealthCheckResult comes.
+/// Sends a health check to an engine. A HealthCheckResult event follows.
 struct SendHealthCheck {
   EngineId engine = 0;
 };
@@ -64,7 +64,7 @@
   std::optional<std::uint32_t> to;  // broker index; none: all others
   std::string bytes;                // at most 256
 };
-/// Starts or ends polls of the endpoint list.
+/// Starts or stops polling the endpoint list.
 struct PollEndpointList {
   bool on = true;
 };
@@ -73,7 +73,7 @@
   std::string text;
 };
 
-/// What Scheduler::handle() decides.
+/// An action returned by Scheduler::handle().
 using Action = std::variant<SendAttempt, CancelAttempt, Reject, Fail, AttemptTerms, ScheduleTimer,
                             SendHealthCheck, SendGossip, PollEndpointList, LogMessage>;
 
--- a/include/bellstair/policy/events.hpp
+++ b/include/bellstair/policy/events.hpp
@@ -1,4 +1,4 @@
-// What the policy module is told: an event for each thing that has happened.
+// The events that the policy module handles.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 
 namespace bellstair::policy {
 
-/// The state that the endpoint list gives an engine.
+/// The state of an engine in the endpoint list.
 enum class EngineState { draining, ready, gone };
-/// How a list relates to what was known: changes, all endpoints, all as stored earlier, or a failed poll.
+/// The content of a list: changes only, all endpoints, all endpoints from a stored list, or none after a
+/// failed poll.
 enum class EndpointListKind { delta, full, cached, failed };
-/// How an attempt or a health check has ended.
+/// The result of an attempt or a health check.
 enum class AttemptResult {
   served,
   error,
@@ -27,7 +28,7 @@
   cancelled,
   not_started
 };
-/// What an engine tells of a running attempt.
+/// The kind of a progress event that an engine sends for a running attempt.
 enum class ProgressKind { progress, spill, waiting };
 
 /// An engine in the endpoint list.
@@ -41,7 +42,7 @@
   Time started_at{};  // 0: long ago
 };
 
-/// The endpoint list, or changes of it.
+/// The endpoint list, or changes to it.
 struct EndpointList {
   EndpointListKind kind = EndpointListKind::full;
   std::vector<Endpoint> endpoints;
@@ -60,7 +61,7 @@
   bool is_client_retry = false;
 };
 
-/// A running attempt has made progress, or waits.
+/// A running attempt has made progress, lacks memory, or waits.
 struct AttemptProgress {
   RequestId request = 0;
   AttemptIndex attempt = 0;
@@ -78,13 +79,13 @@
   AttemptResult result = AttemptResult::served;
   Time latency{};
   bool request_closed = false;
-  std::optional<Time> work;         // of all its threads, if the answer has it
-  double memory_mb = 0;             // needed, if the answer has it
-  std::vector<double> load_report;  // as Settings::load_report_fields
-  Time may_run_for{};               // it may run on at the engine; its ordering key is blocked meanwhile
+  std::optional<Time> work;         // of all its threads, if the answer reports it
+  double memory_mb = 0;             // needed, if the answer reports it
+  std::vector<double> load_report;  // with the fields Settings::load_report_fields
+  Time may_run_for{};  // it may still run at the engine; its ordering key is blocked for this time
 };
 
-/// The client has withdrawn its request.
+/// The client has cancelled its request.
 struct RequestCancelled {
   RequestId request = 0;
 };
@@ -95,15 +96,15 @@
   EngineId engine = 0;
   AttemptResult result = AttemptResult::served;
   Time latency{};
-  std::vector<double> load;  // as Settings::load_report_fields
+  std::vector<double> load;  // with the fields Settings::load_report_fields
 };
-/// A message of another broker.
+/// A message from another broker.
 struct GossipMessage {
   std::uint32_t from = 0;  // broker index
   std::string bytes;
 };
 
-/// What Scheduler::handle() takes.
+/// An event that Scheduler::handle() processes.
 using Event = std::variant<EndpointList, RequestArrival, AttemptProgress, AttemptOutcome, RequestCancelled,
                            TimerFired, HealthCheckResult, GossipMessage>;
 
--- a/include/bellstair/policy/scheduler.hpp
+++ b/include/bellstair/policy/scheduler.hpp
@@ -1,4 +1,4 @@
-// The interface of the policy module: events in, actions out.
+// The interface of the policy module: it takes events and returns actions.
 #pragma once
 
 #include <cstddef>
@@ -23,25 +23,26 @@
 /// Decides which engine runs each request, and when. Not thread-safe.
 class Scheduler {
  public:
-  /// Throws std::invalid_argument naming an invalid field.
+  /// Throws std::invalid_argument that names the field if a setting is invalid.
   Scheduler(Settings settings, std::uint64_t seed);
   ~Scheduler();
   Scheduler(Scheduler&&) noexcept;
   Scheduler& operator=(Scheduler&&) noexcept;
 
-  /// From the next call of handle() on, decides by `settings`, for open requests too; all learned state
-  /// stays. Only the classes' latency objectives, client timeouts and weights, and the tenants may change; a
-  /// tenant that keeps its place and name keeps its tokens. Otherwise throws std::invalid_argument, changing
-  /// nothing.
+  /// Applies `settings` from the next call of handle() on, to open requests too. All learned state is kept.
+  /// Only the classes' latency objectives, client timeouts and weights, and the tenants may change; for any
+  /// other change, throws std::invalid_argument and changes nothing. A tenant that keeps its position and
+  /// name keeps its tokens.
   void reconfigure(Settings settings);
 
-  /// Takes what has happened up to `now` and appends what to do, in order. `now` never goes back.
+  /// Handles the events up to `now` and appends the resulting actions to `out`, in order. `now` must never
+  /// decrease.
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& out);
 
   [[nodiscard]] ClassStatus class_status(ClassIndex cls) const;
   /// This broker's share of the fleet's threads.
   [[nodiscard]] double thread_pool() const;
-  /// Threads a core over the fleet; below 0: not known.
+  /// Threads a core over the fleet; below 0 if not known.
   [[nodiscard]] double load_level() const;
 
  private:
--- a/include/bellstair/policy/settings.hpp
+++ b/include/bellstair/policy/settings.hpp
@@ -12,12 +12,13 @@
 
 namespace bellstair::policy {
 
-/// What a repeated request does: nothing more; nothing more within a window, by its key; its effect again.
+/// The additional effect of a repeated request: none; none within a window, by its key; the full effect
+/// again.
 enum class Idempotency { idempotent, keyed, not_idempotent };
-/// The engines that drop each other's repeats of keyed requests.
+/// The engines among which repeats of keyed requests are dropped.
 enum class DeduplicationScope { all, zone, cell };
 
-/// What happens when memory grants exceed an engine's memory.
+/// The behaviour of an engine when memory grants exceed its memory.
 enum class MemoryShortage { wait, shrink, overcommit };
 
 /// The meaning of one figure in a load report.
@@ -44,12 +45,12 @@
   double late_weight = 0;  // fraction of priority_weight, for an answer after its objective
   Idempotency idempotency = Idempotency::idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::all;
-  Time deduplication_window{};  // keyed: how long repeats are dropped
+  Time deduplication_window{};  // keyed: time for which repeats are dropped
   bool ordered_by_key = false;
-  std::optional<std::vector<std::uint16_t>> zones;  // the only ones allowed; none: all
-  std::optional<std::vector<std::uint16_t>> kinds;  // the only ones allowed; none: all
-  unsigned threads = 1;                             // that a query runs on
-  bool locks_data_group = false;                    // locks its data group on its engine
+  std::optional<std::vector<std::uint16_t>> zones;  // allowed zones; nullopt: all
+  std::optional<std::vector<std::uint16_t>> kinds;  // allowed kinds; nullopt: all
+  unsigned threads = 1;                             // used by a query
+  bool locks_data_group = false;                    // locks its data group at its engine
   bool waits_for_data_group = false;                // makes no progress while its group is locked there
   bool operator==(const ClassSettings&) const = default;
 };
@@ -65,25 +66,25 @@
 /// A tenant and its quota.
 struct TenantSettings {
   std::string name;
-  double quota_fraction = 0;  // of all arrivals
+  double quota_fraction = 0;  // of all arriving requests
   double quota_per_s = 0;     // requests, over all brokers
   bool operator==(const TenantSettings&) const = default;
 };
 
-/// How many retries are allowed in any window.
+/// Limits the retries in any window to min_retries + ratio x requests.
 struct RetryBudget {
   Time window{};
-  double min_retries = 0;  // allowed on top
-  double ratio = 0;        // retries for each request
+  double min_retries = 0;  // allowed in addition to the ratio
+  double ratio = 0;        // retries allowed for each request
   bool operator==(const RetryBudget&) const = default;
 };
 
-/// All settings. Scheduler's constructor and reconfigure() check them.
+/// All settings of the policy module. Scheduler's constructor and reconfigure() check them.
 struct Settings {
   unsigned brokers = 1;
   unsigned broker_index = 0;
   std::uint16_t zone = 0;
-  Time min_call_interval{std::chrono::milliseconds(5)};  // least time between calls of handle()
+  Time min_call_interval{std::chrono::milliseconds(5)};  // minimum time between calls of handle()
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
   std::vector<TenantSettings> tenants;
@@ -91,31 +92,31 @@
   unsigned zones = 1;
   double cross_zone_cost = 0;
   unsigned max_attempts = 1;
-  std::size_t max_open_requests = 0;  // 0: no limit known
+  std::size_t max_open_requests = 0;  // 0: no known limit
   bool may_cancel = false;
   bool may_health_check = false;
   bool may_gossip = false;
   bool hedging = false;
   bool sends_retry_after = false;
   Time max_retry_after{};
-  bool polls_endpoint_list = false;  // changes come only after PollEndpointList
+  bool polls_endpoint_list = false;  // lists arrive only after PollEndpointList
   bool memory_grants = false;
   bool priorities = false;
   bool answers_report_cost = false;
   double max_memory_grant_fraction = 1;
   MemoryShortage memory_shortage = MemoryShortage::wait;
-  Time progress_interval{};  // between progress events of an attempt; 0: none come
+  Time progress_interval{};  // between progress events of an attempt; 0: there are none
   bool answers_report_load = false;
   std::vector<LoadReportField> load_report_fields;
   Time drain_grace{};
   Time answer_grace{};
-  // A started engine has this fraction of its capacity at first, and all of it after the duration.
+  // An engine has this fraction of its capacity right after its start, and all of it after the duration.
   double slow_start_capacity = 1;
   Time slow_start_duration{};
-  // Work sent within the window overloads it above this factor of its capacity; 0: there is no limit.
+  // The factor of its capacity above which the work sent within the window overloads the engine; 0: no limit.
   double slow_start_overload_factor = 0;
   Time slow_start_overload_window{};
-  Time ordering_key_hold{};  // how long a key is blocked after an attempt that may still run
+  Time ordering_key_hold{};  // time for which a key is blocked after an attempt that may still run
   Time ask_within{};
   std::optional<RetryBudget> retry_budget;
   bool operator==(const Settings&) const = default;
--- a/include/bellstair/policy/types.hpp
+++ b/include/bellstair/policy/types.hpp
@@ -6,7 +6,7 @@
 
 namespace bellstair::policy {
 
-using Time = std::chrono::nanoseconds;  // a moment on the caller's clock, or a span
+using Time = std::chrono::nanoseconds;  // a time on the caller's clock, or a duration
 using RequestId = std::uint32_t;
 using EngineId = std::uint32_t;
 using ClassIndex = std::uint16_t;    // into Settings::classes
