--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -25,7 +25,7 @@
   double best_score = 0;
   for (auto* engine : engines) {
     if (!is_eligible(request, *engine)) continue;
-    const double score = in_.scorer.score(request, *engine) + noise * context_.uniform();
+    const double score = inputs_.scorer.score(request, *engine) + noise * context_.uniform();
     if (best != nullptr && !(score < best_score)) continue;
     best = engine;
     best_score = score;
@@ -34,17 +34,17 @@
 }
 
 const std::vector<Engine*>& EndpointSelector::candidates(const Request& request) {
-  const auto& ready = in_.fleet.ready();
+  const auto& ready = inputs_.fleet.ready();
   if (ready.size() <= kMaxComparedFleet) return ready;
   candidates_.clear();
   ++comparison_;
-  for (auto* engine : in_.slow_start.engines_with_permit()) add_candidate(engine);
+  for (auto* engine : inputs_.slow_start.engines_with_permit()) add_candidate(engine);
   for (std::size_t i = 0; i < kRandomCandidates; ++i) add_candidate(ready[context_.random() % ready.size()]);
-  if (!in_.scorer.ignores_affinity()) {
-    const auto& preferred = in_.affinity.preferred_engines(request.arrival.data_group);
+  if (!inputs_.scorer.ignores_affinity()) {
+    const auto& preferred = inputs_.affinity.preferred_engines(request.arrival.data_group);
     if (!preferred.empty()) add_candidate(preferred[context_.random() % preferred.size()]);
   }
-  for (const auto& [at, engine] : in_.load.recent_reports())
+  for (const auto& [at, engine] : inputs_.load.recent_reports())
     if (context_.now < at + kReportLifetime) add_candidate(engine);
   return candidates_;
 }
@@ -57,33 +57,33 @@
 // A broker with a small pool sends health checks for single requests. With a large pool this is not needed,
 // because all reports are kept recent.
 bool EndpointSelector::awaits_health_checks(Request& request, const std::vector<Engine*>& engines) {
-  if (!in_.fleet.has_small_pool()) return false;
+  if (!inputs_.fleet.has_small_pool()) return false;
   auto& awaited_until = request.health_checks_awaited_until;
   if (awaited_until > Time::zero()) return awaited_until > context_.now;
   awaited_until = context_.now;
-  const double work = in_.classes[request.arrival.cls].estimates.mean_work();
-  const bool heavy = work > kHeavyFraction * in_.classes.heaviest_work();
+  const double work = inputs_.classes[request.arrival.cls].estimates.mean_work();
+  const bool heavy = work > kHeavyFraction * inputs_.classes.heaviest_work();
   const std::size_t checks = std::min(engines.size(), heavy ? kHealthChecksForHeavyRequest : 1);
   const double reserve = heavy ? 0 : static_cast<double>(kHealthChecksForHeavyRequest - 1);
   for (std::size_t i = 0; i < checks; ++i) {
-    if (in_.health_checker.check_if_stale(*engines[i], reserve))
+    if (inputs_.health_checker.check_if_stale(*engines[i], reserve))
       awaited_until = context_.now + kHealthCheckWait;
   }
   return awaited_until > context_.now;
 }
 
 bool EndpointSelector::is_eligible(const Request& request, Engine& engine) const {
-  if (!in_.outliers.try_admit(request, engine)) return false;
-  if (!in_.scorer.has_capacity(engine, request.arrival.cls)) return false;
-  if (!in_.rules.may_start_attempt(request, engine)) return false;
+  if (!inputs_.outliers.try_admit(request, engine)) return false;
+  if (!inputs_.scorer.has_capacity(engine, request.arrival.cls)) return false;
+  if (!inputs_.rules.may_start_attempt(request, engine)) return false;
   if (request.awaited_from(engine.endpoint.engine)) return false;
   const bool locks = class_settings(context_.settings, request).locks_data_group;
   return !locks || !is_data_group_locked(request, engine);
 }
 
 double EndpointSelector::score_noise() const {
-  if (!in_.load.uses_reports()) return kMinScoreNoise;
-  return kMinScoreNoise + kMaxScoreNoise * (1 - in_.load.report_confidence());
+  if (!inputs_.load.uses_reports()) return kMinScoreNoise;
+  return kMinScoreNoise + kMaxScoreNoise * (1 - inputs_.load.report_confidence());
 }
 
 }  // namespace bellstair::policy
--- a/src/policy/endpoint_selector.hpp
+++ b/src/policy/endpoint_selector.hpp
@@ -32,7 +32,7 @@
 /// a few engines chosen at random.
 class EndpointSelector {
  public:
-  EndpointSelector(Context& context, SelectorInputs inputs) : context_(context), in_(inputs) {}
+  EndpointSelector(Context& context, SelectorInputs inputs) : context_(context), inputs_(inputs) {}
 
   /// The engine to send the request to now; nullptr if no engine is eligible, or while the request waits for
   /// the health checks sent for it. Makes one random draw for each eligible engine.
@@ -46,7 +46,7 @@
   [[nodiscard]] double score_noise() const;  // threads a core
 
   Context& context_;
-  SelectorInputs in_;
+  SelectorInputs inputs_;
   std::vector<Engine*> candidates_;  // of the last selection in a large fleet
   std::uint64_t comparison_ = 0;     // number of that selection
 };
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -356,8 +356,8 @@
     std::size_t min_near = 0, max_near = 0;
   };
   // Queries have one thread and engines four cores: each query adds a quarter of a thread a core to its
-  // engine, and a cost of 0.02 adds 0.4 threads a core. Without a cost, the choice between both engines is
-  // random.
+  // engine, and a cost of 0.02 adds 0.4 threads a core. Without a cost, the choice between both
+  // engines is random.
   for (const auto& [cost, min_near, max_near] : {Case{0, 0, 1}, Case{0.02, 2, 2}, Case{0.1, 7, 8}}) {
     Settings s = basic_settings();
     s.cross_zone_cost = cost;
@@ -666,7 +666,7 @@
   Settings s = basic_settings();
   s.brokers = 3;
   s.may_gossip = true;
-  const auto choice = [&s](const std::string& bytes) {
+  const auto chosen_engine = [&s](const std::string& bytes) {
     SchedulerHarness harness(s);
     harness.set_endpoints({engine(7), engine(8)});
     harness.handle(harness.now, {GossipMessage{1, bytes}});
@@ -674,12 +674,12 @@
     return harness.sent.empty() ? 0U : harness.sent.back().engine;
   };
   const std::string load_on_seven("o\x07\0\0\0\x06", 6), load_on_eight("o\x08\0\0\0\x06", 6);
-  EXPECT_EQ(choice(load_on_seven), 8U);
-  EXPECT_EQ(choice(load_on_eight), 7U);
-  const auto without_gossip = choice("");
-  EXPECT_EQ(choice(load_on_seven.substr(0, 5)), without_gossip);
-  EXPECT_EQ(choice(load_on_eight + "x"), without_gossip);
-  EXPECT_EQ(choice("?" + load_on_seven.substr(1)), without_gossip);
+  EXPECT_EQ(chosen_engine(load_on_seven), 8U);
+  EXPECT_EQ(chosen_engine(load_on_eight), 7U);
+  const auto without_gossip = chosen_engine("");
+  EXPECT_EQ(chosen_engine(load_on_seven.substr(0, 5)), without_gossip);
+  EXPECT_EQ(chosen_engine(load_on_eight + "x"), without_gossip);
+  EXPECT_EQ(chosen_engine("?" + load_on_seven.substr(1)), without_gossip);
 }
 
 // One of many brokers, with repeated reports of twenty engines of 16 cores.
