--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -14,7 +14,7 @@
 // Random noise of up to this many threads a core is added to scores, so that brokers choose different
 // engines.
 constexpr double kMinScoreNoise = 0.01;
-constexpr double kMaxScoreNoise = 4.0;  // added if the confidence in reports is 0
+constexpr double kMaxScoreNoise = 4.0;  // added at a report confidence of 0
 }  // namespace
 
 Engine* EndpointSelector::select(Request& request) {
