--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 Settings controller_settings() {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.kinds = {{"one", 10, 0}};  // pool of one engine and one broker: 20 threads
   s.classes.resize(1);
   s.classes[0].latency_objective = 100s;  // wait objective 30 s
@@ -22,46 +22,47 @@
 TEST(ThreadBudgetController, LowersBudgetOfIdleClassToOneQuery) {
   Settings s = controller_settings();
   s.classes[0].threads = 2;
-  Drive d(s);
-  d.list({engine(7)});
-  d.until(d.now + 10s);
-  EXPECT_DOUBLE_EQ(d.gateway.class_status(0).budget, 2);
-  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  harness.run_until(harness.now + 10s);
+  EXPECT_DOUBLE_EQ(harness.scheduler.class_status(0).budget, 2);
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 20);
 }
 
 TEST(ThreadBudgetController, KeepsMinimumBudgetWithoutReadyEngine) {
-  Drive d(controller_settings());
-  d.list({engine(7)});
-  d.list({with_state(engine(7), EngineState::draining)}, EndpointListKind::delta);
-  d.ask(1, 0, 500s);
-  d.until(d.now + 60s);
+  SchedulerHarness harness(controller_settings());
+  harness.set_endpoints({engine(7)});
+  harness.set_endpoints({with_state(engine(7), EngineState::draining)}, EndpointListKind::delta);
+  harness.submit(1, 0, 500s);
+  harness.run_until(harness.now + 60s);
   // No engine is ready: the pool is 0 instead of 20 threads, and the budget stays at its minimum although a
   // query has waited past the objective.
-  EXPECT_DOUBLE_EQ(d.gateway.class_status(0).budget, 1);
-  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 0);
+  EXPECT_DOUBLE_EQ(harness.scheduler.class_status(0).budget, 1);
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 0);
 }
 
 TEST(ThreadBudgetController, FollowsControlEquation) {
   Settings s = controller_settings();
   s.kinds[0].cores = 10;
-  Drive d(s);
+  SchedulerHarness harness(s);
   // This class uses all threads of the one engine and has another query queued, so E falls below 0.
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.class_status(0).queued, 1U) << "20 run on the threads of the pool, and one is queued";
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 21; ++id) harness.submit(id, 0, 900s);
+  ASSERT_EQ(harness.scheduler.class_status(0).queued, 1U)
+      << "20 run on the threads of the pool, and one is queued";
   // Period m ends at 2 s x m; one query is queued since 0 s, so its wait is 2m seconds.
   // Period 1 also counts the 20 that were sent at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
   double output = 1, last_error = 0;
   for (int m = 1; m <= 25; ++m) {
     // Progress, so that the engine does not count as silent.
-    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
-    d.until(100s + std::chrono::milliseconds(2000 * m + 19));
+    harness.handle(harness.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
+    harness.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
     output = std::clamp(output + gain * (error - 0.3 * last_error), 1.0, pool);
     last_error = error;
-    EXPECT_NEAR(d.gateway.class_status(0).budget, output, 1e-6) << "period " << m;
+    EXPECT_NEAR(harness.scheduler.class_status(0).budget, output, 1e-6) << "period " << m;
   }
   EXPECT_GT(output, 1.0) << "the sequence must leave the lower bound";
 }
@@ -72,16 +73,16 @@
   Settings s = controller_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].latency_objective = 101s;  // ranks second; wait objective 30.3 s
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  d.ask(22, 1, 900s);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 21; ++id) harness.submit(id, 0, 900s);
+  harness.submit(22, 1, 900s);
   const double pool = 20, gain = -1.6, objectives[] = {30, 30.3};
   double output[] = {1, 1}, granted[] = {1, 1}, last_error[] = {0, 0};
   bool saturated_once = false;
   for (int m = 1; m <= 36; ++m) {
-    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
-    d.until(100s + std::chrono::milliseconds(2000 * m + 19));
+    harness.handle(harness.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
+    harness.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const bool saturated = output[0] + output[1] > pool;
     saturated_once = saturated_once || saturated;
     for (int c = 0; c < 2; ++c) {
@@ -94,21 +95,22 @@
     granted[0] = std::min(output[0], pool);
     granted[1] = std::max(1.0, std::min(output[1], pool - granted[0]));
     for (ClassIndex c = 0; c < 2; ++c)
-      EXPECT_NEAR(d.gateway.class_status(c).budget, granted[c], 1e-6) << "period " << m << " class " << c;
+      EXPECT_NEAR(harness.scheduler.class_status(c).budget, granted[c], 1e-6)
+          << "period " << m << " class " << c;
   }
   EXPECT_TRUE(saturated_once);
 }
 
 TEST(ThreadBudgetController, RemovedEngineShrinksPoolAtOnce) {
-  Drive d(controller_settings());
-  d.list({engine(7), engine(8)});
-  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 40);
-  d.list({with_state(engine(8), EngineState::gone)}, EndpointListKind::delta);
-  EXPECT_DOUBLE_EQ(d.gateway.thread_pool(), 20);
+  SchedulerHarness harness(controller_settings());
+  harness.set_endpoints({engine(7), engine(8)});
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 40);
+  harness.set_endpoints({with_state(engine(8), EngineState::gone)}, EndpointListKind::delta);
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 20);
 }
 
 TEST(Scheduler, SendsShortestObjectiveFirstThenHighestWeight) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.kinds = {{"one", 0.5, 0}};  // one thread
   s.classes.resize(3);
   s.classes[0].latency_objective = 2s;
@@ -116,31 +118,31 @@
   s.classes[2].latency_objective = 1s;
   s.classes[1].idempotency = s.classes[2].idempotency = Idempotency::idempotent;
   s.classes[2].priority_weight = 5;
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
-  const auto filled = d.sends.size();
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 4; ++id) harness.submit(id, 0);
+  const auto filled = harness.sent.size();
   ASSERT_LT(filled, 4U);
-  d.ask(11, 1);
-  d.ask(12, 2);
-  ASSERT_EQ(d.sends.size(), filled);
-  for (RequestId id = 1; id <= 4 && d.sends.size() < filled + 2; ++id) {
-    if (d.sends_of(id) > 0) d.ends(id, 0, 7, AttemptResult::served);
+  harness.submit(11, 1);
+  harness.submit(12, 2);
+  ASSERT_EQ(harness.sent.size(), filled);
+  for (RequestId id = 1; id <= 4 && harness.sent.size() < filled + 2; ++id) {
+    if (harness.attempts_of(id) > 0) harness.complete_attempt(id, 0, 7, AttemptResult::served);
   }
-  ASSERT_GT(d.sends.size(), filled);
-  EXPECT_EQ(d.sends[filled].request, 12U);
+  ASSERT_GT(harness.sent.size(), filled);
+  EXPECT_EQ(harness.sent[filled].request, 12U);
 }
 
 TEST(Scheduler, SameEventsGiveSameActions) {
   const auto run = [] {
-    Drive d(plain_settings(), 99);
-    d.list({engine(3), engine(4), engine(5)});
+    SchedulerHarness harness(basic_settings(), 99);
+    harness.set_endpoints({engine(3), engine(4), engine(5)});
     for (RequestId id = 1; id <= 30; ++id) {
-      d.ask(id, static_cast<ClassIndex>(id % 3));
-      d.until(d.now + 30ms);
+      harness.submit(id, static_cast<ClassIndex>(id % 3));
+      harness.run_until(harness.now + 30ms);
     }
     std::vector<std::pair<RequestId, EngineId>> out;
-    for (const auto& s : d.sends) out.emplace_back(s.request, s.engine);
+    for (const auto& s : harness.sent) out.emplace_back(s.request, s.engine);
     return out;
   };
   EXPECT_EQ(run(), run());
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -147,19 +147,19 @@
 namespace {
 
 Settings two_tenant_settings() {
-  auto s = plain_settings();
+  auto s = basic_settings();
   s.over_quota_weight = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
   return s;
 }
 
-RequestId submit(Drive& d, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
+RequestId submit(SchedulerHarness& harness, RequestId id, std::uint32_t tenant, ClassIndex cls = 0) {
   RequestArrival a;
   a.request = id;
   a.cls = cls;
   a.tenant = tenant;
   a.time_left = 5s;
-  d.at(d.now, {a});
+  harness.handle(harness.now, {a});
   return id;
 }
 
@@ -174,12 +174,12 @@
 
 TEST(SchedulerReconfigure, NamesFixedFieldAndChangesNothing) {
   const auto base = two_tenant_settings();
-  Drive d(base);
+  SchedulerHarness harness(base);
   const auto with = [&](auto change) {
     auto s = base;
     s.classes[0].latency_objective = 9s;  // would apply if the rest were valid
     change(s);
-    return reconfigure_error(d.gateway, s);
+    return reconfigure_error(harness.scheduler, s);
   };
   EXPECT_NE(with([](auto& s) { s.classes.pop_back(); }).find("the number of classes"), std::string::npos);
   EXPECT_NE(with([](auto& s) { s.classes[2].threads = 2; }).find("classes[].threads"), std::string::npos);
@@ -200,11 +200,11 @@
   EXPECT_NE(with([](auto& s) { s.tenants[1].quota_fraction = -1; }).find("must not be below 0"),
             std::string::npos);
   // Class 0 still has the highest rank: of two queued requests, its request is sent first.
-  d.ask(1, 1);
-  d.ask(2, 0);
-  d.list({engine(7)});
-  ASSERT_EQ(d.sends.size(), 2U);
-  EXPECT_EQ(d.sends[0].request, 2U);
+  harness.submit(1, 1);
+  harness.submit(2, 0);
+  harness.set_endpoints({engine(7)});
+  ASSERT_EQ(harness.sent.size(), 2U);
+  EXPECT_EQ(harness.sent[0].request, 2U);
 }
 
 std::string text_of(const std::vector<Action>& actions) {
@@ -228,8 +228,8 @@
   auto s = two_tenant_settings();
   s.brokers = 2;
   s.may_gossip = true;
-  Drive d(s, 5);
-  d.list({engine(7), engine(8), engine(9)});
+  SchedulerHarness harness(s, 5);
+  harness.set_endpoints({engine(7), engine(8), engine(9)});
   std::mt19937_64 random(11);
   std::multimap<Time, std::pair<SendAttempt, ClassIndex>> in_flight;
   std::map<RequestId, ClassIndex> classes;
@@ -238,9 +238,9 @@
   RequestId id = 0;
   std::size_t handled_sends = 0;
   for (int step = 0; step < 2000; ++step) {
-    const Time now = d.now + 10ms;
+    const Time now = harness.now + 10ms;
     std::vector<Event> events;
-    if (d.wake <= now) events.emplace_back(TimerFired{});
+    if (harness.next_timer_at <= now) events.emplace_back(TimerFired{});
     for (; !in_flight.empty() && in_flight.begin()->first <= now; in_flight.erase(in_flight.begin())) {
       const auto& send = in_flight.begin()->second.first;
       AttemptOutcome o;
@@ -260,11 +260,11 @@
       a.time_left = 3s;
       events.emplace_back(a);
     }
-    if (step % 10 == 0) each_100_ms(d.gateway, step / 10);
-    text += text_of(d.at(now, events));
-    for (; handled_sends < d.sends.size(); ++handled_sends)
+    if (step % 10 == 0) each_100_ms(harness.scheduler, step / 10);
+    text += text_of(harness.handle(now, events));
+    for (; handled_sends < harness.sent.size(); ++handled_sends)
       in_flight.insert(
-          {now + 100ms + std::chrono::milliseconds(random() % 300), {d.sends[handled_sends], 0}});
+          {now + 100ms + std::chrono::milliseconds(random() % 300), {harness.sent[handled_sends], 0}});
   }
   return text;
 }
@@ -289,15 +289,15 @@
 }
 
 TEST(SchedulerReconfigure, RecomputesRanksForQueuedRequests) {
-  auto s = plain_settings();
-  Drive d(s);
-  d.ask(1, 0);
-  d.ask(2, 2);
+  auto s = basic_settings();
+  SchedulerHarness harness(s);
+  harness.submit(1, 0);
+  harness.submit(2, 2);
   s.classes[2].latency_objective = 500ms;
-  d.gateway.reconfigure(s);
-  d.list({engine(7)});
-  ASSERT_EQ(d.sends.size(), 2U);
-  EXPECT_EQ(d.sends[0].request, 2U);
+  harness.scheduler.reconfigure(s);
+  harness.set_endpoints({engine(7)});
+  ASSERT_EQ(harness.sent.size(), 2U);
+  EXPECT_EQ(harness.sent[0].request, 2U);
 }
 
 // The control loop follows its equation from its own last output and error, although new settings are applied
@@ -309,75 +309,75 @@
   s.classes[0].latency_objective = 100s;  // wait objective 30 s
   s.classes[0].objective_stretch = 10;    // no request is rejected during the test
   s.classes[0].client_timeout = 1000s;
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.class_status(0).queued, 1U);
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  for (RequestId id = 1; id <= 21; ++id) harness.submit(id, 0, 900s);
+  ASSERT_EQ(harness.scheduler.class_status(0).queued, 1U);
   double output = 1, last_error = 0;
   for (int m = 1; m <= 25; ++m) {
     s.classes[0].priority_weight = m;
     s.tenants = {{"t" + std::to_string(m), 1, 10}};
-    d.gateway.reconfigure(s);
-    d.at(d.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
-    d.until(100s + std::chrono::milliseconds(2000 * m + 19));
+    harness.scheduler.reconfigure(s);
+    harness.handle(harness.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
+    harness.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double error = (30 - (m == 1 ? 2.0 / 21 : 2.0 * m)) / 30;
     output = std::clamp(output - 0.8 * 2 * (error - 0.3 * last_error), 1.0, 20.0);
     last_error = error;
-    EXPECT_NEAR(d.gateway.class_status(0).budget, output, 1e-6) << "period " << m;
+    EXPECT_NEAR(harness.scheduler.class_status(0).budget, output, 1e-6) << "period " << m;
   }
   EXPECT_GT(output, 1.0);
 }
 
 TEST(SchedulerReconfigure, KeepsTokensAndFillsNewBuckets) {
   auto s = two_tenant_settings();
-  Drive d(s);
-  d.list({});
+  SchedulerHarness harness(s);
+  harness.set_endpoints({});
   RequestId id = 0;
   const auto admitted_before_rejection = [&](std::uint32_t tenant) {
     int admitted = 0;
-    while (admitted < 1000 && d.refused[submit(d, ++id, tenant)] == 0) ++admitted;
+    while (admitted < 1000 && harness.rejected[submit(harness, ++id, tenant)] == 0) ++admitted;
     return admitted;
   };
-  submit(d, ++id, 0);  // one is queued: from now on requests over quota are rejected
+  submit(harness, ++id, 0);  // one is queued: from now on requests over quota are rejected
   const int at_start = admitted_before_rejection(1);
   EXPECT_GT(at_start, 10);
   // The bucket is empty, and stays empty although its tenant's quota grows.
   s.tenants[1].quota_fraction = 0.9;
   s.tenants.push_back({"new", 0.5, 20});
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   EXPECT_EQ(admitted_before_rejection(1), 0);
   EXPECT_EQ(admitted_before_rejection(2), at_start) << "its burst depends only on its own quota";
   // A full bucket is cut to its size under its tenant's new quota: 2 s of refill and 3 more tokens.
   s.tenants[0] = {"calm", 0.01, 0.1};
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   EXPECT_LE(admitted_before_rejection(0), 4);
   // Another name at the same index is another tenant.
   s.tenants[1] = {"other", 0.5, 20};
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   EXPECT_EQ(admitted_before_rejection(1), at_start);
   // A removed tenant keeps its tokens and receives no more.
   s.tenants[2].quota_fraction = s.tenants[2].quota_per_s = 0;
-  d.gateway.reconfigure(s);
-  d.until(d.now + 5s);
+  harness.scheduler.reconfigure(s);
+  harness.run_until(harness.now + 5s);
   EXPECT_LE(admitted_before_rejection(2), 3);
 }
 
 // After client_timeout was reduced, the shorter time left of a new request must not be mistaken for a wait
 // during a stall of the broker.
 TEST(SchedulerReconfigure, ReducedTimeoutDoesNotCountAsWaiting) {
-  auto s = plain_settings();
-  Drive d(s);
-  d.list({engine(7)});
-  d.ask(1, 0, 5s);
-  d.ends(1, 0, 7, AttemptResult::served);
+  auto s = basic_settings();
+  SchedulerHarness harness(s);
+  harness.set_endpoints({engine(7)});
+  harness.submit(1, 0, 5s);
+  harness.complete_attempt(1, 0, 7, AttemptResult::served);
   s.classes[0].client_timeout = 2s;
-  d.gateway.reconfigure(s);
+  harness.scheduler.reconfigure(s);
   RequestArrival fresh;
   fresh.request = 2;
   fresh.time_left = 2s;
-  d.at(d.now + 3s, {fresh});  // after a stall
-  EXPECT_EQ(d.answers(2), 0);
-  EXPECT_EQ(d.sends_of(2), 1);
+  harness.handle(harness.now + 3s, {fresh});  // after a stall
+  EXPECT_EQ(harness.answer_count(2), 0);
+  EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
 }  // namespace
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -22,7 +22,7 @@
 
 // Settings with a class of lookups, one of reports and one of loads.
 Settings three_class_settings(unsigned brokers, double initial_capacity) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.brokers = brokers;
   s.kinds = {{"std-8", 8, 16384}};
   s.classes.clear();
@@ -60,8 +60,8 @@
       : mix_(mix), random_(seed), settings_(three_class_settings(brokers, initial_capacity)) {
     for (unsigned i = 0; i < brokers; ++i) {
       settings_.broker_index = i;
-      brokers_.push_back(std::make_unique<Drive>(settings_, seed * 1000 + i));
-      brokers_.back()->list({engine(1), engine(2), engine(3)});
+      brokers_.push_back(std::make_unique<SchedulerHarness>(settings_, seed * 1000 + i));
+      brokers_.back()->set_endpoints({engine(1), engine(2), engine(3)});
       pending_outcomes_.emplace_back();
       handled_sends_.push_back(0);
     }
@@ -73,14 +73,14 @@
   void start_new_engine() {
     new_engine_ = engine(kNewEngine);
     new_engine_.started_at = new_engine_started_at_ = now_;
-    for (auto& broker : brokers_) broker->list({new_engine_}, EndpointListKind::delta);
+    for (auto& broker : brokers_) broker->set_endpoints({new_engine_}, EndpointListKind::delta);
   }
   // Replaces a broker whose process was killed by one without any of its state. The engines keep running.
   void restart(std::size_t broker) {
     settings_.broker_index = static_cast<unsigned>(broker);
-    auto& next = brokers_[broker] = std::make_unique<Drive>(settings_, random_());
+    auto& next = brokers_[broker] = std::make_unique<SchedulerHarness>(settings_, random_());
     next->now = now_;
-    next->list({engine(1), engine(2), engine(3), new_engine_}, EndpointListKind::cached);
+    next->set_endpoints({engine(1), engine(2), engine(3), new_engine_}, EndpointListKind::cached);
     pending_outcomes_[broker].clear();
     handled_sends_[broker] = 0;
   }
@@ -134,15 +134,15 @@
       std::poisson_distribution<int> count(rate * std::chrono::duration<double>(kStep).count() /
                                            static_cast<double>(brokers_.size()));
       std::discrete_distribution<int> classes(mix_.shares.begin(), mix_.shares.end());
-      broker.until(now_);
+      broker.run_until(now_);
       deliver_outcomes(i);
       for (int n = count(random_); n > 0; --n) {
         const auto cls = static_cast<ClassIndex>(classes(random_));
         class_of_[++last_request_] = cls;
-        broker.ask(last_request_, cls, settings_.classes[cls].client_timeout);
+        broker.submit(last_request_, cls, settings_.classes[cls].client_timeout);
       }
-      for (; handled_sends_[i] < broker.sends.size(); ++handled_sends_[i])
-        start_attempt(i, broker.sends[handled_sends_[i]]);
+      for (; handled_sends_[i] < broker.sent.size(); ++handled_sends_[i])
+        start_attempt(i, broker.sent[handled_sends_[i]]);
     }
   }
 
@@ -169,13 +169,13 @@
       events.emplace_back(o);
       return true;
     });
-    if (!events.empty()) brokers_[broker]->at(now_, events);
+    if (!events.empty()) brokers_[broker]->handle(now_, events);
   }
 
   Mix mix_;
   std::mt19937_64 random_;
   Settings settings_;
-  std::vector<std::unique_ptr<Drive>> brokers_;
+  std::vector<std::unique_ptr<SchedulerHarness>> brokers_;
   std::vector<std::vector<PendingOutcome>> pending_outcomes_;
   std::vector<std::size_t> handled_sends_;  // by broker: sends handled so far
   std::map<RequestId, ClassIndex> class_of_;
