--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -111,7 +111,7 @@
   // Settings, names and change log are those in force: they are replaced in place, between events, since the
   // servers hold references to them.
   config::Config config_;
-  config::Overlay start_;  // as the platform's own configuration has them
+  config::Overlay platform_overlay_;  // as the platform's own configuration has them
   config::OperatorConfig fronts_;
   std::uint64_t versions_applied_ = 0;
   core::Time origin_;  // from the steady clock to the core's, which began at the Unix time of the start
@@ -123,8 +123,8 @@
   std::unique_ptr<net::EngineDriver> engines_;
   std::unique_ptr<directory::LdapDirectory> directory_;  // none without its block in the operator's file
   std::vector<std::unique_ptr<net::ClientServer>> servers_;
-  std::unique_ptr<ControlClient> control_;              // none without its block in the operator's file
-  const control::Version* version_in_offer_ = nullptr;  // while offer() runs
+  std::unique_ptr<ControlClient> control_;                   // none without its block in the operator's file
+  const control::Version* version_being_applied_ = nullptr;  // while offer() runs
   platform::ChangeLogClient change_log_;
   platform::GossipSocket gossip_;
   ev::timer tick_timer_;
--- a/src/app/broker_configuration.cpp
+++ b/src/app/broker_configuration.cpp
@@ -18,10 +18,10 @@
   } catch (const std::exception& error) {
     return control_->report_apply_result(version, error.what());
   }
-  version_in_offer_ = &version;
+  version_being_applied_ = &version;
   post(std::move(offered));
   handle_events();
-  version_in_offer_ = nullptr;
+  version_being_applied_ = nullptr;
 }
 
 core::SettingsOffered Broker::parse_version(const control::Version& version) const {
@@ -29,7 +29,7 @@
   auto document = config::parse_document(version.text, label, config_.names.class_names);
   const auto tenants_in_use = reducer_.referenced_tenants();
   const config::Overlay in_force{config_.settings, config_.names, config_.changelog};
-  auto overlay = config::overlay(start_, in_force, document,
+  auto overlay = config::overlay(platform_overlay_, in_force, document,
                                  [&](std::uint32_t slot) { return tenants_in_use.contains(slot); });
   core::SettingsOffered offered;
   offered.epoch = version.id.epoch;
@@ -47,11 +47,11 @@
   config_.changelog = std::move(effect.changelog);
   runner_.set_names(names_of(config_.settings));
   change_log_.set_address(config_.changelog);
-  control_->report_apply_result(*version_in_offer_, {});
+  control_->report_apply_result(*version_being_applied_, {});
 }
 
 void Broker::run(const core::SettingsRejected& effect) {
-  control_->report_apply_result(*version_in_offer_, effect.problem);
+  control_->report_apply_result(*version_being_applied_, effect.problem);
 }
 
 // ---- the broker's own files
@@ -61,7 +61,7 @@
 void Broker::run(const core::ReadConfiguration&) {
   ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.words()};
   // The platform's own tenants keep their positions, also while a version leaves them out.
-  source.names.tenants.insert(start_.names.tenants.begin(), start_.names.tenants.end());
+  source.names.tenants.insert(platform_overlay_.names.tenants.begin(), platform_overlay_.names.tenants.end());
   const net::Worker::Work work = [this, source = std::move(source), applied_before = versions_applied_] {
     const auto reloaded = std::make_shared<ReloadedConfiguration>(read_again(source));
     return [this, reloaded, applied_before] {
@@ -77,7 +77,7 @@
   // Another tenant may have taken the place of one that a hook names.
   if (versions_applied_before != versions_applied_) return post(core::ReloadRequested{});
   if (read.problem.empty()) {
-    start_.changelog = read.changelog;
+    platform_overlay_.changelog = read.changelog;
     runner_.install(loaded);
   }
   post(std::move(read));
--- a/src/app/broker_wiring.cpp
+++ b/src/app/broker_wiring.cpp
@@ -43,7 +43,7 @@
       file_(std::move(file)),
       fronts_file_(std::move(fronts_file)),
       config_(std::move(config)),
-      start_{config_.settings, config_.names, config_.changelog},
+      platform_overlay_{config_.settings, config_.names, config_.changelog},
       fronts_(std::move(fronts)),
       origin_(unix_now() - net::steady_now()),
       reducer_(config_.settings, config_.seed, max_stored_request_bytes(config_), loaded.set,
