--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -12,8 +12,8 @@
 using namespace std::chrono_literals;
 using net::steady_now;
 
-constexpr core::Time kCountersLogInterval = 60s;  // where they have changed
-// Added to the scheduler's timer, so that libev's rounding does not fire it too early.
+constexpr core::Time kCountersLogInterval = 60s;  // counters are logged only if they have changed
+// Added to the scheduler's timer, so that libev's rounding does not make it fire too early.
 constexpr double kTimerSlackSeconds = 1e-5;
 
 double seconds(core::Time time) { return std::chrono::duration<double>(time).count(); }
@@ -36,7 +36,7 @@
   sighup_.start(SIGHUP);
   sigusr1_.start(SIGUSR1);
   unblock_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});
-  tick_due_ = true;  // before the first socket is read, so that all have the time
+  tick_due_ = true;  // gives all components the time before the first socket is read
   tick_timer_.start(0, seconds(core::Reducer::kTick));
   prepare_.start();
   check_.start();
@@ -44,19 +44,19 @@
   loop_.run(0);
 }
 
-// All durations go by it: a step of the system's clock must move none of them.
+// The steady clock, so that a step of the system clock changes no duration.
 core::Time Broker::now() const { return origin_ + steady_now(); }
 
-// ---- turns of the loop
+// ---- iterations of the event loop
 
-// First in each turn, before any socket is read.
+// Runs first in each iteration, before any socket is read.
 void Broker::on_check(ev::check&, int) {
   stall_detector_.polled(now());
   resume_after_stall();
-  if (!fronts_file_.empty()) loop_statistics_.begin_turn(steady_now());
+  if (!fronts_file_.empty()) loop_statistics_.begin_iteration(steady_now());
 }
 
-// What is due is done before the loop sleeps: what has arrived in the same turn is read first.
+// The tick runs in on_prepare(), after the input of this iteration has been read.
 void Broker::on_tick(ev::timer&, int) { tick_due_ = true; }
 
 void Broker::on_scheduler_timer(ev::timer&, int) { post(core::Tick{has_unsent_output()}); }
@@ -71,7 +71,7 @@
 
 void Broker::on_counters_signal(ev::sig&, int) { log_counters(); }
 
-// Last in each turn, before the loop sleeps.
+// Runs last in each iteration, before the loop sleeps.
 void Broker::on_prepare(ev::prepare&, int) {
   do {
     if (must_poll_again(now())) return;
@@ -81,12 +81,12 @@
     engines_->settle();
     for (const auto& server : servers_) server->settle();
   } while (!events_.empty());
-  loop_statistics_.end_turn(steady_now());
+  loop_statistics_.end_iteration(steady_now());
   start_timers();
 }
 
 void Broker::start_timers() {
-  // What hooks have still to do waits for the next turn, after the sockets.
+  // Waiting hook calls continue in the next iteration, after the sockets have been read.
   if (const auto hooks_due = reducer_.next_hook_dispatch())
     hooks_timer_.start(std::max(0.0, seconds(*hooks_due - now())), 0);
   const auto due = reducer_.next_scheduler_call();
@@ -107,7 +107,7 @@
   post(core::Tick{has_unsent_output()});
 }
 
-// Of interest only once the program is about to end.
+// Always false before draining: unsent output matters only during shutdown.
 bool Broker::has_unsent_output() const {
   if (reducer_.lifecycle().phase() < core::Phase::draining) return false;
   return std::ranges::any_of(servers_, [](const auto& server) { return server->has_unsent_output(); });
@@ -115,14 +115,16 @@
 
 // ---- stalls
 
-// True: nothing may be decided before the sockets are polled again, with the next tick at the latest.
+// Returns true if no event may be handled before the sockets are polled again; the next tick wakes the loop
+// at the latest.
 bool Broker::must_poll_again(core::Time now) {
   const bool again = stall_detector_.must_poll_again(now);
   resume_after_stall();
   return again;
 }
 
-// Durations that begin with what is read now begin now, not where the last tick was.
+// Gives the components the current time, so that durations that begin with the input read next do not begin
+// at the last tick.
 void Broker::resume_after_stall() {
   const auto stalled = stall_detector_.take_stall();
   if (!stalled) return;
@@ -130,7 +132,8 @@
   engines_->resume(stall);
   for (const auto& server : servers_) server->resume(stall);
   change_log_.resume(stall);
-  // The waiting events are decided in its light. A stall that goes on replaces what was reported of it.
+  // The stall goes before the queued events, so that the core takes it into account when it handles them. If
+  // the same stall is queued already, the longer one replaces it.
   const bool reported = !events_.empty() && std::holds_alternative<core::ProcessStalled>(events_.front());
   if (reported) events_.pop_front();
   events_.push_front(*stalled);
@@ -143,7 +146,7 @@
 }
 
 void Broker::post(core::Event event) {
-  stall_detector_.mark(now());
+  stall_detector_.record_activity(now());
   if (auto* received = std::get_if<core::RequestReceived>(&event)) {
     const auto arrival = stall_detector_.earliest_arrival(now());
     received->since = received->since == core::Time::zero() ? arrival : std::min(received->since, arrival);
@@ -180,7 +183,8 @@
   }
 }
 
-// What was decided before a stall is not sent after it: its client may have gone, and has less time left.
+// An attempt that was decided before a stall is not sent after it: its client may have disconnected, and its
+// time limit has become shorter.
 void Broker::run(core::Transmit& effect) {
   if (must_poll_again(now())) return engines_->run(core::CancelAttempt{effect.id});
   engines_->run(effect);
@@ -189,7 +193,7 @@
 void Broker::run(core::RunHook& effect) {
   const auto began = steady_now();
   runner_.run(effect);
-  loop_statistics_.add_hook(steady_now() - began);
+  loop_statistics_.add_hook_time(steady_now() - began);
 }
 
 void Broker::run(const core::Log& effect) {
@@ -208,11 +212,12 @@
 
 void Broker::run(const core::Exit&) {
   log_counters();
-  const auto longest_turn = loop_statistics_.longest_turn();
-  if (longest_turn != core::Time::zero()) {
+  const auto longest_iteration = loop_statistics_.longest_iteration();
+  if (longest_iteration != core::Time::zero()) {
     const auto ms = [](core::Time time) { return std::to_string(seconds(time) * 1e3); };
-    run(core::Log{"loop: longest turn " + ms(longest_turn) + " ms, most of hooks in one " +
-                  ms(loop_statistics_.most_hooks_in_turn()) + " ms"});
+    run(core::Log{"loop: longest iteration " + ms(longest_iteration) +
+                  " ms, longest time in hooks per iteration " +
+                  ms(loop_statistics_.max_hook_time_per_iteration()) + " ms"});
   }
   loop_.break_loop(ev::ALL);
 }
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -1,5 +1,5 @@
-// The broker on its event loop: events from clients, engines, the change log and other brokers go through the
-// reducer, and each effect that it asks for to whom it concerns.
+// Runs the broker on its event loop: passes events from clients, engines, the change log, control nodes and
+// other brokers to the reducer, and its effects to the components that carry them out.
 #pragma once
 
 #include <ev++.h>
@@ -28,35 +28,35 @@
 
 namespace bellstair::app {
 
-// A setting on which the broker can't start; what() is "SETTING: REASON".
+// Thrown when a setting prevents the broker from starting; what() is "SETTING: REASON".
 class StartError : public std::runtime_error {
  public:
   StartError(const std::string& setting, const std::string& reason)
       : std::runtime_error(setting + ": " + reason) {}
 };
 
-// Names for hooks, by their positions in the settings.
+// The names that hooks see, by their positions in the settings.
 [[nodiscard]] hooks::SettingNames names_of(const config::Config& config);
 [[nodiscard]] hooks::SettingNames names_of(const policy::Settings& settings);
 
 class Broker {
  public:
-  // The files are read again on SIGHUP; `fronts_file` may be empty. `loaded`: the hooks of `fronts`. Throws
-  // StartError.
+  // Reads both files again on SIGHUP; `fronts_file` is the operator's file and may be empty. `loaded`: the
+  // hooks of `fronts`. Throws StartError.
   Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::Loaded loaded,
          std::string file, std::string fronts_file);
-  // Returns once the broker has stopped, after SIGTERM or SIGINT.
+  // Runs until the broker has shut down after SIGTERM or SIGINT.
   void run();
 
  private:
-  // Parts that depend on the configuration.
+  // Create the components that depend on the configuration.
   [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engine_driver();
   [[nodiscard]] std::unique_ptr<net::ClientServer> make_jsonrpc_server(std::size_t max_connections);
   [[nodiscard]] std::unique_ptr<net::ClientServer> make_mysql_server(std::size_t max_connections);
   void make_servers(hooks::Loaded& loaded);
   void set_watchers();
 
-  // Turns of the loop, in the order in which libev calls them.
+  // Callbacks of the event loop, in the order in which libev calls them.
   void on_check(ev::check& check, int events);
   void on_tick(ev::timer& timer, int events);
   void on_scheduler_timer(ev::timer& timer, int events);
@@ -70,7 +70,8 @@
   [[nodiscard]] net::EventSink event_sink();
   void post(core::Event event);
   void handle_events();
-  // False: the process has stalled, and the rest is to be handled once the sockets have been polled again.
+  // Returns false if the process has stalled: the remaining events are handled after the sockets have been
+  // polled again.
   [[nodiscard]] bool handle_events_unless_stalled();
   void handle_next_event(core::Time now);
   [[nodiscard]] bool must_poll_again(core::Time now);
@@ -108,23 +109,23 @@
   ev::loop_ref loop_;
   std::string file_;
   std::string fronts_file_;
-  // Settings, names and change log are those in force: they are replaced in place, between events, since the
-  // servers hold references to them.
+  // Settings, names and change log are the active ones. They are replaced in place, between events, because
+  // the servers hold references to them.
   config::Config config_;
-  config::Overlay platform_overlay_;  // as the platform's own configuration has them
+  config::Overlay platform_overlay_;  // from the platform's configuration alone
   config::OperatorConfig fronts_;
   std::uint64_t versions_applied_ = 0;
-  core::Time origin_;  // from the steady clock to the core's, which began at the Unix time of the start
+  core::Time origin_;  // of the core's clock: the steady clock, shifted to the Unix time at the start
   core::ClientHandle last_client_handle_ = 0;
   std::deque<core::Event> events_;
-  core::Effects effects_;  // of the event that is being handled
+  core::Effects effects_;  // of the event being handled
   core::Reducer reducer_;
   hooks::Runner runner_;
   std::unique_ptr<net::EngineDriver> engines_;
-  std::unique_ptr<directory::LdapDirectory> directory_;  // none without its block in the operator's file
+  std::unique_ptr<directory::LdapDirectory> directory_;  // null unless the operator's file has one
   std::vector<std::unique_ptr<net::ClientServer>> servers_;
-  std::unique_ptr<ControlClient> control_;                   // none without its block in the operator's file
-  const control::Version* version_being_applied_ = nullptr;  // while offer() runs
+  std::unique_ptr<ControlClient> control_;                   // null unless the operator's file has `control`
+  const control::Version* version_being_applied_ = nullptr;  // null outside apply_version()
   platform::ChangeLogClient change_log_;
   platform::GossipSocket gossip_;
   ev::timer tick_timer_;
@@ -137,7 +138,7 @@
   ev::sig sighup_;
   ev::sig sigusr1_;
   StallDetector stall_detector_;
-  LoopStatistics loop_statistics_;  // kept only where there may be hooks
+  LoopStatistics loop_statistics_;  // recorded only if there is an operator's file
   bool tick_due_ = false;
   core::Counters logged_counters_;
   core::Time next_counters_log_{};
--- a/src/app/broker_wiring.cpp
+++ b/src/app/broker_wiring.cpp
@@ -1,4 +1,4 @@
-// Makes the parts of the broker that its configuration asks for.
+// Creates the components of the broker that its configuration asks for.
 #include <cerrno>
 #include <chrono>
 #include <cstring>
@@ -20,7 +20,7 @@
   net::ConnectionPool::Limits out;
   out.max_connections = max_engine_connections(config.sockets);
   out.connect_timeout = config.connect_timeout;
-  // Well before the engine closes it: a call must not cross the close.
+  // Half of the engine's idle timeout, so that no call is sent while the engine closes the connection.
   out.idle_timeout = config.idle_close / 2;
   return out;
 }
@@ -97,7 +97,7 @@
                                                       event_sink());
 }
 
-// Servers share the connections that clients may have.
+// The servers share the limit on client connections equally.
 void Broker::make_servers(hooks::Loaded& loaded) {
   const auto max_connections = max_client_connections(config_.sockets);
   const auto max_per_server = fronts_.mysql ? max_connections / 2 : max_connections;
--- a/src/app/hook_case_runner.cpp
+++ b/src/app/hook_case_runner.cpp
@@ -10,13 +10,13 @@
 using nlohmann::json;
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-constexpr hooks::Time kBudgetStep = std::chrono::microseconds(100);
+constexpr hooks::Time kClockStep = std::chrono::microseconds(100);
 
 hooks::Time read_milliseconds(const json& in, const char* key, double fallback) {
   return hooks::Time(static_cast<std::int64_t>(in.value(key, fallback) * 1e6));
 }
 
-// `what`: how a name of the list is called in the error.
+// `what`: the kind of name (class, tenant, front) for the error message.
 std::uint16_t index_of(const std::vector<std::string>& names, const std::string& name, const char* what) {
   const auto found = std::ranges::find(names, name);
   if (found == names.end()) throw std::runtime_error(std::string(what) + " '" + name + "' is not known");
@@ -30,7 +30,7 @@
 }  // namespace
 
 HookCaseRunner::HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names)
-    : control_(loaded.set), names_(std::move(names)) {
+    : scheduler_(loaded.set), names_(std::move(names)) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
     auto& hook = hooks_[spec.id];
@@ -43,57 +43,57 @@
 
 json HookCaseRunner::run(const json& test_case) {
   const auto request = test_case.value("request", json::object());
-  auto subject = read_request(request);
+  auto request_view = read_request(request);
   now_ += read_milliseconds(test_case, "after", 1000);
   calls_ = json::array();
   json out{{"pass", "untouched"}};
-  if (control_.submit(now_, 1, std::move(subject), statement_of(request))) {
-    while (control_.completions.empty()) step();
-    out = outcome_of(std::exchange(control_.completions, {}).front());
+  if (scheduler_.submit(now_, 1, std::move(request_view), statement_of(request))) {
+    while (scheduler_.completions.empty()) step();
+    out = outcome_of(std::exchange(scheduler_.completions, {}).front());
   }
-  while (!control_.commands.empty() || !control_.log_lines.empty()) step();
+  while (!scheduler_.commands.empty() || !scheduler_.log_lines.empty()) step();
   out["calls"] = calls_;
   return out;
 }
 
 hooks::RequestView HookCaseRunner::read_request(const json& request) const {
-  hooks::RequestView subject;
-  subject.cls = index_of(names_.classes, request.value("class", first_of(names_.classes)), "class");
-  subject.tenant = index_of(names_.tenants, request.value("tenant", first_of(names_.tenants)), "tenant");
-  subject.front =
+  hooks::RequestView request_view;
+  request_view.cls = index_of(names_.classes, request.value("class", first_of(names_.classes)), "class");
+  request_view.tenant = index_of(names_.tenants, request.value("tenant", first_of(names_.tenants)), "tenant");
+  request_view.front =
       static_cast<std::uint8_t>(index_of(names_.fronts, request.value("front", "platform"), "front"));
-  subject.statement_size = statement_of(request).size();
-  subject.limit = read_milliseconds(request, "limit", 2000);
-  if (request.contains("cpu")) subject.cpu = read_milliseconds(request, "cpu", 0);
-  subject.ram = request.value("ram", 0.0);
-  subject.group = request.value("group", std::int64_t{0});
-  subject.second = request.value("second", false);
-  return subject;
+  request_view.statement_size = statement_of(request).size();
+  request_view.limit = read_milliseconds(request, "limit", 2000);
+  if (request.contains("cpu")) request_view.cpu = read_milliseconds(request, "cpu", 0);
+  request_view.ram = request.value("ram", 0.0);
+  request_view.group = request.value("group", std::int64_t{0});
+  request_view.second = request.value("second", false);
+  return request_view;
 }
 
-json HookCaseRunner::outcome_of(const hooks::HookCompletion& passed) const {
-  json out{{"pass", passed.refused ? "refused" : "taken"},
-           {"tags", passed.subject.tags},
-           {"ram", passed.subject.ram},
-           {"second", passed.subject.second}};
-  if (passed.subject.cpu) out["cpu"] = Milliseconds(*passed.subject.cpu).count();
-  if (passed.refused) {
-    out["refuse"] = Milliseconds(*passed.refused).count();
-    out["by"] = hooks_.at(passed.by).spec.name;
+json HookCaseRunner::outcome_of(const hooks::HookCompletion& completion) const {
+  json out{{"pass", completion.refused ? "refused" : "taken"},
+           {"tags", completion.subject.tags},
+           {"ram", completion.subject.ram},
+           {"second", completion.subject.second}};
+  if (completion.subject.cpu) out["cpu"] = Milliseconds(*completion.subject.cpu).count();
+  if (completion.refused) {
+    out["refuse"] = Milliseconds(*completion.refused).count();
+    out["by"] = hooks_.at(completion.by).spec.name;
   }
   return out;
 }
 
 void HookCaseRunner::step() {
-  control_.begin_turn(now_);
-  control_.dispatch(now_);
-  if (control_.commands.empty()) {
-    now_ = std::max(now_ + kBudgetStep, control_.due(now_).value_or(now_));
-    control_.tick(now_);
+  scheduler_.begin_turn(now_);
+  scheduler_.dispatch(now_);
+  if (scheduler_.commands.empty()) {
+    now_ = std::max(now_ + kClockStep, scheduler_.due(now_).value_or(now_));
+    scheduler_.tick(now_);
   }
-  for (auto& command : std::exchange(control_.commands, {}))
+  for (auto& command : std::exchange(scheduler_.commands, {}))
     std::visit([this](const auto& each) { execute(each); }, command);
-  control_.log_lines.clear();
+  scheduler_.log_lines.clear();
 }
 
 void HookCaseRunner::execute(const hooks::RunSlice& run) {
@@ -107,21 +107,21 @@
   if (result.outcome == hooks::SliceResult::Outcome::failed)
     call["failed"] = std::string(hooks::name(result.failure)) + ": " + result.text;
   for (const auto& line : result.log_lines) call["said"].push_back(line);
-  control_.on_slice_result(now_, std::move(result));
+  scheduler_.on_slice_result(now_, std::move(result));
 }
 
-void HookCaseRunner::execute(const hooks::AbortCall& drop) {
-  auto& hook = hooks_.at(drop.hook);
-  hook.machine->abort(drop.job);
-  call_report(drop.job, hook.spec.name)["failed"] = "it was cut off";
+void HookCaseRunner::execute(const hooks::AbortCall& abort_call) {
+  auto& hook = hooks_.at(abort_call.hook);
+  hook.machine->abort(abort_call.job);
+  call_report(abort_call.job, hook.spec.name)["failed"] = "it was cut off";
 }
 
-// No machine is made: the old one goes on.
+// Keeps the old machine in use instead of creating a new one.
 void HookCaseRunner::execute(const hooks::RenewMachine& renew) {
-  control_.on_machine_renewed(now_, {renew.hook, {}});
+  scheduler_.on_machine_renewed(now_, {renew.hook, {}});
 }
 
-void HookCaseRunner::execute(const hooks::RetireMachine&) {}  // the hooks never change here
+void HookCaseRunner::execute(const hooks::RetireMachine&) {}  // hooks are never replaced here
 
 json& HookCaseRunner::call_report(hooks::JobId job, const std::string& hook) {
   for (auto& call : calls_) {
--- a/src/app/hook_case_runner.hpp
+++ b/src/app/hook_case_runner.hpp
@@ -1,4 +1,4 @@
-// Runs the hooks of one request after another, each of them a case in JSON, as the broker would call them.
+// Runs the hooks of the requests of test cases in JSON, one after another, as the broker would call them.
 #pragma once
 
 #include <chrono>
@@ -14,13 +14,14 @@
 
 namespace bellstair::app {
 
-// Decisions are made by the broker's own hooks::Control; the machines run in place. The clock moves only by
-// the cases' "after" and where the budget of CPU time is spent.
+// Uses the broker's own hooks::HookScheduler; the machines run on the calling thread. The clock advances only
+// by the "after" of each case and, while the budget of CPU time is spent, until more is available.
 class HookCaseRunner {
  public:
   HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names);
 
-  // The outcome, with all calls under "calls". Throws std::runtime_error or a JSON error at a bad case.
+  // Returns the outcome, with all calls under "calls". Throws std::runtime_error or a JSON error if the case
+  // is invalid.
   [[nodiscard]] nlohmann::json run(const nlohmann::json& test_case);
 
  private:
@@ -31,19 +32,19 @@
   };
 
   [[nodiscard]] hooks::RequestView read_request(const nlohmann::json& request) const;
-  [[nodiscard]] nlohmann::json outcome_of(const hooks::HookCompletion& passed) const;
+  [[nodiscard]] nlohmann::json outcome_of(const hooks::HookCompletion& completion) const;
   void step();
   void execute(const hooks::RunSlice& run);
-  void execute(const hooks::AbortCall& drop);
+  void execute(const hooks::AbortCall& abort_call);
   void execute(const hooks::RenewMachine& renew);
   void execute(const hooks::RetireMachine& retire);
   [[nodiscard]] nlohmann::json& call_report(hooks::JobId job, const std::string& hook);
 
-  hooks::HookScheduler control_;
+  hooks::HookScheduler scheduler_;
   hooks::SettingNames names_;
   std::unordered_map<hooks::HookId, LoadedHook> hooks_;
   hooks::Time now_ = std::chrono::system_clock::now().time_since_epoch();
-  nlohmann::json calls_;  // of the case
+  nlohmann::json calls_;  // of the current case
 };
 
 }  // namespace bellstair::app
--- a/src/app/hook_tool.cpp
+++ b/src/app/hook_tool.cpp
@@ -18,11 +18,11 @@
 using nlohmann::json;
 
 struct Case {
-  std::size_t line = 0;  // of the file, from 1
+  std::size_t line = 0;  // in the file, from 1
   json content;
 };
 
-// The names that hooks and cases may use: to positions, and back.
+// The names that hooks and cases may use, as maps from name to position and from position to name.
 struct KnownNames {
   config::Names indexes;
   hooks::SettingNames names;
@@ -47,7 +47,7 @@
   return {config.names, names_of(config)};
 }
 
-// Adds a name to both directions, at the next position, unless it is empty or known.
+// Adds a name to both maps at the next position, unless it is empty or already there.
 template <class Indexes>
 void add_name(Indexes& indexes, std::vector<std::string>& names, const std::string& name) {
   using Index = typename Indexes::mapped_type;
@@ -59,8 +59,8 @@
   out.names.fronts = config::kFrontNames;
   for (const auto* name : {"lookup", "report", "load"})
     add_name(out.indexes.classes, out.names.classes, name);
-  for (const auto& item : cases) {
-    const auto request = item.content.value("request", json::object());
+  for (const auto& test_case : cases) {
+    const auto request = test_case.content.value("request", json::object());
     add_name(out.indexes.classes, out.names.classes, request.value("class", ""));
     add_name(out.indexes.tenants, out.names.tenants, request.value("tenant", ""));
   }
@@ -68,7 +68,7 @@
   return out;
 }
 
-// Takes over names that were added to the indexes alone.
+// Copies names that were added only to `indexes` into `names`.
 template <class Indexes>
 void complete_names(const Indexes& indexes, std::vector<std::string>& names) {
   for (const auto& [name, index] : indexes) {
@@ -79,13 +79,13 @@
 
 void print_loaded(const hooks::Loaded& loaded) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i)
-    std::printf("hook \"%s\" is fine: %zu bytes of memory once loaded\n", loaded.set.hooks[i].name.c_str(),
-                loaded.machines[i]->memory());
-  if (loaded.machines.empty()) std::puts("there are no hooks");
+    std::printf("hook \"%s\" is valid: uses %zu bytes of memory after loading\n",
+                loaded.set.hooks[i].name.c_str(), loaded.machines[i]->memory());
+  if (loaded.machines.empty()) std::puts("the file defines no hooks");
 }
 
-// What is expected and is not so; empty if all is as expected.
-std::string difference(const json& expected, const json& found) {
+// Describes each key whose value differs from the expected one; empty if none does.
+std::string find_differences(const json& expected, const json& found) {
   std::string out;
   for (const auto& [key, value] : expected.items()) {
     const auto actual = found.contains(key) ? found.at(key) : json();
@@ -95,25 +95,25 @@
   return out;
 }
 
-// Runs one case and prints its outcome. False: not as expected.
-bool run_case(HookCaseRunner& runner, const Case& item) {
-  auto out = runner.run(item.content);
+// Runs one case and prints its outcome. Returns whether the outcome is as expected.
+bool run_case(HookCaseRunner& runner, const Case& test_case) {
+  auto out = runner.run(test_case.content);
   for (auto& call : out["calls"]) call.erase("job");
-  out["case"] = item.content.value("name", "line " + std::to_string(item.line));
-  const auto wrong = difference(item.content.value("expect", json::object()), out);
-  if (!wrong.empty()) out["wrong"] = wrong;
+  out["case"] = test_case.content.value("name", "line " + std::to_string(test_case.line));
+  const auto differences = find_differences(test_case.content.value("expect", json::object()), out);
+  if (!differences.empty()) out["wrong"] = differences;
   std::puts(out.dump(-1, ' ', false, json::error_handler_t::replace).c_str());
-  return wrong.empty();
+  return differences.empty();
 }
 
-// The number of cases that did not end as expected. `path`: of the cases, for errors.
+// Returns the number of cases whose outcome is not as expected. `path`: the file of the cases, for errors.
 int run_cases(HookCaseRunner& runner, const std::vector<Case>& cases, const std::string& path) {
   int failed = 0;
-  for (const auto& item : cases) {
+  for (const auto& test_case : cases) {
     try {
-      if (!run_case(runner, item)) ++failed;
+      if (!run_case(runner, test_case)) ++failed;
     } catch (const std::exception& error) {
-      throw std::runtime_error(path + ":" + std::to_string(item.line) + ": " + error.what());
+      throw std::runtime_error(path + ":" + std::to_string(test_case.line) + ": " + error.what());
     }
   }
   return failed;
@@ -121,7 +121,7 @@
 
 int check_or_run(bool run, const std::string& file, const std::string& config,
                  const std::string& cases_file) {
-  if (run && cases_file.empty()) throw std::runtime_error("'hook run' needs --cases");
+  if (run && cases_file.empty()) throw std::runtime_error("'hook run' needs the option --cases FILE");
   const auto text = config::read_file(file, "fronts");
   std::vector<Case> cases;
   if (run) cases = read_cases(cases_file);
--- a/src/app/loop_statistics.hpp
+++ b/src/app/loop_statistics.hpp
@@ -1,4 +1,4 @@
-// How long turns of the event loop take, and how much of it hooks do.
+// Measures how long iterations of the event loop take, and how much of that time hooks use.
 #pragma once
 
 #include <algorithm>
@@ -11,26 +11,26 @@
  public:
   using Time = core::Time;
 
-  void begin_turn(Time now) {
-    turn_began_ = now;
-    hooks_in_turn_ = {};
+  void begin_iteration(Time now) {
+    iteration_began_ = now;
+    hook_time_in_iteration_ = {};
   }
-  void add_hook(Time duration) { hooks_in_turn_ += duration; }
-  // May be called several times in a turn. No-op before the first begin_turn().
-  void end_turn(Time now) {
-    if (turn_began_ == Time::zero()) return;
-    longest_turn_ = std::max(longest_turn_, now - turn_began_);
-    most_hooks_ = std::max(most_hooks_, hooks_in_turn_);
+  void add_hook_time(Time duration) { hook_time_in_iteration_ += duration; }
+  // May be called several times in an iteration. No-op before the first begin_iteration().
+  void end_iteration(Time now) {
+    if (iteration_began_ == Time::zero()) return;
+    longest_iteration_ = std::max(longest_iteration_, now - iteration_began_);
+    max_hook_time_ = std::max(max_hook_time_, hook_time_in_iteration_);
   }
 
-  [[nodiscard]] Time longest_turn() const { return longest_turn_; }
-  [[nodiscard]] Time most_hooks_in_turn() const { return most_hooks_; }
+  [[nodiscard]] Time longest_iteration() const { return longest_iteration_; }
+  [[nodiscard]] Time max_hook_time_per_iteration() const { return max_hook_time_; }
 
  private:
-  Time turn_began_{};
-  Time hooks_in_turn_{};
-  Time longest_turn_{};
-  Time most_hooks_{};
+  Time iteration_began_{};
+  Time hook_time_in_iteration_{};
+  Time longest_iteration_{};
+  Time max_hook_time_{};
 };
 
 }  // namespace bellstair::app
--- a/src/app/signals.hpp
+++ b/src/app/signals.hpp
@@ -1,4 +1,4 @@
-// Signals that come before a program can heed them wait, and are let through once it can.
+// Blocks signals until the program is ready to handle them; until then the system keeps them pending.
 #pragma once
 
 #include <csignal>
@@ -13,15 +13,15 @@
   return out;
 }
 
-// Of this thread, and of those that it starts.
+// Applies to the calling thread and the threads that it starts.
 inline void block_signals(std::initializer_list<int> signals) {
-  const auto held = signal_set(signals);
-  sigprocmask(SIG_BLOCK, &held, nullptr);
+  const auto blocked = signal_set(signals);
+  sigprocmask(SIG_BLOCK, &blocked, nullptr);
 }
 
 inline void unblock_signals(std::initializer_list<int> signals) {
-  const auto heeded = signal_set(signals);
-  sigprocmask(SIG_UNBLOCK, &heeded, nullptr);
+  const auto unblocked = signal_set(signals);
+  sigprocmask(SIG_UNBLOCK, &unblocked, nullptr);
 }
 
 }  // namespace bellstair::app
--- a/src/app/socket_limits.hpp
+++ b/src/app/socket_limits.hpp
@@ -1,26 +1,27 @@
-// How the descriptors of the process are shared out.
+// Divides the file descriptors of the process between client and engine connections.
 #pragma once
 
 #include <cstddef>
 
 namespace bellstair::app {
 
-// For listeners, files and the like.
+// For listeners, files and other uses.
 inline constexpr std::size_t kReservedDescriptors = 48;
 inline constexpr std::size_t kMinEngineConnections = 8;
 
-// Clients hold a third of the descriptors at the most (PROTOCOL); some more may come before others have gone.
+// By the protocol (PROTOCOL) clients have at most a third of the descriptors open; a few more may connect
+// before others have closed.
 inline constexpr std::size_t kClientConnectionsAboveThird = 16;
 
-// Connections of clients, at `descriptors` for the process.
+// Limit on client connections, for `descriptors` in the whole process.
 [[nodiscard]] constexpr std::size_t max_client_connections(std::size_t descriptors) {
   return descriptors / 3 + kClientConnectionsAboveThird;
 }
 
-// Connections to engines: what the others leave.
+// Limit on engine connections: the descriptors that are left, but at least kMinEngineConnections.
 [[nodiscard]] constexpr std::size_t max_engine_connections(std::size_t descriptors) {
-  const auto others = max_client_connections(descriptors) + kReservedDescriptors;
-  return descriptors > others + kMinEngineConnections ? descriptors - others : kMinEngineConnections;
+  const auto other_uses = max_client_connections(descriptors) + kReservedDescriptors;
+  return descriptors > other_uses + kMinEngineConnections ? descriptors - other_uses : kMinEngineConnections;
 }
 
 }  // namespace bellstair::app
--- a/src/app/stall_detector.hpp
+++ b/src/app/stall_detector.hpp
@@ -1,11 +1,11 @@
-// Notices that the process has not run for a while: it was stopped, or its machine was paused.
+// Detects stalls: times in which the process did not run because it was stopped or its machine was paused.
 //
-// After a stall, timers that expired meanwhile fire at once, while what has arrived meanwhile still lies in
-// the sockets. A decision taken then would go by an outdated state. The loop therefore polls its sockets
-// again, several times, before it decides; and what it reads then may be as old as the last poll before the
-// stall.
+// After a stall, the timers that expired during it fire at once, while the input that arrived during it is
+// still unread in the sockets. The state of the core is then outdated. The loop therefore polls its sockets
+// several times before it handles events; the input that it reads then may be as old as the last poll before
+// the stall.
 //
-// All times are those of one steady clock.
+// All times are from one steady clock.
 #pragma once
 
 #include <chrono>
@@ -20,77 +20,78 @@
  public:
   using Time = core::Time;
 
-  // Between two marks; a longer gap is a stall. A tick of the loop, which wakes it where nothing else does,
-  // and a long step.
+  // A longer gap between two calls of record_activity() is a stall. Covers one tick, which wakes an idle
+  // loop, and one long step of an iteration.
   static constexpr Time kMaxGap = std::chrono::milliseconds(55);
-  // After a stall nothing is decided before so many polls: what was accepted in the first is read in the
-  // second, and an end of stream that follows what was read there in the third.
+  // Polls after a stall before the loop handles events: a connection accepted in the first poll is read in
+  // the second, and an end of stream that follows this input is read in the third.
   static constexpr int kMinPolls = 4;
-  // Nor sooner than this: a poll that a signal interrupts, as after SIGCONT, returns at once and has seen
-  // nothing. Two ticks hold a whole poll each.
+  // Shortest time after a stall before the loop handles events: a poll that a signal such as SIGCONT
+  // interrupts returns at once and reports no input. Two ticks, each with a complete poll, fit into 11 ms.
   static constexpr Time kMinRecovery = std::chrono::milliseconds(11);
-  // After so many polls the loop decides in any case, or a process that is short of processor time never
-  // would.
+  // After this number of polls the loop handles events in any case; otherwise a process with too little CPU
+  // time never would.
   static constexpr int kMaxPolls = 8;
 
-  // The process runs. To be called at each step of a turn, so that a turn that is long because there is much
-  // to do does not pass for a stall.
-  void mark(Time now) { mark(now, previous_poll_); }
+  // Records that the process is running. Must be called at each step of an iteration, so that a long
+  // iteration with much work is not taken for a stall.
+  void record_activity(Time now) { record_activity(now, previous_poll_); }
 
-  // The loop has just polled all sockets, and goes on to read them.
+  // Must be called after the loop has polled all sockets, before it reads them.
   void polled(Time now) {
-    mark(now, last_poll_);
+    record_activity(now, last_poll_);
     previous_poll_ = last_poll_ == Time::zero() ? now : last_poll_;
     last_poll_ = now;
-    ++polls_since_noticed_;
-    ++polls_since_stall_;
+    ++polls_since_last_detection_;
+    ++polls_since_first_detection_;
   }
 
-  // Whether the sockets have to be polled again before anything is decided at `now`.
+  // Whether the sockets must be polled again before events are handled at `now`.
   [[nodiscard]] bool must_poll_again(Time now) {
-    mark(now);
-    const bool recovered = polls_since_noticed_ >= kMinPolls && now >= noticed_at_ + kMinRecovery;
-    if (recovered || polls_since_stall_ >= kMaxPolls) recovering_ = false;
+    record_activity(now);
+    const bool recovered =
+        polls_since_last_detection_ >= kMinPolls && now >= last_detected_at_ + kMinRecovery;
+    if (recovered || polls_since_first_detection_ >= kMaxPolls) recovering_ = false;
     return recovering_;
   }
 
-  // The earliest moment at which what is read at `now` may have arrived.
+  // The earliest time at which input that is read at `now` may have arrived.
   [[nodiscard]] Time earliest_arrival(Time now) const {
     if (recovering_) return stalled_since_;
     return now - previous_poll_ > kMaxGap ? previous_poll_ : now;
   }
 
-  // The stall noticed since the last call, or found to have gone on.
+  // Returns the stall that was detected, or that became longer, since the last call.
   [[nodiscard]] std::optional<core::ProcessStalled> take_stall() {
-    return std::exchange(noticed_, std::nullopt);
+    return std::exchange(unreported_stall_, std::nullopt);
   }
 
  private:
-  void mark(Time now, Time poll_before) {
-    if (last_mark_ != Time::zero() && now - last_mark_ > kMaxGap) note_stall(poll_before, now);
-    last_mark_ = now;
+  void record_activity(Time now, Time poll_before) {
+    if (last_activity_ != Time::zero() && now - last_activity_ > kMaxGap) record_stall(poll_before, now);
+    last_activity_ = now;
   }
 
-  void note_stall(Time since, Time now) {
-    // One that follows before the loop has decided is the same stall, which goes on.
+  void record_stall(Time since, Time now) {
+    // Another gap before the loop has handled events continues the same stall.
     if (!std::exchange(recovering_, true)) {
       stalled_since_ = since;
-      polls_since_stall_ = 0;
+      polls_since_first_detection_ = 0;
     }
-    noticed_ = core::ProcessStalled{stalled_since_, now - stalled_since_};
-    noticed_at_ = now;
-    polls_since_noticed_ = 0;
+    unreported_stall_ = core::ProcessStalled{stalled_since_, now - stalled_since_};
+    last_detected_at_ = now;
+    polls_since_last_detection_ = 0;
   }
 
-  Time last_mark_{};
+  Time last_activity_{};
   Time last_poll_{};
   Time previous_poll_{};
-  Time stalled_since_{};         // the last poll before the stall
-  Time noticed_at_{};            // last
-  int polls_since_noticed_ = 0;  // last
-  int polls_since_stall_ = 0;    // since it was noticed first
+  Time stalled_since_{};  // the last poll before the stall
+  Time last_detected_at_{};
+  int polls_since_last_detection_ = 0;
+  int polls_since_first_detection_ = 0;
   bool recovering_ = false;
-  std::optional<core::ProcessStalled> noticed_;
+  std::optional<core::ProcessStalled> unreported_stall_;
 };
 
 }  // namespace bellstair::app
--- a/src/log/level.hpp
+++ b/src/log/level.hpp
@@ -1,4 +1,4 @@
-// How much a line of the log matters.
+// Severity of a log line.
 #pragma once
 
 namespace bellstair::log {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -20,13 +20,13 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxQueued = 512;  // lines that wait to be written
-constexpr auto kPollInterval = 2ms;      // between looks at whether all has been written
-// With the time in UTC: whoever reads the log may be anywhere.
+constexpr std::size_t kMaxQueued = 512;  // lines in the queue
+constexpr auto kPollInterval = 2ms;      // between checks for unwritten lines in stop()
+// The time is in UTC, because readers of the log may be in any time zone.
 constexpr const char* kPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
 
-// Runs in the log's thread alone, which may block here for as long as nobody reads.
-class StandardError : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+// Used only by the log's thread, which blocks here while nobody reads standard error.
+class StandardErrorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   [[nodiscard]] std::uint64_t written() const { return written_; }
 
@@ -34,11 +34,11 @@
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    for (std::size_t done = 0; done < line.size();) {
-      const auto put = ::write(STDERR_FILENO, line.data() + done, line.size() - done);
-      if (put < 0 && errno == EINTR) continue;
-      if (put < 0) break;  // nobody is there any more
-      done += static_cast<std::size_t>(put);
+    for (std::size_t offset = 0; offset < line.size();) {
+      const auto count = ::write(STDERR_FILENO, line.data() + offset, line.size() - offset);
+      if (count < 0 && errno == EINTR) continue;
+      if (count < 0) break;  // standard error cannot be written any more
+      offset += static_cast<std::size_t>(count);
     }
     ++written_;
   }
@@ -48,8 +48,8 @@
   std::atomic<std::uint64_t> written_ = 0;
 };
 
-struct Running {
-  std::shared_ptr<StandardError> sink = std::make_shared<StandardError>();
+struct AsyncLog {
+  std::shared_ptr<StandardErrorSink> sink = std::make_shared<StandardErrorSink>();
   std::shared_ptr<spdlog::details::thread_pool> pool;
   std::shared_ptr<spdlog::async_logger> logger;
   std::atomic<std::uint64_t> queued = 0;
@@ -57,9 +57,9 @@
   [[nodiscard]] bool all_written() const { return sink->written() + pool->overrun_counter() >= queued; }
 };
 
-// Never destroyed: its thread may be held up for ever in writing a line, and nobody is to wait for it.
-Running* running = nullptr;
-Level least_level = Level::info;
+// Never destroyed: its thread may be blocked in writing a line, and the destructor would wait for it.
+AsyncLog* async_log = nullptr;
+Level current_min_level = Level::info;
 
 spdlog::level::level_enum to_spdlog(Level level) {
   switch (level) {
@@ -76,42 +76,42 @@
 }
 }  // namespace
 
-void start(Level least) {
-  least_level = least;
-  if (running != nullptr) return;
-  auto* made = new Running;
-  sigset_t all, before;
-  sigfillset(&all);
-  pthread_sigmask(SIG_BLOCK, &all, &before);
-  made->pool = std::make_shared<spdlog::details::thread_pool>(
+void start(Level min_level) {
+  current_min_level = min_level;
+  if (async_log != nullptr) return;
+  auto* new_log = new AsyncLog;
+  sigset_t all_signals, previous_signals;
+  sigfillset(&all_signals);
+  pthread_sigmask(SIG_BLOCK, &all_signals, &previous_signals);
+  new_log->pool = std::make_shared<spdlog::details::thread_pool>(
       kMaxQueued, 1U, [] { pthread_setname_np(pthread_self(), "log"); });
-  pthread_sigmask(SIG_SETMASK, &before, nullptr);
-  made->sink->set_formatter(
+  pthread_sigmask(SIG_SETMASK, &previous_signals, nullptr);
+  new_log->sink->set_formatter(
       std::make_unique<spdlog::pattern_formatter>(kPattern, spdlog::pattern_time_type::utc));
-  made->logger = std::make_shared<spdlog::async_logger>("bellstair", made->sink, made->pool,
-                                                        spdlog::async_overflow_policy::overrun_oldest);
-  made->logger->set_level(spdlog::level::trace);
-  running = made;
+  new_log->logger = std::make_shared<spdlog::async_logger>("bellstair", new_log->sink, new_log->pool,
+                                                           spdlog::async_overflow_policy::overrun_oldest);
+  new_log->logger->set_level(spdlog::level::trace);
+  async_log = new_log;
 }
 
-bool enabled(Level level) { return level >= least_level; }
+bool enabled(Level level) { return level >= current_min_level; }
 
 void write(Level level, std::string_view text) {
   if (!enabled(level)) return;
-  if (running == nullptr) {
+  if (async_log == nullptr) {
     std::fprintf(stderr, "%.*s\n", static_cast<int>(text.size()), text.data());
     return;
   }
-  ++running->queued;
-  running->logger->log(to_spdlog(level), spdlog::string_view_t(text.data(), text.size()));
+  ++async_log->queued;
+  async_log->logger->log(to_spdlog(level), spdlog::string_view_t(text.data(), text.size()));
 }
 
-std::uint64_t dropped() { return running == nullptr ? 0 : running->pool->overrun_counter(); }
+std::uint64_t dropped() { return async_log == nullptr ? 0 : async_log->pool->overrun_counter(); }
 
-void stop(std::chrono::milliseconds patience) {
-  if (running == nullptr) return;
-  const auto until = std::chrono::steady_clock::now() + patience;
-  while (!running->all_written() && std::chrono::steady_clock::now() < until)
+void stop(std::chrono::milliseconds timeout) {
+  if (async_log == nullptr) return;
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
+  while (!async_log->all_written() && std::chrono::steady_clock::now() < deadline)
     std::this_thread::sleep_for(kPollInterval);
 }
 
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,5 @@
-// The program's log: lines on standard error. Whoever writes a line never waits for whoever reads it: a
-// thread of the log's own writes them, and where nobody reads, the oldest that wait are dropped and counted.
+// The program's log, written to standard error by a thread of its own. write() never waits for the reader of
+// standard error: if the queue of lines is full, the oldest are dropped and counted.
 #pragma once
 
 #include <chrono>
@@ -10,19 +10,19 @@
 
 namespace bellstair::log {
 
-// Before this, and after stop(), lines are written at once, by whoever writes them. Signals are not handled
-// by the log's thread.
-void start(Level least = Level::info);
+// Sets the lowest level that is logged and starts the log's thread, which handles no signals. Before the
+// first start() the calling thread writes each line itself.
+void start(Level min_level = Level::info);
 
-// Whether lines of this level are written at all: what makes one may be costly.
+// Whether lines of this level are written, for callers whose lines are costly to build.
 [[nodiscard]] bool enabled(Level level);
 
 void write(Level level, std::string_view text);
 
-// Lines that were dropped since start().
+// Number of lines dropped since start().
 [[nodiscard]] std::uint64_t dropped();
 
-// Waits until all lines have been written, but no longer than this.
-void stop(std::chrono::milliseconds patience = std::chrono::milliseconds(200));
+// Waits until all queued lines have been written, but at most `timeout`.
+void stop(std::chrono::milliseconds timeout = std::chrono::milliseconds(200));
 
 }  // namespace bellstair::log
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line.
+// The command line of the program `bellstair`.
 #include <getopt.h>
 
 #include <csignal>
@@ -27,19 +27,19 @@
     "usage: bellstair COMMAND [OPTIONS]\n"
     "\n"
     "  serve         run one broker, in the foreground, until SIGTERM\n"
-    "  check-config  read the configuration, say what is wrong with it, and exit\n"
-    "  hook check    load and try the hooks of an operator's file: hook check FILE\n"
-    "  hook run      show hooks requests of the operator's own: hook run FILE --cases CASES\n"
+    "  check-config  check the configuration, report its errors, and exit\n"
+    "  hook check    load the hooks of an operator's file and dry-run each: hook check FILE\n"
+    "  hook run      run the hooks on requests from a file: hook run FILE --cases CASES\n"
     "  control       run one control node: control FILE --node NAME\n"
-    "  config        publish a configuration, or see what is in force: config publish, config status\n"
+    "  config        publish a configuration or show the active one: config publish, config status\n"
     "  version       print the version\n"
     "\n"
-    "  -c, --config FILE   the platform's configuration; by default what BALANCER_CONFIG names\n"
-    "  -f, --fronts FILE   the operator's own file, in HCL: MySQL, hooks, directories, control; by default "
-    "nothing is on\n"
-    "  -t, --cases FILE    requests for 'hook run', as JSON, one a line\n"
-    "  -l, --log-level L   of 'serve': debug, info, warning or error; by default info\n"
-    "  -h, --help          this text\n";
+    "  -c, --config FILE   the platform's configuration; default: the file that BALANCER_CONFIG names\n"
+    "  -f, --fronts FILE   the operator's file, in HCL: MySQL, hooks, directories, control; default: all are "
+    "off\n"
+    "  -t, --cases FILE    requests for 'hook run', one JSON object per line\n"
+    "  -l, --log-level L   for 'serve': debug, info, warning or error; default: info\n"
+    "  -h, --help          print this help\n";
 
 struct Options {
   std::string command;
@@ -63,9 +63,9 @@
   usage_error("--log-level: expected debug, info, warning or error, not '" + text + "'");
 }
 
-// "hook" is followed by what to do, and by a file.
-void take_hook_arguments(Options& out, int argc, char** argv) {
-  if (optind + 3 != argc) usage_error("'hook' takes 'check' or 'run', and a file");
+// Parses the two arguments of "hook": the subcommand and the operator's file.
+void parse_hook_arguments(Options& out, int argc, char** argv) {
+  if (optind + 3 != argc) usage_error("'hook' needs a subcommand, 'check' or 'run', and a file");
   out.command += std::string(" ") + argv[optind + 1];
   out.fronts = argv[optind + 2];
 }
@@ -88,17 +88,17 @@
     }
     if (c == '?') std::exit(kExitUsage);
   }
-  if (optind >= argc) usage_error("no command");
+  if (optind >= argc) usage_error("no command given");
   out.command = argv[optind];
   if (out.command == "hook") {
-    take_hook_arguments(out, argc, argv);
+    parse_hook_arguments(out, argc, argv);
   } else if (optind + 1 < argc) {
-    usage_error(std::string("one command at a time, not '") + argv[optind + 1] + "' too");
+    usage_error(std::string("unexpected argument '") + argv[optind + 1] + "'");
   }
   return out;
 }
 
-// 'serve' and 'check-config': both load all that a broker needs.
+// Runs 'serve' and 'check-config'; both load the complete configuration of a broker.
 int run_broker(const Options& options) {
   using bellstair::config::read_file;
   auto config = bellstair::config::parse(read_file(options.config, "configuration"));
@@ -111,7 +111,7 @@
     bellstair::log::write(bellstair::log::Level::error, "bellstair: " + problem);
   if (!loaded.problems.empty()) return kExitFailure;
   if (options.command == "check-config") {
-    std::puts("the configuration is fine");
+    std::puts("the configuration is valid");
     return kExitSuccess;
   }
   ev::default_loop loop(0);
@@ -124,7 +124,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  // Their command lines are CLI11's.
+  // These commands parse their arguments with CLI11.
   if (argc > 1 && (argv[1] == std::string("control") || argv[1] == std::string("config")))
     return bellstair::app::control_command(argc, argv);
   const auto options = parse_options(argc, argv);
@@ -138,7 +138,7 @@
   if (options.command != "serve" && options.command != "check-config")
     usage_error("unknown command '" + options.command + "'");
   if (options.command == "serve") {
-    bellstair::app::block_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});  // Broker::run() lets them through
+    bellstair::app::block_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});  // until Broker::run()
     bellstair::log::start(options.log_level);
   }
   int status = kExitFailure;
--- a/tests/stall_detector_test.cpp
+++ b/tests/stall_detector_test.cpp
@@ -95,15 +95,15 @@
   EXPECT_GE(acted, 20);
 }
 
-// Events that are decided in `turns` turns, whose reading takes `reading` each, with a mark after each `step`
-// of it; one event takes 1 ms, and no more than 50 come in a turn.
+// Events that are decided in `turns` turns, whose reading takes `reading` each, calling record_activity() after
+// each `step` of it; one event takes 1 ms, and no more than 50 come in a turn.
 int events_of(int turns, StallDetector::Time reading, StallDetector::Time step) {
   StallDetector detector;
   auto now = StallDetector::Time(kStart);
   int events = 0;
   for (int turn = 0; turn < turns; ++turn) {
     detector.polled(now);
-    for (StallDetector::Time read{}; read < reading; read += step) detector.mark(now += step);
+    for (StallDetector::Time read{}; read < reading; read += step) detector.record_activity(now += step);
     for (int event = 0; event < 50 && !detector.must_poll_again(now); ++event, ++events) now += 1ms;
   }
   return events;
