--- a/src/app/hook_case_runner.cpp
+++ b/src/app/hook_case_runner.cpp
@@ -113,7 +113,7 @@
 void HookCaseRunner::execute(const hooks::AbortCall& abort_call) {
   auto& hook = hooks_.at(abort_call.hook);
   hook.machine->abort(abort_call.job);
-  call_report(abort_call.job, hook.spec.name)["failed"] = "it was cut off";
+  call_report(abort_call.job, hook.spec.name)["failed"] = "the call was aborted";
 }
 
 // Keeps the old machine in use instead of creating a new one.
--- a/tests/net/hooks_test.cpp
+++ b/tests/net/hooks_test.cpp
@@ -197,7 +197,7 @@
 )");
   const auto tried = bellstair("hook run " + file + " --cases " + cases);
   EXPECT_EQ(tried.status, 0) << tried.out;
-  EXPECT_NE(tried.out.find("it was cut off"), std::string::npos) << tried.out;
+  EXPECT_NE(tried.out.find("the call was aborted"), std::string::npos) << tried.out;
   EXPECT_NE(tried.out.find("3 cases, 0 wrong"), std::string::npos);
   const auto wrong = temporary(R"({"request": {"tenant": "lycee-ennour"}, "expect": {"pass": "refused"}})");
   const auto failed = bellstair("hook run " + file + " --cases " + wrong);
