--- a/tests/stall_detector_test.cpp
+++ b/tests/stall_detector_test.cpp
@@ -1,4 +1,4 @@
-// When a stall is noticed, and what it means for what is read after it.
+// Tests when a stall is detected, and which arrival time the input read after it gets.
 #include "app/stall_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -9,50 +9,51 @@
 
 constexpr auto kStart = 1000s;
 
-// As the loop goes: a poll every 5 ms, after which it may act.
-void run(StallDetector& detector, StallDetector::Time from, int turns) {
-  for (int turn = 0; turn < turns; ++turn) {
-    detector.polled(from + turn * 5ms);
-    EXPECT_FALSE(detector.must_poll_again(from + turn * 5ms + 1ms));
+// Iterations without a stall: a poll every 5 ms, after which events may be handled.
+void run_iterations(StallDetector& detector, StallDetector::Time from, int iterations) {
+  for (int iteration = 0; iteration < iterations; ++iteration) {
+    detector.polled(from + iteration * 5ms);
+    EXPECT_FALSE(detector.must_poll_again(from + iteration * 5ms + 1ms));
   }
 }
 
-TEST(StallDetector, WhatIsReadInAUsualTurnHasJustCome) {
+TEST(StallDetector, InputOfAnUninterruptedIterationHasJustArrived) {
   StallDetector detector;
-  run(detector, kStart, 100);
+  run_iterations(detector, kStart, 100);
   EXPECT_EQ(detector.earliest_arrival(kStart + 496ms), kStart + 496ms);
   EXPECT_FALSE(detector.take_stall().has_value());
 }
 
-TEST(StallDetector, AfterAStallInItsSleepTheLoopPollsAgainBeforeItDecides) {
+TEST(StallDetector, PollsAgainAfterAStallDuringSleep) {
   StallDetector detector;
-  run(detector, kStart, 1);
-  const auto awake = kStart + 800ms;
-  detector.polled(awake);
-  EXPECT_EQ(detector.earliest_arrival(awake), kStart) << "it may have come just after the last poll";
+  run_iterations(detector, kStart, 1);
+  const auto resumed_at = kStart + 800ms;
+  detector.polled(resumed_at);
+  EXPECT_EQ(detector.earliest_arrival(resumed_at), kStart)
+      << "input may have arrived just after the last poll";
   const auto stall = detector.take_stall();
   ASSERT_TRUE(stall.has_value());
   EXPECT_EQ(stall->since, kStart);
   EXPECT_EQ(stall->length, 800ms);
-  // An interrupted poll comes back at once and has seen nothing: it takes time, too.
-  auto now = StallDetector::Time(awake);
+  // An interrupted poll returns at once and reports no input, so recovery also needs time.
+  auto now = StallDetector::Time(resumed_at);
   for (int poll = 1; poll < StallDetector::kMaxPolls - 1; ++poll) {
     EXPECT_TRUE(detector.must_poll_again(now)) << poll;
     detector.polled(now);
     EXPECT_EQ(detector.earliest_arrival(now), kStart) << poll;
   }
   detector.polled(now += StallDetector::kMinRecovery);
-  EXPECT_EQ(detector.earliest_arrival(now), kStart) << "read in the turn that acts";
-  EXPECT_FALSE(detector.must_poll_again(now)) << "and then it acts";
+  EXPECT_EQ(detector.earliest_arrival(now), kStart) << "input read in the iteration that handles events";
+  EXPECT_FALSE(detector.must_poll_again(now)) << "events are handled after recovery";
   detector.polled(now += 5ms);
   EXPECT_EQ(detector.earliest_arrival(now), now);
-  EXPECT_FALSE(detector.take_stall().has_value()) << "told once";
+  EXPECT_FALSE(detector.take_stall().has_value()) << "the stall is reported once";
 }
 
-// Stopped, let go on for a moment, and stopped again.
-TEST(StallDetector, AStallThatGoesOnIsToldWithItsWholeLength) {
+// The process is stopped, continued for a moment and stopped again.
+TEST(StallDetector, ReportsAContinuedStallWithItsFullLength) {
   StallDetector detector;
-  run(detector, kStart, 1);
+  run_iterations(detector, kStart, 1);
   detector.polled(kStart + 1500ms);
   ASSERT_TRUE(detector.take_stall().has_value());
   EXPECT_TRUE(detector.must_poll_again(kStart + 1501ms));
@@ -64,44 +65,44 @@
   EXPECT_EQ(detector.earliest_arrival(kStart + 2500ms), kStart);
 }
 
-// The process was stopped between reading and acting.
-TEST(StallDetector, AfterAStallInATurnTheLoopPollsAgainBeforeItDecides) {
+// The process is stopped between reading its sockets and handling events.
+TEST(StallDetector, PollsAgainAfterAStallWithinAnIteration) {
   StallDetector detector;
-  run(detector, kStart, 2);
+  run_iterations(detector, kStart, 2);
   detector.polled(kStart + 10ms);
-  const auto awake = kStart + 500ms;
-  EXPECT_TRUE(detector.must_poll_again(awake));
+  const auto resumed_at = kStart + 500ms;
+  EXPECT_TRUE(detector.must_poll_again(resumed_at));
   ASSERT_TRUE(detector.take_stall().has_value());
-  detector.polled(awake + 1ms);
-  EXPECT_LE(detector.earliest_arrival(awake + 1ms), kStart + 10ms);
-  detector.polled(awake + StallDetector::kMinRecovery + 1ms);
-  EXPECT_TRUE(detector.must_poll_again(awake + StallDetector::kMinRecovery + 1ms)) << "too few polls";
+  detector.polled(resumed_at + 1ms);
+  EXPECT_LE(detector.earliest_arrival(resumed_at + 1ms), kStart + 10ms);
+  detector.polled(resumed_at + StallDetector::kMinRecovery + 1ms);
+  EXPECT_TRUE(detector.must_poll_again(resumed_at + StallDetector::kMinRecovery + 1ms)) << "too few polls";
   for (int poll = 0; poll < StallDetector::kMinPolls; ++poll)
-    detector.polled(awake + StallDetector::kMinRecovery + 2ms);
-  EXPECT_FALSE(detector.must_poll_again(awake + StallDetector::kMinRecovery + 2ms));
+    detector.polled(resumed_at + StallDetector::kMinRecovery + 2ms);
+  EXPECT_FALSE(detector.must_poll_again(resumed_at + StallDetector::kMinRecovery + 2ms));
 }
 
-// Turns that each take long must not keep the loop from acting.
-TEST(StallDetector, ALoopThatIsAlwaysSlowActsAllTheSame) {
+// Iterations that each take long must not prevent the loop from handling events.
+TEST(StallDetector, HandlesEventsWhenEveryIterationIsSlow) {
   StallDetector detector;
   auto now = StallDetector::Time(kStart);
-  int acted = 0;
-  for (int turn = 0; turn < 100; ++turn) {
+  int handled = 0;
+  for (int iteration = 0; iteration < 100; ++iteration) {
     detector.polled(now += 5ms);
     if (detector.must_poll_again(now)) continue;
-    ++acted;
+    ++handled;
     now += 200ms;
   }
-  EXPECT_GE(acted, 20);
+  EXPECT_GE(handled, 20);
 }
 
-// Events that are decided in `turns` turns, whose reading takes `reading` each, calling record_activity() after
-// each `step` of it; one event takes 1 ms, and no more than 50 come in a turn.
-int events_of(int turns, StallDetector::Time reading, StallDetector::Time step) {
+// Returns the number of events handled in `iterations` iterations. Each reads its sockets for `reading`, with
+// a call of record_activity() after each `step`, and then handles up to 50 events of 1 ms each.
+int handled_events(int iterations, StallDetector::Time reading, StallDetector::Time step) {
   StallDetector detector;
   auto now = StallDetector::Time(kStart);
   int events = 0;
-  for (int turn = 0; turn < turns; ++turn) {
+  for (int iteration = 0; iteration < iterations; ++iteration) {
     detector.polled(now);
     for (StallDetector::Time read{}; read < reading; read += step) detector.record_activity(now += step);
     for (int event = 0; event < 50 && !detector.must_poll_again(now); ++event, ++events) now += 1ms;
@@ -109,15 +110,16 @@
   return events;
 }
 
-// A flood must not keep the loop from deciding: what is read late is better than what is never decided.
-TEST(StallDetector, ALoopWhoseReadingAlwaysTakesLongDecidesAllTheSame) {
+// Reading much input must not prevent the loop from handling events: late handling is better than none.
+TEST(StallDetector, HandlesEventsWhenReadingAlwaysTakesLong) {
   for (const StallDetector::Time reading : {10ms, 60ms, 150ms, 400ms})
-    EXPECT_EQ(events_of(100, reading, 1ms), 100 * 50) << reading / 1ms << " ms";
+    EXPECT_EQ(handled_events(100, reading, 1ms), 100 * 50) << reading / 1ms << " ms";
 }
 
-// Nor must want of processor time, which looks like a stop in each turn.
-TEST(StallDetector, AProcessThatIsStoppedAgainAndAgainDecidesAllTheSame) {
-  EXPECT_GE(events_of(100, 90ms, 90ms), 10 * 50);
+// A lack of CPU time, which looks like a stall in each iteration, must not prevent the loop from handling
+// events.
+TEST(StallDetector, HandlesEventsWhenStoppedRepeatedly) {
+  EXPECT_GE(handled_events(100, 90ms, 90ms), 10 * 50);
 }
 
 }  // namespace
