--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -1,4 +1,4 @@
-// accept4() that fails as Linux documents it.
+// Tests that the broker handles the errors that Linux documents for accept4().
 #include <gtest/gtest.h>
 
 #include "requests.hpp"
@@ -7,57 +7,60 @@
 namespace bellstair::test {
 namespace {
 
-// How many of `count` clients, each on a connection of its own, got no answer.
-int unanswered(const std::string& address, int count, int first) {
-  int lost = 0;
+// Returns how many of `count` clients, each on its own connection, received no answer. `first`: the number of
+// the first ticket.
+int count_unanswered(const std::string& address, int count, int first) {
+  int failed = 0;
   for (int n = first; n < first + count; ++n) {
     try {
       Client client(address);
       client.ask(1, "lookup", kSelect, {{"txn", ticket(n)}});
-      if (client.answer()["id"] != 1) ++lost;
+      if (client.answer()["id"] != 1) ++failed;
     } catch (const std::exception&) {
-      ++lost;
+      ++failed;
     }
   }
-  return lost;
+  return failed;
 }
 
-// The listener took a momentary ENFILE for descriptors that had run out, and closed the connection unread.
-TEST(AcceptFaults, AMomentaryFailureCostsNoConnection) {
+// The listener treated a transient ENFILE as its own descriptor limit and closed the connection unread.
+TEST(AcceptFaults, TransientFailuresLoseNoConnection) {
   Faults faults;
-  Served served(faults);
+  BrokerWithEngine fixture(faults);
   faults.fail(FaultyCall::accept, 5, {ENFILE, ECONNABORTED, ENOBUFS, ENOMEM, EINTR, EPROTO, EPERM, ENETDOWN});
-  constexpr int kThreads = 4, kEach = 60;
-  std::atomic<int> lost = 0;
+  constexpr int kThreads = 4, kRequestsPerThread = 60;
+  std::atomic<int> failed = 0;
   std::vector<std::thread> threads;
   for (int t = 0; t < kThreads; ++t)
-    threads.emplace_back([&, t] { lost += unanswered(served.broker.address, kEach, 1 + t * kEach); });
+    threads.emplace_back([&, t] {
+      failed += count_unanswered(fixture.broker.address, kRequestsPerThread, 1 + t * kRequestsPerThread);
+    });
   for (auto& thread : threads) thread.join();
   EXPECT_GT(faults.injected(FaultyCall::accept), 10U);
-  EXPECT_EQ(lost, 0);
+  EXPECT_EQ(failed, 0);
 }
 
-// A request may lie in the system's buffer before its connection can be accepted.
-TEST(AcceptFaults, WhatWaitedToBeAcceptedHasThatMuchLessTime) {
+// A request may wait in the system's buffer before its connection can be accepted.
+TEST(AcceptFaults, WaitBeforeAcceptCountsAgainstTheLimit) {
   Faults faults;
-  Served served(faults);
+  BrokerWithEngine fixture(faults);
   faults.fail(FaultyCall::accept, 1, {ENFILE});
-  Client client(served.broker.address);
+  Client client(fixture.broker.address);
   client.ask(1, "lookup", kSelect, {{"limit", 2000}});
   std::this_thread::sleep_for(800ms);
   faults.stop(FaultyCall::accept);
   EXPECT_TRUE(client.answer().contains("result"));
-  const auto call = served.engine.calls.wait([](const Call& c) { return c.method == "POST"; });
+  const auto call = fixture.engine.calls.wait([](const Call& c) { return c.method == "POST"; });
   EXPECT_LE(std::stoi(call.headers.at("X-Max-Ms")), 1200 + 150);
 }
 
-// While the system has no descriptor for anybody, connections wait for one, and the loop does not spin.
-TEST(AcceptFaults, WhileTheSystemIsOutOfDescriptorsConnectionsWait) {
+// While the system has no free descriptor, connections wait for one, and the event loop does not spin.
+TEST(AcceptFaults, ConnectionsWaitWhileSystemHasNoDescriptors) {
   Faults faults;
-  Served served(faults);
+  BrokerWithEngine fixture(faults);
   faults.fail(FaultyCall::accept, 1, {ENFILE});
   const auto before = faults.calls(FaultyCall::accept);
-  Client client(served.broker.address);
+  Client client(fixture.broker.address);
   client.ask(1, "lookup", kSelect);
   std::this_thread::sleep_for(300ms);
   const auto calls = faults.calls(FaultyCall::accept) - before;
@@ -67,14 +70,14 @@
   EXPECT_LT(calls, 100U);
 }
 
-// Out of descriptors of its own, it turns connections away by way of one in reserve. Where that one could not
-// be opened again, the loop went round for nothing, for ever.
-TEST(AcceptFaults, TheReserveIsOpenedAgainAndItsLossDoesNotSpinTheLoop) {
+// At its own descriptor limit the listener frees a reserve descriptor to accept and close connections. When
+// the reserve could not be reopened, the event loop spun forever.
+TEST(AcceptFaults, ReopensReserveDescriptorWithoutSpinning) {
   Faults faults;
-  Served served(faults);
+  BrokerWithEngine fixture(faults);
   faults.fail(FaultyCall::accept, 1, {EMFILE});
   faults.fail(FaultyCall::open_null, 1, {ENFILE});
-  Client client(served.broker.address);
+  Client client(fixture.broker.address);
   client.ask(1, "lookup", kSelect);
   std::this_thread::sleep_for(50ms);
   const auto before = faults.calls(FaultyCall::accept);
@@ -82,7 +85,7 @@
   EXPECT_LT(faults.calls(FaultyCall::accept) - before, 100U);
   faults.stop(FaultyCall::accept);
   faults.stop(FaultyCall::open_null);
-  Client next(served.broker.address);
+  Client next(fixture.broker.address);
   next.ask(1, "lookup", kSelect, {{"txn", ticket(2)}});
   EXPECT_EQ(body(next.answer()), "x\ty\tz\n");
 }
--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -1,4 +1,4 @@
-// A wall clock that steps, while the program runs and before it begins: spans are spans of real time.
+// Tests that steps of the wall clock, before the program starts and while it runs, change no duration.
 #include <gtest/gtest.h>
 
 #include "../net/harness.hpp"
@@ -15,36 +15,36 @@
       .count();
 }
 
-// Far more than any draw of turns lets through, and far less than clients ask for.
-constexpr std::size_t kMaxCalls = 60;
+// Far more calls than slow start's random permits allow, and far fewer than the clients request.
+constexpr std::size_t kMaxSlowStartCalls = 60;
 
-class WallClock : public ::testing::TestWithParam<int> {  // seconds that it steps by
+class WallClock : public ::testing::TestWithParam<int> {  // parameter: step in seconds
  protected:
   [[nodiscard]] static std::chrono::seconds step() { return std::chrono::seconds(GetParam()); }
 };
 
-TEST_P(WallClock, DeadlinesAreSpansOfRealTime) {
+TEST_P(WallClock, DeadlinesIgnoreWallClockSteps) {
   Faults faults;
-  HttpEngine silent([](const Call&) { return http(202); });
-  Broker broker({{"s-00000001", silent.server.address()}}, {}, 0, json::object(), json::object(),
+  HttpEngine pending_engine([](const Call&) { return http(202); });
+  Broker broker({{"s-00000001", pending_engine.server.address()}}, {}, 0, json::object(), json::object(),
                 faults.environment());
   Client client(broker.address);
   const auto from = Clock::now();
   client.ask(1, "lookup", kSelect, {{"limit", 1500}});
-  silent.calls.wait([](const Call& c) { return c.method == "POST"; });
+  pending_engine.calls.wait([](const Call& c) { return c.method == "POST"; });
   faults.step_wall_clock(step());
   EXPECT_TRUE(client.answer().contains("error"));
   EXPECT_GT(Clock::now() - from, 1200ms);
   EXPECT_LT(Clock::now() - from, 1700ms);
   client.ask(2, "lookup", kSelect, {{"limit", 1500}, {"txn", ticket(2)}});
-  const auto call = silent.calls.wait(
+  const auto call = pending_engine.calls.wait(
       [](const Call& c) { return c.method == "POST" && c.headers.at("X-Ticket") == ticket(2); });
   EXPECT_LE(std::stoi(call.headers.at("X-Max-Ms")), 1500);
   EXPECT_GE(std::stoi(call.headers.at("X-Max-Ms")), 1200);
 }
 
-// An answer that tells of much work: a cold engine may be sent two or three such queries in a second.
-std::string heavy_rows() {
+// A response with a high query cost: slow start allows an engine two or three such queries per second.
+std::string costly_response() {
   return http(200, "x\ty\tz\n", "Result-Pages: 1\r\nQuery-Cost: 2000\r\nQuery-Need: 8\r\n");
 }
 
@@ -52,8 +52,8 @@
     {"safety",
      {{"tip-multiple", 2.5}, {"fall", 1'000'000'000}, {"cold-from", 0.33}, {"ramp-time", 15'000'000'000}}}};
 
-// Of four clients, for 4 s.
-void ask_much(const Broker& broker) {
+// Sends requests from four clients for 4 s.
+void send_load(const Broker& broker) {
   std::vector<std::thread> clients;
   for (int t = 0; t < 4; ++t) {
     clients.emplace_back([&, t] {
@@ -68,43 +68,46 @@
   for (auto& client : clients) client.join();
 }
 
-// Of the calls that an engine gets within 4 s of its start, from a broker whose other engine is taken away.
-std::size_t calls_at_newcomer(std::chrono::seconds before, std::chrono::seconds meanwhile) {
+// Returns the number of calls that a new engine receives within 4 s of its start from a broker whose other
+// engine is removed.
+std::size_t calls_at_new_engine(std::chrono::seconds step_before_start,
+                                std::chrono::seconds step_while_running) {
   Faults faults;
-  faults.step_wall_clock(before);
-  HttpEngine old([](const Call&) { return heavy_rows(); });
-  HttpEngine newcomer([](const Call&) { return heavy_rows(); });
-  Broker broker({{"s-00000001", old.server.address()}}, {}, 0, kSlowStart, json::object(),
+  faults.step_wall_clock(step_before_start);
+  HttpEngine old_engine([](const Call&) { return costly_response(); });
+  HttpEngine new_engine([](const Call&) { return costly_response(); });
+  Broker broker({{"s-00000001", old_engine.server.address()}}, {}, 0, kSlowStart, json::object(),
                 faults.environment());
   broker.changes.wait_until_told();
-  faults.step_wall_clock(meanwhile);
-  auto began = server("s-00000002", newcomer.server.address());
-  began["started_ms"] = unix_ms() - 200;
-  broker.changes.push({began, server("s-00000001", old.server.address(), "terminating")});
-  ask_much(broker);
-  return newcomer.posts();
+  faults.step_wall_clock(step_while_running);
+  auto started_engine = server("s-00000002", new_engine.server.address());
+  started_engine["started_ms"] = unix_ms() - 200;
+  broker.changes.push({started_engine, server("s-00000001", old_engine.server.address(), "terminating")});
+  send_load(broker);
+  return new_engine.posts();
 }
 
-// It had no slow start at all after a step forward, and got nothing for an hour after one back.
-TEST_P(WallClock, ANewcomersSlowStartDoesNotGoByIt) {
-  const auto stepped = calls_at_newcomer(0s, step());
-  const auto off = calls_at_newcomer(step(), 0s);
-  EXPECT_GT(stepped, 0U);
-  EXPECT_LT(stepped, kMaxCalls);
-  EXPECT_GT(off, 0U);
-  EXPECT_LT(off, kMaxCalls);
+// After a step forward a new engine had no slow start, and after a step back it received nothing for an hour.
+TEST_P(WallClock, SlowStartOfNewEngineIgnoresWallClockSteps) {
+  const auto calls_after_step = calls_at_new_engine(0s, step());
+  const auto calls_with_offset = calls_at_new_engine(step(), 0s);
+  EXPECT_GT(calls_after_step, 0U);
+  EXPECT_LT(calls_after_step, kMaxSlowStartCalls);
+  EXPECT_GT(calls_with_offset, 0U);
+  EXPECT_LT(calls_with_offset, kMaxSlowStartCalls);
 }
 
-// A broker is restarted while its clock is off, and is told of a newcomer with what is known at the start.
-TEST_P(WallClock, NorDoesThatOfOneKnownAtTheStart) {
+// A broker is restarted while its wall clock is wrong; its first endpoint list already contains a new engine.
+TEST_P(WallClock, SlowStartAfterRestartIgnoresWallClockOffset) {
   Faults faults;
   faults.step_wall_clock(step());
-  HttpEngine newcomer([](const Call&) { return heavy_rows(); });
-  const json began{{"started_ms", unix_ms() - 200}};
-  Broker broker({{"s-00000001", newcomer.server.address()}}, {}, 0, kSlowStart, began, faults.environment());
-  ask_much(broker);
-  EXPECT_GT(newcomer.posts(), 0U);
-  EXPECT_LT(newcomer.posts(), kMaxCalls);
+  HttpEngine new_engine([](const Call&) { return costly_response(); });
+  const json started_engine{{"started_ms", unix_ms() - 200}};
+  Broker broker({{"s-00000001", new_engine.server.address()}}, {}, 0, kSlowStart, started_engine,
+                faults.environment());
+  send_load(broker);
+  EXPECT_GT(new_engine.posts(), 0U);
+  EXPECT_LT(new_engine.posts(), kMaxSlowStartCalls);
 }
 
 INSTANTIATE_TEST_SUITE_P(Steps, WallClock, ::testing::Values(-3600, -5, 5, 3600));
--- a/tests/faults/connect_test.cpp
+++ b/tests/faults/connect_test.cpp
@@ -1,4 +1,4 @@
-// connect() and socket() that fail as Linux documents them.
+// Tests that the broker handles the errors that Linux documents for connect() and socket().
 #include <gtest/gtest.h>
 
 #include "../net/harness.hpp"
@@ -8,16 +8,16 @@
 namespace bellstair::test {
 namespace {
 
-// An engine that closes each connection after one answer, so that each statement needs a new one.
+// An engine that closes each connection after one response, so that each statement needs a new connection.
 std::optional<std::string> answer_and_close(const Call&) {
   return http(200, "x\ty\tz\n", "Connection: close\r\nResult-Pages: 1\r\nQuery-Cost: 5\r\nQuery-Need: 8\r\n");
 }
 
-struct TwoEngines {
-  explicit TwoEngines(const Faults& faults)
+struct BrokerWithTwoEngines {
+  explicit BrokerWithTwoEngines(const Faults& faults)
       : broker({{"s-00000001", first.server.address()}, {"s-00000002", second.server.address()}}, {}, 0,
                json::object(), json::object(), faults.environment()) {}
-  // Of `count` clients one after the other, how many were served.
+  // Sends `count` requests one after another and returns how many were served.
   int serve(int count) {
     int served = 0;
     Client client(broker.address);
@@ -27,8 +27,8 @@
     }
     return served;
   }
-  // Engines that the broker took to be down.
-  std::size_t blamed() {
+  // Returns how often the broker has ejected an engine because it refused a connection.
+  std::size_t count_ejections() {
     std::size_t out = 0;
     for (const auto& line : broker.program->all_lines())
       if (line.find("ejected: connection refused") != std::string::npos) ++out;
@@ -38,42 +38,42 @@
   Broker broker;
 };
 
-// An error of this machine's own was blamed on the engine, which then rested and counted as cold.
-TEST(ConnectFaults, AMomentaryErrorOfThisMachineIsNotBlamedOnAnEngine) {
+// A local error of connect() ejected the engine, which was then treated as warming up.
+TEST(ConnectFaults, LocalErrorsEjectNoEngine) {
   Faults faults;
-  TwoEngines engines(faults);
+  BrokerWithTwoEngines fixture(faults);
   faults.fail(FaultyCall::connect, 4,
               {ETIMEDOUT, ENETUNREACH, EADDRNOTAVAIL, ENOBUFS, EAGAIN, ENETDOWN, EHOSTUNREACH, EPERM});
-  EXPECT_EQ(engines.serve(100), 100);
+  EXPECT_EQ(fixture.serve(100), 100);
   EXPECT_GT(faults.injected(FaultyCall::connect), 10U);
-  EXPECT_EQ(engines.blamed(), 0U);
+  EXPECT_EQ(fixture.count_ejections(), 0U);
 }
 
-// The system goes on connecting; a second connect() would only tell so.
-TEST(ConnectFaults, AnInterruptedConnectGoesOn) {
+// The system continues an interrupted connect(); a second call would only report that it is in progress.
+TEST(ConnectFaults, InterruptedConnectCompletes) {
   Faults faults;
-  TwoEngines engines(faults);
+  BrokerWithTwoEngines fixture(faults);
   faults.fail(FaultyCall::connect, 1, {EINTR});
-  EXPECT_EQ(engines.serve(50), 50);
-  EXPECT_EQ(engines.blamed(), 0U);
-  EXPECT_LE(engines.first.posts() + engines.second.posts(), 50U);
+  EXPECT_EQ(fixture.serve(50), 50);
+  EXPECT_EQ(fixture.count_ejections(), 0U);
+  EXPECT_LE(fixture.first.posts() + fixture.second.posts(), 50U);
 }
 
-TEST(ConnectFaults, WithoutASocketForAMomentEverythingIsServed) {
+TEST(ConnectFaults, ServesAllDespiteTransientSocketErrors) {
   Faults faults;
-  TwoEngines engines(faults);
+  BrokerWithTwoEngines fixture(faults);
   faults.fail(FaultyCall::socket, 4, {EMFILE, ENFILE, ENOBUFS, ENOMEM});
-  EXPECT_EQ(engines.serve(60), 60);
-  EXPECT_EQ(engines.blamed(), 0U);
+  EXPECT_EQ(fixture.serve(60), 60);
+  EXPECT_EQ(fixture.count_ejections(), 0U);
 }
 
-// A refused connection is the engine's own word, whatever else fails.
-TEST(ConnectFaults, ARefusedConnectionStillTellsOfItsEngine) {
+// A refused connection comes from the engine's machine, unlike the errors above, and still ejects the engine.
+TEST(ConnectFaults, RefusedConnectionEjectsTheEngine) {
   Faults faults;
-  TwoEngines engines(faults);
-  engines.first.server.stop();
-  EXPECT_EQ(engines.serve(30), 30);
-  EXPECT_GE(engines.blamed(), 1U);
+  BrokerWithTwoEngines fixture(faults);
+  fixture.first.server.stop();
+  EXPECT_EQ(fixture.serve(30), 30);
+  EXPECT_GE(fixture.count_ejections(), 1U);
 }
 
 }  // namespace
--- a/tests/faults/fault_plan.hpp
+++ b/tests/faults/fault_plan.hpp
@@ -1,5 +1,5 @@
-// The faults that the library `bellstair_faults` injects into a process. Both the test and the process map
-// the same file, so that a test can switch faults on and off while the process runs.
+// The faults that the library `bellstair_faults` injects into a process. The test and the process map the
+// same file, so that the test can switch faults on and off while the process runs.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
   send,
   receive,
   wait,        // epoll_wait
-  control,     // epoll_ctl, other than to give up a descriptor
+  control,     // epoll_ctl, except to remove a descriptor
   open_null,   // open() of /dev/null
   write_file,  // write() to a regular file
   sync,        // fsync() and fdatasync()
@@ -26,14 +26,14 @@
 inline constexpr std::size_t kFaultyCalls = 11;
 inline constexpr std::size_t kMaxErrors = 8;
 
-// How one system call fails. Zero everywhere: it never does.
+// How often and with which errors one system call fails; if all fields are 0, it never fails.
 struct FaultRule {
-  std::atomic<std::uint32_t> one_in;        // calls, of which one fails; 0: none
-  std::atomic<std::uint32_t> one_short_in;  // calls, of which one transfers a part only; 0: none
-  std::atomic<std::uint32_t> error_count;   // of `errors`, drawn evenly
+  std::atomic<std::uint32_t> one_in;        // one call in this many fails; 0: none
+  std::atomic<std::uint32_t> one_short_in;  // one call in this many transfers only a part; 0: none
+  std::atomic<std::uint32_t> error_count;   // number of `errors`, which are equally likely
   std::array<std::atomic<std::int32_t>, kMaxErrors> errors;
   std::atomic<std::uint64_t> calls;     // so far
-  std::atomic<std::uint64_t> injected;  // failures among them
+  std::atomic<std::uint64_t> injected;  // number of calls that failed
 };
 
 struct FaultPlan {
@@ -43,7 +43,7 @@
   [[nodiscard]] FaultRule& rule(FaultyCall call) { return rules[static_cast<std::size_t>(call)]; }
 };
 
-// The environment variable that names the plan's file.
+// The environment variable with the path of the plan's file.
 inline constexpr const char* kFaultPlanVariable = "BELLSTAIR_FAULT_PLAN";
 
 }  // namespace bellstair::test
--- a/tests/faults/faults.hpp
+++ b/tests/faults/faults.hpp
@@ -1,4 +1,4 @@
-// The test's side of a FaultPlan: its file, and the environment that makes a program load it.
+// The test's side of a FaultPlan: creates its file and the environment that makes a program load it.
 #pragma once
 
 #include <fcntl.h>
@@ -20,14 +20,15 @@
 class Faults {
  public:
   explicit Faults(std::uint64_t seed = 1) {
-    const char* folder = std::getenv("TMPDIR");
-    path_ = std::string(folder != nullptr ? folder : "/tmp") + "/bellstair-faults-XXXXXX";
+    const char* directory = std::getenv("TMPDIR");
+    path_ = std::string(directory != nullptr ? directory : "/tmp") + "/bellstair-faults-XXXXXX";
     const int fd = ::mkstemp(path_.data());
-    if (fd < 0 || ::ftruncate(fd, sizeof(FaultPlan)) != 0) throw std::runtime_error("no file for faults");
-    void* at = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    if (fd < 0 || ::ftruncate(fd, sizeof(FaultPlan)) != 0)
+      throw std::runtime_error("cannot create the file of the fault plan");
+    void* mapped = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
-    if (at == MAP_FAILED) throw std::runtime_error("faults cannot be mapped");
-    plan_ = new (at) FaultPlan{};
+    if (mapped == MAP_FAILED) throw std::runtime_error("cannot map the file of the fault plan");
+    plan_ = new (mapped) FaultPlan{};
     plan_->seed = seed;
   }
   ~Faults() {
@@ -41,9 +42,9 @@
   void fail(FaultyCall call, std::uint32_t one_in, std::initializer_list<int> errors) {
     auto& rule = plan_->rule(call);
     rule.one_in = 0;
-    std::size_t at = 0;
-    for (const int error : errors) rule.errors.at(at++) = error;
-    rule.error_count = static_cast<std::uint32_t>(at);
+    std::size_t index = 0;
+    for (const int error : errors) rule.errors.at(index++) = error;
+    rule.error_count = static_cast<std::uint32_t>(index);
     rule.one_in = one_in;
   }
   void shorten(FaultyCall call, std::uint32_t one_in) { plan_->rule(call).one_short_in = one_in; }
@@ -55,14 +56,14 @@
   [[nodiscard]] std::uint64_t calls(FaultyCall call) const { return plan_->rule(call).calls; }
   [[nodiscard]] std::uint64_t injected(FaultyCall call) const { return plan_->rule(call).injected; }
 
-  // For the program that is to suffer them. Where it is built with a sanitizer, that one's library has to
-  // bear another before it.
+  // The environment of the program under test. If it is built with AddressSanitizer, the sanitizer must
+  // accept that another library is loaded before its own.
   [[nodiscard]] std::map<std::string, std::string> environment() const {
     const char* sanitizer = std::getenv("ASAN_OPTIONS");
-    const std::string before = sanitizer != nullptr ? std::string(sanitizer) + ":" : "";
+    const std::string other_options = sanitizer != nullptr ? std::string(sanitizer) + ":" : "";
     return {{"LD_PRELOAD", BELLSTAIR_FAULT_LIBRARY},
             {kFaultPlanVariable, path_},
-            {"ASAN_OPTIONS", before + "verify_asan_link_order=0"}};
+            {"ASAN_OPTIONS", other_options + "verify_asan_link_order=0"}};
   }
 
  private:
--- a/tests/faults/last_version_test.cpp
+++ b/tests/faults/last_version_test.cpp
@@ -1,4 +1,4 @@
-// The file of the last version in force, on a disk that is full or fails.
+// Tests the file of the last active version on a disk that is full or fails.
 #include <gtest/gtest.h>
 
 #include "../processes/fleet.hpp"
@@ -7,7 +7,7 @@
 namespace bellstair::test {
 namespace {
 
-FleetOptions with_file(const Faults& faults) {
+FleetOptions options_with_file(const Faults& faults) {
   FleetOptions out;
   out.nodes = {{"c1", "north"}};
   out.brokers = 1;
@@ -22,7 +22,7 @@
   return out.str();
 }
 
-bool comes_to_hold(Fleet& fleet, const std::string& text) {
+bool wait_for_content(Fleet& fleet, const std::string& text) {
   const auto until = std::chrono::steady_clock::now() + kPatience;
   while (std::chrono::steady_clock::now() < until) {
     if (content(fleet).find(text) != std::string::npos) return true;
@@ -31,39 +31,39 @@
   return false;
 }
 
-// It was renamed with nothing synced: after a loss of power the name could stand for an empty file, and the
-// version before, which had been whole, was gone.
-TEST(LastVersion, IsSyncedWithItsFolderBeforeItCountsAsKept) {
+// The file was renamed without a sync: after a power failure it could be empty, and the previous complete
+// version was lost.
+TEST(LastVersion, SyncsFileAndDirectory) {
   Faults faults;
-  Fleet fleet(with_file(faults));
+  Fleet fleet(options_with_file(faults));
   fleet.connected(0);
   EXPECT_EQ(fleet.publish(tenant("beta")).code, 0);
-  ASSERT_TRUE(comes_to_hold(fleet, "beta"));
+  ASSERT_TRUE(wait_for_content(fleet, "beta"));
   const auto until = std::chrono::steady_clock::now() + kPatience;
   while (faults.calls(FaultyCall::sync) < 2 && std::chrono::steady_clock::now() < until)
     std::this_thread::sleep_for(5ms);
-  EXPECT_GE(faults.calls(FaultyCall::sync), 2U) << "the file, and the folder that names it";
+  EXPECT_GE(faults.calls(FaultyCall::sync), 2U) << "the file and its directory";
 }
 
-// It was told once as not kept, and forgotten: a restart much later went back to the version before.
-TEST(LastVersion, IsKeptOnceTheDiskTakesItAndTheOneBeforeStaysUntilThen) {
-  const std::vector<std::pair<FaultyCall, int>> disks{
+// A failed write was logged once and not retried: a restart much later went back to the previous version.
+TEST(LastVersion, RetriesFailedWriteAndKeepsPreviousVersion) {
+  const std::vector<std::pair<FaultyCall, int>> failures{
       {FaultyCall::write_file, ENOSPC}, {FaultyCall::sync, EIO}, {FaultyCall::rename, EIO}};
-  for (const auto& [call, error] : disks) {
+  for (const auto& [call, error] : failures) {
     SCOPED_TRACE(std::strerror(error));
     Faults faults;
-    Fleet fleet(with_file(faults));
+    Fleet fleet(options_with_file(faults));
     fleet.connected(0);
     EXPECT_EQ(fleet.publish(tenant("beta")).code, 0);
-    ASSERT_TRUE(comes_to_hold(fleet, "beta"));
+    ASSERT_TRUE(wait_for_content(fleet, "beta"));
     const auto before = content(fleet);
     faults.fail(call, 1, {error});
     EXPECT_EQ(fleet.publish(tenant("gamma")).code, 0);
     fleet.broker(0).said("is not persisted for a restart");
     EXPECT_EQ(content(fleet), before);
-    EXPECT_EQ(fleet.ask(0, "gamma"), "") << "it is in force all the same";
+    EXPECT_EQ(fleet.ask(0, "gamma"), "") << "the version is active although it is not persisted";
     faults.stop(call);
-    ASSERT_TRUE(comes_to_hold(fleet, "gamma"));
+    ASSERT_TRUE(wait_for_content(fleet, "gamma"));
     fleet.kill("c1");
     fleet.restart(std::size_t{0});
     EXPECT_EQ(fleet.ask(0, "gamma"), "");
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -1,4 +1,4 @@
-// A log that nobody reads holds up nothing.
+// Tests that a log that nobody reads does not block the program.
 #include <gtest/gtest.h>
 
 #include "../net/harness.hpp"
@@ -6,8 +6,8 @@
 namespace bellstair::test {
 namespace {
 
-// More lines than the system holds for a reader that does not come.
-void say_much(Broker& broker) {
+// Makes the broker log more lines than its pipe holds while nobody reads them.
+void fill_log_pipe(Broker& broker) {
   broker.program->stop_reading();
   for (int n = 0; n < 300; ++n) {
     broker.program->signal(SIGHUP);
@@ -15,11 +15,11 @@
   }
 }
 
-// Its lines were written from the loop, which stood still once the pipe was full.
-TEST(Log, WhileNobodyReadsItRequestsAreServedAndTheProgramEnds) {
+// Log lines were written by the event loop's thread, which blocked once the pipe was full.
+TEST(Log, UnreadLogBlocksNeitherRequestsNorShutdown) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
-  say_much(broker);
+  fill_log_pipe(broker);
   const auto from = std::chrono::steady_clock::now();
   Client client(broker.address);
   client.ask(1, "lookup", "SELECT a FROM sales_17.orders", {{"limit", 3000}});
--- a/tests/faults/requests.hpp
+++ b/tests/faults/requests.hpp
@@ -1,4 +1,4 @@
-// What the tests of faults ask brokers.
+// The statement and the tickets of requests in the fault tests.
 #pragma once
 
 #include <cstdio>
--- a/tests/faults/served.hpp
+++ b/tests/faults/served.hpp
@@ -1,4 +1,4 @@
-// A broker that suffers faults, with one engine that serves whatever it is asked.
+// A broker with injected faults and one engine that serves every request.
 #pragma once
 
 #include "../net/harness.hpp"
@@ -6,9 +6,9 @@
 
 namespace bellstair::test {
 
-struct Served {
-  // `row`: what the engine answers with.
-  explicit Served(const Faults& faults, std::string row = "x\ty\tz\n")
+struct BrokerWithEngine {
+  // `row`: the body of the engine's responses.
+  explicit BrokerWithEngine(const Faults& faults, std::string row = "x\ty\tz\n")
       : engine([row = std::move(row)](const Call& call) {
           return call.method == "DELETE" ? http(204) : rows(row);
         }),
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -1,4 +1,4 @@
-// A program that starts while the system is short of memory or descriptors for a moment.
+// Tests a start while the system is briefly short of memory or descriptors.
 #include <gtest/gtest.h>
 
 #include "../net/harness.hpp"
@@ -7,8 +7,9 @@
 namespace bellstair::test {
 namespace {
 
-// It gave up at the first failure, and a restart that met one was a broker that did not come back.
-TEST(StartFaults, AMomentaryFailureDoesNotKeepItFromListening) {
+// The program exited at the first failure of socket(), so that a restart during a shortage left no broker
+// running.
+TEST(StartFaults, ListensDespiteTransientSocketErrors) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Faults faults(seed);
     faults.fail(FaultyCall::socket, 2, {ENOMEM, ENOBUFS, ENFILE, EMFILE});
--- a/tests/faults/store_test.cpp
+++ b/tests/faults/store_test.cpp
@@ -1,4 +1,4 @@
-// The store of a control node on a disk that fails: what the operator is told of a version stays true.
+// Tests the store of a control node on a disk that fails: what a publication reports remains true.
 #include <gtest/gtest.h>
 
 #include "../processes/fleet.hpp"
@@ -7,11 +7,11 @@
 namespace bellstair::test {
 namespace {
 
-std::string numbered(int n) { return tenant("t" + std::to_string(n)); }
+std::string document_of(int n) { return tenant("t" + std::to_string(n)); }
 
-// A commit may fail after its point of no return, as when the folder cannot be synced: the version is there,
-// and its number is taken.
-TEST(StoreFaults, ALeaderWhoseDiskFailsForAWhileKeepsItsWordAndGoesOn) {
+// A commit may report an error after its version has been written, for example when the directory cannot be
+// synced. The version is then in the file and its number is taken.
+TEST(StoreFaults, LeaderContinuesAfterTransientDiskFailures) {
   Faults faults(3);
   FleetOptions options;
   options.nodes = {{"c1", "north"}};
@@ -19,29 +19,29 @@
   options.node_environment = faults.environment();
   Fleet fleet(options);
   fleet.all_connected();
-  ASSERT_EQ(fleet.publish(numbered(0)).place(), (VersionId{1, 1}));
+  ASSERT_EQ(fleet.publish(document_of(0)).place(), (VersionId{1, 1}));
   faults.fail(FaultyCall::sync, 4, {EIO, ENOSPC});
   VersionId last{1, 1};
   int rejected = 0;
   for (int n = 1; n <= 25; ++n) {
-    const auto ran = fleet.publish(numbered(n));
-    if (ran.code != 0) {
+    const auto result = fleet.publish(document_of(n));
+    if (result.code != 0) {
       ++rejected;
-      EXPECT_EQ(ran.err.find("UNIQUE"), std::string::npos) << ran;
+      EXPECT_EQ(result.err.find("UNIQUE"), std::string::npos) << result;
       continue;
     }
-    EXPECT_EQ(ran.place(), (VersionId{1, last.number + 1})) << "no number is used up by what is not kept";
-    last = ran.place();
+    EXPECT_EQ(result.place(), (VersionId{1, last.number + 1})) << "a rejected version uses up no number";
+    last = result.place();
   }
   faults.stop(FaultyCall::sync);
   EXPECT_GT(rejected, 3);
   EXPECT_GT(last.number, 3U);
-  const auto after = fleet.publish(numbered(99));
+  const auto after = fleet.publish(document_of(99));
   EXPECT_EQ(after.code, 0) << after;
   EXPECT_EQ(after.place(), (VersionId{1, last.number + 1}));
   fleet.restart("c1");
-  EXPECT_EQ(fleet.publish(numbered(100)).place(), (VersionId{1, last.number + 2}))
-      << "nothing was kept unsaid";
+  EXPECT_EQ(fleet.publish(document_of(100)).place(), (VersionId{1, last.number + 2}))
+      << "no version was committed without being reported";
 }
 
 }  // namespace
