--- a/src/app/socket_limits.hpp
+++ b/src/app/socket_limits.hpp
@@ -9,8 +9,8 @@
 inline constexpr std::size_t kReservedDescriptors = 48;
 inline constexpr std::size_t kMinEngineConnections = 8;
 
-// By the protocol (PROTOCOL) clients have at most a third of the descriptors open; a few more may connect
-// before others have closed.
+// The protocol (PROTOCOL) allows clients at most a third of the descriptors; a few more may connect before
+// others have disconnected.
 inline constexpr std::size_t kClientConnectionsAboveThird = 16;
 
 // Limit on client connections, for `descriptors` in the whole process.
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // Log lines were written by the event loop's thread, which blocked once the pipe was full.
-TEST(Log, UnreadLogBlocksNeitherRequestsNorShutdown) {
+TEST(Log, UnreadLogDoesNotBlockRequestsOrShutdown) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
   fill_log_pipe(broker);
--- a/tests/soak/client.cpp
+++ b/tests/soak/client.cpp
@@ -1,4 +1,5 @@
-// A stand-in client process: threads that ask brokers, and cancel, leave, dribble, flood and babble.
+// A stand-in client process: threads that send requests to brokers, and at times cancel them, disconnect,
+// send slowly, send bursts or send invalid input.
 #include <sys/socket.h>
 
 #include <atomic>
@@ -15,177 +16,181 @@
 using test::json;
 
 constexpr int kThreads = 4;
-constexpr int kMaxOnAConnection = 6;
-constexpr double kGraceMs = 3000;  // after a request's limit, until it counts as never answered
+constexpr int kMaxRoundsPerConnection = 6;
+constexpr double kAnswerTimeoutMs = 3000;  // after a request's limit, until it counts as unanswered
 const char* const kClasses[] = {"lookup", "lookup", "lookup", "load", "once"};
 
-class Asker {
+class ClientThread {
  public:
-  Asker(const std::vector<std::string>& brokers, std::uint64_t seed, double until)
-      : brokers_(brokers), random_(seed), seed_(seed), until_(until) {}
+  ClientThread(const std::vector<std::string>& brokers, std::uint64_t seed, double end_at)
+      : brokers_(brokers), random_(seed), seed_(seed), end_at_(end_at) {}
 
   void run() {
-    while (now_ms() < until_) {
+    while (now_ms() < end_at_) {
       try {
-        visit(brokers_[random_() % brokers_.size()]);
+        use_connection(brokers_[random_() % brokers_.size()]);
       } catch (const std::exception&) {
-        std::this_thread::sleep_for(20ms);  // that broker is down
+        std::this_thread::sleep_for(20ms);  // the broker is down
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(random_() % 60));
     }
   }
 
  private:
-  void visit(const std::string& broker) {
+  void use_connection(const std::string& broker) {
     auto socket = test::Socket::to(broker);
-    const timeval patience{0, 50'000};
-    ::setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-    open_.clear();
-    asked_ = 0;
+    const timeval receive_timeout{0, 50'000};
+    ::setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
+    pending_.clear();
+    requests_on_connection_ = 0;
     cancelled_.clear();
-    if (random_() % 8 == 0) return babble(socket);
-    const auto rounds = 1 + random_() % kMaxOnAConnection;
+    if (random_() % 8 == 0) return send_garbage(socket);
+    const auto rounds = 1 + random_() % kMaxRoundsPerConnection;
     for (unsigned n = 0; n < rounds; ++n) {
       const auto count = random_() % 10 == 0 ? 8U : 1U;
-      for (unsigned i = 0; i < count; ++i) ask(socket, broker);
-      if (misbehave(socket)) return;
+      for (unsigned i = 0; i < count; ++i) send_request(socket, broker);
+      if (disturb_connection(socket)) return;
       if (!read_all(socket)) return;
       std::this_thread::sleep_for(std::chrono::milliseconds(60 + random_() % 60));
     }
   }
 
-  void ask(test::Socket& socket, const std::string& broker) {
+  void send_request(test::Socket& socket, const std::string& broker) {
     char ticket[17];
     std::snprintf(ticket, sizeof ticket, "%08x%08x", static_cast<unsigned>(seed_),
-                  static_cast<unsigned>(++tickets_));
+                  static_cast<unsigned>(++ticket_count_));
     const std::string cls = kClasses[random_() % std::size(kClasses)];
     const int limit = 300 + static_cast<int>(random_() % 2200);
     json params{{"txn", ticket},
                 {"limit", limit},
                 {"team", "acme"},
                 {"data", platform::to_base64("SELECT a FROM sales_17.orders")}};
-    std::string key = "-";
+    std::string ordering_key = "-";
     if (cls == "load") {
       params["unique"] = std::string(ticket) + ticket;
-      key = std::string(ticket).substr(0, 8) + "00000001";  // of this thread
-      params["item"] = key;
+      ordering_key = std::string(ticket).substr(0, 8) + "00000001";  // one ordering key per thread
+      params["item"] = ordering_key;
     }
-    const auto id = ++asked_;
+    const auto id = ++requests_on_connection_;
     const auto line = json{{"jsonrpc", "2.0"}, {"id", id}, {"method", cls}, {"params", params}}.dump() + "\n";
-    const bool slowly = random_() % 20 == 0;
+    const bool slow = random_() % 20 == 0;
     const double before = now_ms();
-    if (slowly) {
+    if (slow) {
       socket.send(line.substr(0, 40));
       std::this_thread::sleep_for(30ms);
     }
-    if (!socket.send(slowly ? line.substr(40) : line)) throw std::runtime_error("it has closed");
-    open_[id] = {ticket, now_ms() + limit + kGraceMs};
-    record("ask", ticket, cls, key, limit, broker, id == 1 ? "first" : "later", slowly ? now_ms() : before);
+    if (!socket.send(slow ? line.substr(40) : line))
+      throw std::runtime_error("the broker has closed the connection");
+    pending_[id] = {ticket, now_ms() + limit + kAnswerTimeoutMs};
+    record("request", ticket, cls, ordering_key, limit, broker, id == 1 ? "first" : "later",
+           slow ? now_ms() : before);
   }
 
-  // True: this visit is over.
-  bool misbehave(test::Socket& socket) {
-    const auto what = random_() % 24;
-    if (what > 4) return false;
+  // Returns true if the connection is no longer used.
+  bool disturb_connection(test::Socket& socket) {
+    const auto action = random_() % 24;
+    if (action > 4) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(random_() % 80));
-    if (what == 0) {  // cancels one, and waits for the others
-      const auto id = open_.begin()->first;
+    if (action == 0) {  // cancels one request and waits for the others
+      const auto id = pending_.begin()->first;
       socket.send(json{{"jsonrpc", "2.0"}, {"method", "cancel"}, {"params", {{"id", id}}}}.dump() + "\n");
-      record("left", open_.begin()->second.ticket, now_ms());
+      record("left", pending_.begin()->second.ticket, now_ms());
       cancelled_.insert(id);
-      open_.erase(open_.begin());
+      pending_.erase(pending_.begin());
       return false;
     }
-    if (what == 1) {  // closes only its sending side
-      for (const auto& [id, open] : open_) record("half", open.ticket, now_ms());
+    if (action == 1) {  // closes only the sending side
+      for (const auto& [id, pending] : pending_) record("half_closed", pending.ticket, now_ms());
       ::shutdown(socket.fd(), SHUT_WR);
       read_all(socket);
       return true;
     }
-    if (what == 2) {  // useless lines, enough to be shown the door
-      std::string useless;
-      for (int n = 0; n < 80; ++n) useless += "no JSON\n";
-      socket.send(useless);
+    if (action == 2) {  // enough invalid lines for the broker to close the connection
+      std::string invalid_lines;
+      for (int n = 0; n < 80; ++n) invalid_lines += "no JSON\n";
+      socket.send(invalid_lines);
       read_all(socket);
       return true;
     }
-    for (const auto& [id, open] : open_) record("left", open.ticket, now_ms());
-    if (what == 3) socket.reset();
-    return true;  // or closes
+    for (const auto& [id, pending] : pending_) record("left", pending.ticket, now_ms());
+    if (action == 3) socket.reset();
+    return true;  // closes the connection
   }
 
-  void babble(test::Socket& socket) {
-    const auto what = random_() % 3;
-    if (what == 0) socket.send(R"({"jsonrpc":"2.0","id":1,"method":"look)");
-    if (what == 1) socket.send(std::string(300 * 1024, 'x'));
+  void send_garbage(test::Socket& socket) {
+    const auto action = random_() % 3;
+    if (action == 0) socket.send(R"({"jsonrpc":"2.0","id":1,"method":"look)");
+    if (action == 1) socket.send(std::string(300 * 1024, 'x'));
     std::this_thread::sleep_for(std::chrono::milliseconds(random_() % 400));
-    if (what == 2) socket.reset();
+    if (action == 2) socket.reset();
   }
 
-  // False: the connection has ended.
+  // Returns false if the connection has ended.
   bool read_all(test::Socket& socket) {
-    while (!open_.empty()) {
+    while (!pending_.empty()) {
       bool more = false;
       try {
         more = socket.more();
       } catch (const std::runtime_error&) {
-        more = true;  // nothing yet
+        more = true;  // no data yet
       }
-      take_lines(socket);
+      read_answers(socket);
       const double now = now_ms();
-      for (auto it = open_.begin(); it != open_.end();) {
-        const bool over = !more || now > it->second.until;
-        if (over) record("unanswered", it->second.ticket, now);
-        it = over ? open_.erase(it) : std::next(it);
+      for (auto it = pending_.begin(); it != pending_.end();) {
+        const bool unanswered = !more || now > it->second.wait_until;
+        if (unanswered) record("unanswered", it->second.ticket, now);
+        it = unanswered ? pending_.erase(it) : std::next(it);
       }
       if (!more) return false;
     }
     return true;
   }
 
-  void take_lines(test::Socket& socket) {
+  void read_answers(test::Socket& socket) {
     for (std::size_t end = 0; (end = socket.in.find('\n')) != std::string::npos;
          socket.in.erase(0, end + 1)) {
       const auto answer = json::parse(socket.in.substr(0, end), nullptr, false);
       if (!answer.is_object() || !answer.contains("id") || !answer["id"].is_number()) continue;
-      const auto found = open_.find(answer["id"].get<std::uint64_t>());
-      if (found == open_.end()) {
-        if (!cancelled_.contains(answer["id"].get<std::uint64_t>())) record("stray", answer.dump(), now_ms());
+      const auto found = pending_.find(answer["id"].get<std::uint64_t>());
+      if (found == pending_.end()) {
+        if (!cancelled_.contains(answer["id"].get<std::uint64_t>()))
+          record("unexpected_answer", answer.dump(), now_ms());
         continue;
       }
       const auto& ticket = found->second.ticket;
       if (answer.contains("result")) {
-        record("answer", ticket, "served", test::body(answer).find(ticket) == 0 ? "own" : "strange",
+        record("answer", ticket, "served", test::body(answer).find(ticket) == 0 ? "own" : "foreign",
                now_ms());
       } else {
-        record("answer", ticket, answer["error"]["code"] == -32066 ? "refused" : "failed", "own", now_ms());
+        record("answer", ticket, answer["error"]["code"] == -32066 ? "rejected" : "failed", "own", now_ms());
       }
-      open_.erase(found);
+      pending_.erase(found);
     }
   }
 
-  struct Open {
+  struct PendingRequest {
     std::string ticket;
-    double until = 0;
+    double wait_until = 0;
   };
   const std::vector<std::string>& brokers_;
   std::mt19937_64 random_;
   std::uint64_t seed_;
-  double until_;
-  std::map<std::uint64_t, Open> open_;
-  std::uint64_t asked_ = 0, tickets_ = 0;
+  double end_at_;
+  std::map<std::uint64_t, PendingRequest> pending_;
+  std::uint64_t requests_on_connection_ = 0, ticket_count_ = 0;
   std::set<std::uint64_t> cancelled_;
 };
 }  // namespace
 
 int run_client(const std::vector<std::string>& brokers, std::uint64_t seed, double seconds) {
-  const double until = now_ms() + seconds * 1000;
+  const double end_at = now_ms() + seconds * 1000;
   std::vector<std::thread> threads;
   for (std::uint64_t t = 0; t < kThreads; ++t) {
     threads.emplace_back([&, t] {
-      // One broker for each: requests of a key come to one broker while it is up.
-      const std::vector<std::string> own{brokers[(seed + t) % brokers.size()]};
-      Asker(own, seed * kThreads + t, until).run();
+      // Each thread uses one broker, so that the requests of an ordering key go to one broker while
+      // it runs.
+      const std::vector<std::string> own_broker{brokers[(seed + t) % brokers.size()]};
+      ClientThread(own_broker, seed * kThreads + t, end_at).run();
     });
   }
   for (auto& thread : threads) thread.join();
--- a/tests/soak/engine.cpp
+++ b/tests/soak/engine.cpp
@@ -1,4 +1,5 @@
-// A stand-in engine: runs statements for a drawn time, errs, sheds and breaks connections now and then.
+// A stand-in engine process: runs statements for a random time, and at times fails, sheds load and breaks
+// connections.
 #include <sys/socket.h>
 
 #include <map>
@@ -15,16 +16,16 @@
 using test::Call;
 using test::http;
 
-constexpr double kOrphanMs = 2000;  // a query that nobody asks for runs on for so long
-constexpr auto kHold = 250ms;       // a call for news is answered by then
-constexpr auto kLook = 4ms;
+constexpr double kOrphanTimeoutMs = 2000;  // a query that is no longer polled runs on for this long
+constexpr auto kLongPollTimeout = 250ms;   // the longest wait before a poll is answered
+constexpr auto kPollInterval = 4ms;
 
-enum class Fate { serve, fail, shed };
+enum class Outcome { serve, fail, shed };
 
 struct Query {
-  double until = 0, asked = 0;
-  bool over = false, deleted = false;
-  Fate fate = Fate::serve;
+  double ends_at = 0, last_polled_at = 0;
+  bool ended = false, deleted = false;
+  Outcome outcome = Outcome::serve;
 };
 
 class Engine {
@@ -40,29 +41,30 @@
       }
       const auto ticket = call.method == "POST" ? call.headers.at("X-Ticket") : call.path.substr(10, 16);
       if (call.method == "POST") start(ticket, call);
-      if (call.method == "POST" && drawn(50)) return socket.reset();  // it runs on
+      if (call.method == "POST" && draw_one_in(50)) return socket.reset();  // the query continues to run
       socket.send(answer(ticket, call));
     }
   }
 
-  void watch() {  // for ever
-    for (;; std::this_thread::sleep_for(kLook)) {
+  void end_queries() {  // never returns
+    for (;; std::this_thread::sleep_for(kPollInterval)) {
       const std::lock_guard lock(mutex_);
       const double now = now_ms();
       for (auto& [ticket, query] : queries_) {
-        if (!query.over && (now >= query.until || now > query.asked + kOrphanMs)) end(ticket, query);
+        if (!query.ended && (now >= query.ends_at || now > query.last_polled_at + kOrphanTimeoutMs))
+          end_query(ticket, query);
       }
     }
   }
 
  private:
-  bool drawn(int one_in) {
+  bool draw_one_in(int one_in) {
     const std::lock_guard lock(mutex_);
     return random_() % static_cast<unsigned>(one_in) == 0;
   }
-  void end(const std::string& ticket, Query& query) {
-    query.over = true;
-    record("end", name_, ticket, now_ms());
+  void end_query(const std::string& ticket, Query& query) {
+    query.ended = true;
+    record("attempt_end", name_, ticket, now_ms());
   }
 
   void start(const std::string& ticket, const Call& call) {
@@ -71,18 +73,19 @@
     const auto& cls = call.headers.at("X-Queue");
     if (random_() % 30 == 0) {
       record("shed", name_, ticket, now);
-      queries_[ticket] = {now, now, true, false, Fate::shed};
+      queries_[ticket] = {now, now, true, false, Outcome::shed};
       return;
     }
-    record("post", name_, ticket, cls, call.headers.at("X-Max-Ms"), now);
-    const double usual = cls == "lookup" ? 40 : 120;
-    const double took =
-        random_() % 40 == 0 ? 1200 : usual * (0.3 + static_cast<double>(random_() % 140) / 100);
-    queries_[ticket] = {now + took, now, false, false, random_() % 40 == 0 ? Fate::fail : Fate::serve};
+    record("attempt", name_, ticket, cls, call.headers.at("X-Max-Ms"), now);
+    const double typical_ms = cls == "lookup" ? 40 : 120;
+    const double duration_ms =
+        random_() % 40 == 0 ? 1200 : typical_ms * (0.3 + static_cast<double>(random_() % 140) / 100);
+    queries_[ticket] = {now + duration_ms, now, false, false,
+                        random_() % 40 == 0 ? Outcome::fail : Outcome::serve};
   }
 
   std::string answer(const std::string& ticket, const Call& call) {
-    const auto until = std::chrono::steady_clock::now() + kHold;
+    const auto deadline = std::chrono::steady_clock::now() + kLongPollTimeout;
     while (true) {
       {
         const std::lock_guard lock(mutex_);
@@ -90,21 +93,22 @@
         if (call.method == "PUT") return http(204);
         if (found == queries_.end()) return http(call.method == "DELETE" ? 204 : 500);
         auto& query = found->second;
-        query.asked = now_ms();
+        query.last_polled_at = now_ms();
         if (call.method == "DELETE") {
-          if (!query.over) end(ticket, query);
+          if (!query.ended) end_query(ticket, query);
           query.deleted = true;
           return http(204);
         }
-        if (query.fate == Fate::shed) return http(503, {}, "X-Shed: 1\r\n");
+        if (query.outcome == Outcome::shed) return http(503, {}, "X-Shed: 1\r\n");
         if (query.deleted) return http(500);
-        if (query.over) return query.fate == Fate::fail ? http(500, "drawn") : rows(ticket);
+        if (query.ended) return query.outcome == Outcome::fail ? http(500, "injected failure") : rows(ticket);
       }
-      if (std::chrono::steady_clock::now() >= until) return http(202);
-      std::this_thread::sleep_for(kLook);
+      if (std::chrono::steady_clock::now() >= deadline) return http(202);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
-  // The work told is far more than the time taken: a cold engine is filled with few such queries.
+  // The reported cost is far above the time taken, so that few such queries use up the slow start budget of
+  // an engine.
   static std::string rows(const std::string& ticket) {
     return http(200, ticket + "\tb\tc\n", "Result-Pages: 1\r\nQuery-Cost: 400\r\nQuery-Need: 8\r\n");
   }
@@ -120,9 +124,9 @@
   Engine engine(name, seed);
   const auto listening = net::listen_tcp(net::parse_address(address).value());
   if (!listening) return 1;
-  std::thread([&] { engine.watch(); }).detach();
+  std::thread([&] { engine.end_queries(); }).detach();
   ::fcntl(listening.get(), F_SETFL, 0);
-  record("up", name, now_ms());
+  record("ready", name, now_ms());
   while (true) {
     const int fd = ::accept4(listening.get(), nullptr, nullptr, SOCK_CLOEXEC);
     if (fd < 0) continue;
@@ -131,7 +135,7 @@
       try {
         engine.serve(socket);
       } catch (const std::exception&) {
-        // the other end is gone
+        // the peer has closed the connection
       }
     }).detach();
   }
--- a/tests/soak/judge.cpp
+++ b/tests/soak/judge.cpp
@@ -9,28 +9,29 @@
 
 namespace bellstair::soak {
 namespace {
-constexpr double kMachine = 150;       // ms: what a busy machine may add to any span
-constexpr double kAfterLeaving = 100;  // an attempt may begin so long after its client has gone
+// Durations in ms.
+constexpr double kMachineSlack = 150;     // what a busy machine may add to any duration
+constexpr double kAfterClientLeft = 100;  // an attempt may begin this long after its client has left
 constexpr double kDrainGrace = 500 + 50;
-constexpr double kDeadlineSlack = 150;  // of the deadline that an engine is told
-constexpr double kLateAnswer = 500;     // after its limit an answer earns nothing; later it is lost
-constexpr double kCrossing = 60;        // a request may cross the close of a resting connection
-constexpr double kComeAfterStop = 700;  // requests that come later after SIGTERM are nobody's fault
-constexpr double kMaxDelayOfNews = 7000;
-constexpr double kRecovery = 2000;     // after a change log that was out, until a broker asks it again
-constexpr double kLongestStop = 4500;  // from SIGTERM to the next process
-constexpr double kOrphan = 2000;       // a query that nobody asks for runs on for so long
-constexpr double kWindow = 15'000;     // in which engines drop repeats of a key
+constexpr double kDeadlineSlack = 150;    // added to the deadline that an engine receives
+constexpr double kLateAnswerGrace = 500;  // an answer may be this late, but has no value then
+constexpr double kCloseRace = 60;  // a request may be lost if its idle connection closes within this time
+constexpr double kServedAfterStop = 700;  // requests sent later than this after SIGTERM may stay unanswered
+constexpr double kMaxChangeLogDelay = 7000;
+constexpr double kChangeLogRecovery = 2000;  // from the end of a change log outage until a broker polls again
+constexpr double kMaxRestart = 4500;         // from SIGTERM to the next process
+constexpr double kOrphanTimeout = 2000;      // a query that is no longer polled runs on for this long
+constexpr double kDeduplicationWindow = 15'000;  // in which engines drop repeated requests of a key
 
 struct Attempt {
   std::string engine, cls;
-  double max_ms = 0, at = 0, end = kNever;
+  double max_ms = 0, began_at = 0, ended_at = kNever;
 };
 struct Request {
   std::string ticket, cls, key, broker;
-  double limit = 0, at = 0, left = kNever, half_closed = kNever, unanswered = kNever;
-  bool first = false;  // on its connection
-  std::vector<std::pair<std::string, double>> answers;
+  double limit = 0, sent_at = 0, left_at = kNever, half_closed_at = kNever, unanswered_at = kNever;
+  bool first_on_connection = false;
+  std::vector<std::pair<std::string, double>> answers;  // kind and time
   std::vector<Attempt> attempts;
 };
 
@@ -40,59 +41,60 @@
 
   void read(const std::vector<std::string>& records) {
     for (const auto& line : records) {
-      const auto words = names_of(line);
-      if (!words.empty()) take(words);
+      const auto words = split_words(line);
+      if (!words.empty()) add_record(words);
     }
   }
 
-  Verdicts check() {
+  Findings check() {
     for (auto& [ticket, request] : requests_) {
-      if (request.at == 0) continue;  // its client's line was lost with its process
+      if (request.sent_at == 0) continue;  // its record was lost with the client process
       check_answer(request);
       check_attempts(request);
     }
     check_order();
     check_engines();
-    out_.counts["requests"] = requests_.size();
-    return std::move(out_);
+    findings_.counts["requests"] = requests_.size();
+    return std::move(findings_);
   }
 
  private:
-  void take(const std::vector<std::string>& w) {
-    const auto number = [&](std::size_t i) { return std::stod(w.at(i)); };
-    if (w[0] == "ask") {
-      auto& r = requests_[w.at(1)];
-      r.ticket = w[1], r.cls = w.at(2), r.key = w.at(3), r.limit = number(4), r.broker = w.at(5);
-      r.first = w.at(6) == "first", r.at = number(7);
-    } else if (w[0] == "left") {
-      requests_[w.at(1)].left = number(2);
-    } else if (w[0] == "half") {
-      requests_[w.at(1)].half_closed = number(2);
-    } else if (w[0] == "answer") {
-      requests_[w.at(1)].answers.emplace_back(w.at(2), number(4));
-      ++out_.counts[w.at(2)];
-      if (w.at(3) != "own") broken("strange answer", w[1]);
-    } else if (w[0] == "unanswered") {
-      requests_[w.at(1)].unanswered = number(2);
-    } else if (w[0] == "stray") {
-      broken("second answer", w.at(1));
-    } else if (w[0] == "post") {
-      ++out_.counts["attempts"];
-      auto& r = requests_[w.at(2)];
-      r.attempts.push_back({w.at(1), w.at(3), number(4), number(5), kNever});
-      posts_[w.at(1)].push_back(number(5));
-    } else if (w[0] == "end") {
-      for (auto& attempt : requests_[w.at(2)].attempts)
-        if (attempt.engine == w.at(1)) attempt.end = std::min(attempt.end, number(3));
+  void add_record(const std::vector<std::string>& words) {
+    const auto number = [&](std::size_t i) { return std::stod(words.at(i)); };
+    if (words[0] == "request") {
+      auto& request = requests_[words.at(1)];
+      request.ticket = words[1], request.cls = words.at(2), request.key = words.at(3),
+      request.limit = number(4), request.broker = words.at(5);
+      request.first_on_connection = words.at(6) == "first", request.sent_at = number(7);
+    } else if (words[0] == "left") {
+      requests_[words.at(1)].left_at = number(2);
+    } else if (words[0] == "half_closed") {
+      requests_[words.at(1)].half_closed_at = number(2);
+    } else if (words[0] == "answer") {
+      requests_[words.at(1)].answers.emplace_back(words.at(2), number(4));
+      ++findings_.counts[words.at(2)];
+      if (words.at(3) != "own") report_violation("answer to another request", words[1]);
+    } else if (words[0] == "unanswered") {
+      requests_[words.at(1)].unanswered_at = number(2);
+    } else if (words[0] == "unexpected_answer") {
+      report_violation("second answer", words.at(1));
+    } else if (words[0] == "attempt") {
+      ++findings_.counts["attempts"];
+      auto& request = requests_[words.at(2)];
+      request.attempts.push_back({words.at(1), words.at(3), number(4), number(5), kNever});
+      attempt_times_[words.at(1)].push_back(number(5));
+    } else if (words[0] == "attempt_end") {
+      for (auto& attempt : requests_[words.at(2)].attempts)
+        if (attempt.engine == words.at(1)) attempt.ended_at = std::min(attempt.ended_at, number(3));
     }
   }
 
   template <class... Parts>
-  void broken(const std::string& rule, const std::string& who, const Parts&... parts) {
+  void report_violation(const std::string& rule, const std::string& subject, const Parts&... parts) {
     std::ostringstream line;
-    line << rule << ": " << who;
+    line << rule << ": " << subject;
     ((line << ' ' << parts), ...);
-    out_.broken.push_back(std::move(line).str());
+    findings_.violations.push_back(std::move(line).str());
   }
 
   [[nodiscard]] const History::Engine& engine(const std::string& name) const {
@@ -100,92 +102,111 @@
     const auto found = history_.engines.find(name);
     return found == history_.engines.end() ? kNothing : found->second;
   }
-  // What the engine told then may have happened earlier.
-  [[nodiscard]] bool unsure(const Attempt& attempt) const {
-    const auto& stopped = engine(attempt.engine).stopped;
-    return std::ranges::any_of(stopped, [&](const Span& span) {
-      return attempt.at >= span.from && attempt.at <= span.to + 2 * kMachine;
+  // Whether the engine was stopped around the attempt, so that it may have recorded events later than they
+  // happened.
+  [[nodiscard]] bool is_uncertain(const Attempt& attempt) const {
+    const auto& pauses = engine(attempt.engine).pauses;
+    return std::ranges::any_of(pauses, [&](const Span& span) {
+      return attempt.began_at >= span.from && attempt.began_at <= span.to + 2 * kMachineSlack;
     });
   }
-  // An engine that does not run hears of nobody: by the protocol a query there is over 2 s after it was last
-  // asked for, whatever the engine tells once it runs again.
-  [[nodiscard]] double end_of(const Attempt& attempt) const {
-    double end = std::min(attempt.end, engine(attempt.engine).killed);
-    for (const auto& span : engine(attempt.engine).stopped) {
-      if (attempt.at < span.to && end > span.from)
-        end = std::min(end, std::max(attempt.at, span.from) + kOrphan);
+  // A stopped engine receives no polls. By the protocol its queries end 2 s after they were last polled,
+  // whatever the engine records once it runs again.
+  [[nodiscard]] double end_time(const Attempt& attempt) const {
+    double end = std::min(attempt.ended_at, engine(attempt.engine).killed_at);
+    for (const auto& span : engine(attempt.engine).pauses) {
+      if (attempt.began_at < span.to && end > span.from)
+        end = std::min(end, std::max(attempt.began_at, span.from) + kOrphanTimeout);
     }
     return end;
   }
 
-  void check_answer(const Request& r) {
-    if (r.answers.size() > 1) broken("second answer", r.ticket);
-    for (const auto& [kind, at] : r.answers) {
-      const double due = r.at + r.limit + kLateAnswer;
-      if (at > due + kMachine && !stalled(r.broker, due, at)) broken("late", r.ticket, at - r.at - r.limit);
-      const auto ran = [&, answered = at](const Attempt& a) { return a.at < answered; };
-      if (kind == "refused" && r.cls == "once" && std::ranges::any_of(r.attempts, ran))
-        broken("refused though it may have run", r.ticket);
+  void check_answer(const Request& request) {
+    if (request.answers.size() > 1) report_violation("second answer", request.ticket);
+    for (const auto& [kind, at] : request.answers) {
+      const double due = request.sent_at + request.limit + kLateAnswerGrace;
+      if (at > due + kMachineSlack && !was_stalled(request.broker, due, at))
+        report_violation("late answer", request.ticket, at - request.sent_at - request.limit);
+      const auto began_before_answer = [&, answered = at](const Attempt& attempt) {
+        return attempt.began_at < answered;
+      };
+      if (kind == "rejected" && request.cls == "once" &&
+          std::ranges::any_of(request.attempts, began_before_answer))
+        report_violation("rejected though it may have run", request.ticket);
     }
-    if (!r.answers.empty() || r.left < kNever || r.unanswered == kNever || excused(r)) return;
-    broken("lost", r.ticket, r.cls, "of", r.broker, "asked at", r.at, "unanswered at", r.unanswered,
-           r.first ? "first" : "later");
+    if (!request.answers.empty() || request.left_at < kNever || request.unanswered_at == kNever ||
+        is_excused(request))
+      return;
+    report_violation("unanswered request", request.ticket, request.cls, "to", request.broker, "sent at",
+                     request.sent_at, "unanswered at", request.unanswered_at,
+                     request.first_on_connection ? "first on its connection" : "later on its connection");
   }
 
-  // Whether the broker did not run when that was due, and came to it as soon as it did.
-  [[nodiscard]] bool stalled(const std::string& broker, double due, double done) const {
+  // Whether the broker was stopped when the answer was due and sent it soon after it ran again.
+  [[nodiscard]] bool was_stalled(const std::string& broker, double due, double done) const {
     const auto found = history_.brokers.find(broker);
     if (found == history_.brokers.end()) return false;
     double latest = due;
-    for (const auto& span : found->second.stalled) {
-      if (latest >= span.from && latest <= span.to) latest = span.to + 2 * kMachine;
+    for (const auto& span : found->second.stalls) {
+      if (latest >= span.from && latest <= span.to) latest = span.to + 2 * kMachineSlack;
     }
     return done <= latest;
   }
 
-  // What the change log has to tell counts as told so much later at the most, where it could not be asked.
-  [[nodiscard]] double delay_of_news(const std::string& broker, double told) const {
+  // Returns how much later than `announced_at` the broker may receive a change, if it could not poll the
+  // change log then.
+  [[nodiscard]] double change_log_delay(const std::string& broker, double announced_at) const {
     const auto found = history_.brokers.find(broker);
     if (found == history_.brokers.end()) return 0;
-    const auto& out = found->second.change_log_out;
-    const bool asked_in_vain = std::ranges::any_of(out, [told](const Span& span) {
-      return span.from <= told + kRecovery && span.to + kRecovery >= told;
+    const auto& outages = found->second.change_log_outages;
+    const bool polled_in_outage = std::ranges::any_of(outages, [announced_at](const Span& span) {
+      return span.from <= announced_at + kChangeLogRecovery && span.to + kChangeLogRecovery >= announced_at;
     });
-    return asked_in_vain ? kMaxDelayOfNews : 0;
+    return polled_in_outage ? kMaxChangeLogDelay : 0;
   }
 
-  [[nodiscard]] bool excused(const Request& r) const {
-    const auto found = history_.brokers.find(r.broker);
+  [[nodiscard]] bool is_excused(const Request& request) const {
+    const auto found = history_.brokers.find(request.broker);
     if (found == history_.brokers.end()) return false;
-    for (const double at : found->second.killed)
-      if (at >= r.at - kMachine && at <= r.unanswered + kMachine) return true;
-    for (const double at : found->second.told_to_stop)
-      if (r.at > at + kComeAfterStop && r.at < at + 5000) return true;
-    return !r.first && r.unanswered - r.at < kCrossing;
+    for (const double at : found->second.killed_at)
+      if (at >= request.sent_at - kMachineSlack && at <= request.unanswered_at + kMachineSlack) return true;
+    for (const double at : found->second.stop_requested_at)
+      if (request.sent_at > at + kServedAfterStop && request.sent_at < at + 5000) return true;
+    return !request.first_on_connection && request.unanswered_at - request.sent_at < kCloseRace;
   }
 
-  void check_attempts(const Request& r) {
-    auto attempts = r.attempts;
-    std::ranges::sort(attempts, {}, &Attempt::at);
+  void check_attempts(const Request& request) {
+    auto attempts = request.attempts;
+    std::ranges::sort(attempts, {}, &Attempt::began_at);
     for (std::size_t i = 0; i < attempts.size(); ++i) {
-      const auto& a = attempts[i];
-      if (i > 0 && a.cls == "once")
-        broken("unsafe to repeat, and sent again", r.ticket, a.at - attempts[0].at);
-      if (i > 0 && a.cls == "load" && a.at > attempts[0].at + kWindow + kMachine)
-        broken("repeated after its window", r.ticket);
-      if (unsure(a)) continue;
-      if (i > 0 && a.at + kMachine < end_of(attempts[i - 1])) broken("two attempts at once", r.ticket);
-      if (a.at > std::min(r.left, r.half_closed) + kAfterLeaving + kMachine)
-        broken("begun for a client that had gone", r.ticket, a.at - r.left);
-      if (a.max_ms > r.limit - (a.at - r.at) + kDeadlineSlack + kMachine)
-        broken("told a deadline beyond its client's", r.ticket, a.max_ms, r.limit - (a.at - r.at));
-      const double told = engine(a.engine).told_draining;
-      if (a.at > told + kDrainGrace + kMachine + delay_of_news(r.broker, told))
-        broken("sent to an engine that drains", r.ticket, a.engine, a.at - engine(a.engine).told_draining);
+      const auto& attempt = attempts[i];
+      if (i > 0 && attempt.cls == "once")
+        report_violation("unsafe request sent again", request.ticket,
+                         attempt.began_at - attempts[0].began_at);
+      if (i > 0 && attempt.cls == "load" &&
+          attempt.began_at > attempts[0].began_at + kDeduplicationWindow + kMachineSlack)
+        report_violation("repeated after its deduplication window", request.ticket);
+      if (is_uncertain(attempt)) continue;
+      if (i > 0 && attempt.began_at + kMachineSlack < end_time(attempts[i - 1]))
+        report_violation("two attempts of a request at once", request.ticket);
+      if (attempt.began_at >
+          std::min(request.left_at, request.half_closed_at) + kAfterClientLeft + kMachineSlack)
+        report_violation("attempt begun after its client had left", request.ticket,
+                         attempt.began_at - request.left_at);
+      if (attempt.max_ms >
+          request.limit - (attempt.began_at - request.sent_at) + kDeadlineSlack + kMachineSlack)
+        report_violation("engine deadline beyond the client's", request.ticket, attempt.max_ms,
+                         request.limit - (attempt.began_at - request.sent_at));
+      const double drain_announced_at = engine(attempt.engine).drain_announced_at;
+      if (attempt.began_at > drain_announced_at + kDrainGrace + kMachineSlack +
+                                 change_log_delay(request.broker, drain_announced_at))
+        report_violation("sent to a draining engine", request.ticket, attempt.engine,
+                         attempt.began_at - engine(attempt.engine).drain_announced_at);
     }
   }
 
-  // Requests of a key run one at a time. A broker that was killed knows nothing of what it had sent.
+  // Requests with the same ordering key run one at a time, except across the restart of a broker, which loses
+  // its state.
   void check_order() {
     std::map<std::string, std::vector<std::pair<const Request*, const Attempt*>>> by_key;
     for (const auto& [ticket, request] : requests_) {
@@ -193,33 +214,35 @@
       for (const auto& attempt : request.attempts) by_key[request.key].emplace_back(&request, &attempt);
     }
     for (auto& [key, runs] : by_key) {
-      std::ranges::sort(runs, {}, [](const auto& run) { return run.second->at; });
+      std::ranges::sort(runs, {}, [](const auto& run) { return run.second->began_at; });
       for (std::size_t i = 1; i < runs.size(); ++i) {
         const auto& [before, earlier] = runs[i - 1];
         const auto& [after, later] = runs[i];
-        if (before == after || unsure(*later) || unsure(*earlier) || restarted(*before, later->at)) continue;
-        if (later->at + kMachine < end_of(*earlier))
-          broken("two of a key at once", after->ticket, "beside", before->ticket);
+        if (before == after || is_uncertain(*later) || is_uncertain(*earlier) ||
+            was_restarted(*before, later->began_at))
+          continue;
+        if (later->began_at + kMachineSlack < end_time(*earlier))
+          report_violation("two requests of an ordering key at once", after->ticket, "with", before->ticket);
       }
     }
   }
-  [[nodiscard]] bool restarted(const Request& before, double until) const {
+  [[nodiscard]] bool was_restarted(const Request& before, double until) const {
     const auto found = history_.brokers.find(before.broker);
     if (found == history_.brokers.end()) return false;
-    const auto between = [&](double at) { return at >= before.at - kMachine && at <= until; };
-    // Requests are taken after SIGTERM too, and the next process knows nothing of them.
-    const auto stopped = [&](double at) { return at >= before.at - kLongestStop && at <= until; };
-    return std::ranges::any_of(found->second.killed, between) ||
-           std::ranges::any_of(found->second.told_to_stop, stopped);
+    const auto between = [&](double at) { return at >= before.sent_at - kMachineSlack && at <= until; };
+    // Requests are accepted after SIGTERM too, and the next process has no state of them.
+    const auto stopped = [&](double at) { return at >= before.sent_at - kMaxRestart && at <= until; };
+    return std::ranges::any_of(found->second.killed_at, between) ||
+           std::ranges::any_of(found->second.stop_requested_at, stopped);
   }
 
-  // What an engine got in a window, as BROKER@TIME(CLASS).
-  [[nodiscard]] std::string senders(const std::string& engine, double from, double length) const {
+  // Lists the attempts that an engine received in a window, as BROKER@TIME(CLASS).
+  [[nodiscard]] std::string list_attempts(const std::string& engine, double from, double length) const {
     std::vector<std::tuple<double, std::string, std::string>> sent;
     for (const auto& [ticket, request] : requests_) {
-      for (const auto& a : request.attempts)
-        if (a.engine == engine && a.at >= from && a.at < from + length)
-          sent.emplace_back(a.at, request.broker, request.cls);
+      for (const auto& attempt : request.attempts)
+        if (attempt.engine == engine && attempt.began_at >= from && attempt.began_at < from + length)
+          sent.emplace_back(attempt.began_at, request.broker, request.cls);
     }
     std::ranges::sort(sent);
     std::ostringstream out;
@@ -229,20 +252,23 @@
   }
 
   void check_engines() {
-    for (auto& [name, posts] : posts_) {
-      const auto began = engine(name).began;
-      if (!began || !engine(name).stopped.empty()) continue;
-      std::ranges::sort(posts);
-      for (std::size_t i = 0; i < posts.size(); ++i) {
-        const double age = std::clamp((posts[i] - *began) / slow_start_.ramp_ms, 0.0, 1.0);
-        if (posts[i] + slow_start_.window_ms > *began + slow_start_.ramp_ms)
-          break;  // it is warm within this one
-        const double n = slow_start_.budget * (slow_start_.from + (1 - slow_start_.from) * age);
-        const double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
-        const auto end = std::ranges::lower_bound(posts, posts[i] + slow_start_.window_ms);
-        const auto count = static_cast<double>(end - posts.begin()) - static_cast<double>(i);
-        if (count <= most) continue;
-        broken("slow start", name, count, "of", most, "by", senders(name, posts[i], slow_start_.window_ms));
+    for (auto& [name, times] : attempt_times_) {
+      const auto announced_at = engine(name).announced_at;
+      if (!announced_at || !engine(name).pauses.empty()) continue;
+      std::ranges::sort(times);
+      for (std::size_t i = 0; i < times.size(); ++i) {
+        const double age = std::clamp((times[i] - *announced_at) / slow_start_.duration_ms, 0.0, 1.0);
+        if (times[i] + slow_start_.window_ms > *announced_at + slow_start_.duration_ms)
+          break;  // slow start ends within this window
+        const double expected =
+            slow_start_.budget * (slow_start_.initial_capacity + (1 - slow_start_.initial_capacity) * age);
+        const double max_count =
+            expected < 30 ? expected + 3 * std::sqrt(expected) + 3 : expected + 2 * std::sqrt(expected) + 2;
+        const auto end = std::ranges::lower_bound(times, times[i] + slow_start_.window_ms);
+        const auto count = static_cast<double>(end - times.begin()) - static_cast<double>(i);
+        if (count <= max_count) continue;
+        report_violation("slow start exceeded", name, count, "queries, at most", max_count, "from",
+                         list_attempts(name, times[i], slow_start_.window_ms));
         break;
       }
     }
@@ -250,13 +276,13 @@
 
   const History& history_;
   const SlowStart& slow_start_;
-  Verdicts out_;
+  Findings findings_;
   std::map<std::string, Request> requests_;
-  std::map<std::string, std::vector<double>> posts_;  // by engine
+  std::map<std::string, std::vector<double>> attempt_times_;  // by engine
 };
 }  // namespace
 
-Verdicts judge(const std::vector<std::string>& records, const History& history, const SlowStart& slow_start) {
+Findings judge(const std::vector<std::string>& records, const History& history, const SlowStart& slow_start) {
   Judge judge(history, slow_start);
   judge.read(records);
   return judge.check();
--- a/tests/soak/judge.hpp
+++ b/tests/soak/judge.hpp
@@ -1,4 +1,4 @@
-// Holds what the stand-ins told against the protocol's rules.
+// Checks the records of the soak test's stand-ins against the rules of the protocol.
 #pragma once
 
 #include <limits>
@@ -15,33 +15,33 @@
   double from = 0, to = kNever;
 };
 
-// What was done to the processes, by the one who did it; times in ms of the steady clock.
+// The faults that the soak test has injected into the processes; times in ms of the steady clock.
 struct History {
   struct Broker {
-    std::vector<double> killed, told_to_stop;
-    std::vector<Span> change_log_out, stalled;
+    std::vector<double> killed_at, stop_requested_at;
+    std::vector<Span> change_log_outages, stalls;
   };
   struct Engine {
-    double told_draining = kNever, killed = kNever;
-    std::optional<double> began;  // told as a newcomer then
-    std::vector<Span> stopped;    // it did not run: what it tells is later than what happened
+    double drain_announced_at = kNever, killed_at = kNever;
+    std::optional<double> announced_at;  // as a new engine
+    std::vector<Span> pauses;            // the process was stopped: its records are later than the events
   };
   std::map<std::string, Broker> brokers;  // by address
   std::map<std::string, Engine> engines;  // by name
 };
 
-// What slow start allows in the stand-ins' settings.
+// Limits of slow start with the settings of the soak test.
 struct SlowStart {
-  double budget = 0;  // queries in a window, of an engine that has just begun
-  double from = 1, ramp_ms = 0, window_ms = 1000;
+  double budget = 0;  // queries per window at full capacity
+  double initial_capacity = 1, duration_ms = 0, window_ms = 1000;
 };
 
-struct Verdicts {
-  std::vector<std::string> broken;  // a line each
+struct Findings {
+  std::vector<std::string> violations;  // one line each
   std::map<std::string, std::size_t> counts;
 };
 
-[[nodiscard]] Verdicts judge(const std::vector<std::string>& records, const History& history,
+[[nodiscard]] Findings judge(const std::vector<std::string>& records, const History& history,
                              const SlowStart& slow_start);
 
 }  // namespace bellstair::soak
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,6 +1,6 @@
-// The soak test: brokers, engines and clients as real processes on loopback, with seeded troubles that
-// overlap, judged by the protocol's rules. `soak --seed N --seconds S [--brokers B] [--engines E] [--clients
-// C]`.
+// The soak test: runs brokers, engines and clients as real processes on loopback addresses, injects
+// overlapping faults chosen by a seed, and checks the records of all processes against the rules of the
+// protocol. `soak --seed N --seconds S [--brokers B] [--engines E] [--clients C] [--troubles NAME,NAME]`.
 #include <sys/prctl.h>
 #include <sys/resource.h>
 
@@ -21,25 +21,25 @@
 using namespace std::chrono_literals;
 using test::json;
 
-constexpr double kCores = 1,  // an engine: few enough for queries to queue
-    kColdFrom = 0.33, kRampMs = 15'000, kTipMultiple = 2.5, kFullCapacity = 0.85;
-constexpr std::size_t kLinesToLookAt = 2000;  // of a log, for those of one request
-constexpr std::ptrdiff_t kLinesBefore = 60;   // of a log, before a violation
-constexpr std::size_t kMaxTold = 20;          // broken rules of which all is told
-constexpr double kWorkSeconds = 0.4;          // of a query, as stand-in engines tell it
+constexpr double kCores = 1,  // per engine: few enough for queries to queue
+    kInitialCapacity = 0.33, kSlowStartMs = 15'000, kOverloadFactor = 2.5, kFullCapacity = 0.85;
+constexpr std::size_t kMaxRequestLines = 2000;        // log lines searched for those of one request
+constexpr std::ptrdiff_t kLinesBeforeViolation = 60;  // log lines printed before a violation
+constexpr std::size_t kMaxDetailedViolations = 20;  // violations that are printed with records and log lines
+constexpr double kQueryWorkSeconds = 0.4;           // work of a query, as the stand-in engines report it
 
-// A process of this program's own, and the lines it writes.
+// A child process that runs this program as an engine or a client, and collects the lines that it writes.
 class StandIn {
  public:
   StandIn(const std::vector<std::string>& arguments, test::Log<std::string>& records) {
     int out[2];
-    if (::pipe2(out, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    if (::pipe2(out, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
     std::vector<char*> argv{const_cast<char*>("soak")};
     for (const auto& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
     argv.push_back(nullptr);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a soak that is ended by a signal leaves nothing behind
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no process remains if the soak test is killed
       ::dup2(out[1], STDOUT_FILENO);
       ::execv("/proc/self/exe", argv.data());
       ::_exit(127);
@@ -47,12 +47,13 @@
     ::close(out[1]);
     reader_ = std::thread([fd = out[0], &records] {
       const net::Fd owner(fd);
-      std::string rest;
+      std::string unparsed;
       char buffer[65536];
-      for (ssize_t got = 0; (got = ::read(fd, buffer, sizeof buffer)) > 0;) {
-        rest.append(buffer, static_cast<std::size_t>(got));
-        for (std::size_t end = 0; (end = rest.find('\n')) != std::string::npos; rest.erase(0, end + 1))
-          records.add(rest.substr(0, end));
+      for (ssize_t count = 0; (count = ::read(fd, buffer, sizeof buffer)) > 0;) {
+        unparsed.append(buffer, static_cast<std::size_t>(count));
+        for (std::size_t end = 0; (end = unparsed.find('\n')) != std::string::npos;
+             unparsed.erase(0, end + 1))
+          records.add(unparsed.substr(0, end));
       }
     });
   }
@@ -77,7 +78,7 @@
   std::uint64_t seed = 1;
   double seconds = 20;
   std::size_t brokers = 8, engines = 12, clients = 10;
-  std::set<std::string> troubles;  // those to be made; none: all
+  std::set<std::string> faults;  // names of the faults to inject; empty: all
 };
 
 class Soak {
@@ -85,7 +86,7 @@
   explicit Soak(const Options& options) : options_(options), random_(options.seed) {
     network_.place("changes", changes_.address());
     for (std::size_t i = 0; i < options_.engines; ++i) add_engine(false);
-    tell_engines(true);
+    announce_engines(true);
     for (std::size_t i = 0; i < options_.brokers; ++i) {
       auto& broker = brokers_.emplace_back(std::make_unique<Broker>(options_.seed * 100 + i));
       broker->name = "n" + std::to_string(i);
@@ -104,10 +105,10 @@
     const double until = now_ms() + options_.seconds * 1000;
     while (now_ms() < until) {
       std::this_thread::sleep_for(std::chrono::milliseconds(50 + draw(500)));
-      do_what_is_due();
-      if (now_ms() < until - 3000) make_trouble();
+      run_due_actions();
+      if (now_ms() < until - 3000) inject_fault();
     }
-    for (auto& [at, what] : std::exchange(later_, {})) what();
+    for (auto& [at, action] : std::exchange(scheduled_, {})) action();
     for (auto& client : clients) client->wait();
     stop_brokers();
     return report();
@@ -115,10 +116,10 @@
 
  private:
   struct Broker {
-    explicit Broker(std::uint64_t seed) : faults(seed) {}
+    explicit Broker(std::uint64_t seed) : call_faults(seed) {}
     std::string name;
     test::Reserved reserved;
-    test::Faults faults;
+    test::Faults call_faults;
     std::unique_ptr<test::Program> program;
     bool down = false;
   };
@@ -126,20 +127,24 @@
     std::string name;
     test::Reserved reserved;
     std::unique_ptr<StandIn> process;
-    bool usable = true;  // in service, and not under another trouble
+    bool usable = true;  // in service and not affected by another fault
     std::int64_t started_ms = 0;
   };
 
   std::uint64_t draw(std::uint64_t below) { return random_() % below; }
-  void after(double ms, std::function<void()> what) { later_.emplace(now_ms() + ms, std::move(what)); }
-  void do_what_is_due() {
-    while (!later_.empty() && later_.begin()->first <= now_ms()) {
-      const auto what = std::move(later_.begin()->second);
-      later_.erase(later_.begin());
-      what();
+  void schedule(double ms, std::function<void()> action) {
+    scheduled_.emplace(now_ms() + ms, std::move(action));
+  }
+  void run_due_actions() {
+    while (!scheduled_.empty() && scheduled_.begin()->first <= now_ms()) {
+      const auto action = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
+      action();
     }
   }
-  void say(const std::string& what) { troubles_.push_back(std::to_string(now_ms()) + " " + what); }
+  void log_fault(const std::string& description) {
+    fault_log_.push_back(std::to_string(now_ms()) + " " + description);
+  }
 
   // ---- processes
   static json settings(std::size_t me, std::size_t all) {
@@ -149,9 +154,9 @@
     out["ceilings"]["dial-timeout"] = 250'000'000;
     out["ceilings"]["idle-close"] = 4'000'000'000;
     out["family-info"]["cpu-of-kind"] = {kCores};
-    out["safety"]["tip-multiple"] = kTipMultiple;
+    out["safety"]["tip-multiple"] = kOverloadFactor;
     out["safety"]["fall"] = 1'000'000'000;
-    out["safety"]["cold-from"] = kColdFrom;
+    out["safety"]["cold-from"] = kInitialCapacity;
     out["safety"]["ramp-time"] = 15'000'000'000;
     return out;
   }
@@ -167,15 +172,15 @@
     const bool faulty = number % 2 == 1;
     broker.program = std::make_unique<test::Program>(
         std::vector<std::string>{"serve", "--config", file, "--log-level", "debug"},
-        faulty ? broker.faults.environment() : std::map<std::string, std::string>{});
+        faulty ? broker.call_faults.environment() : std::map<std::string, std::string>{});
     try {
       broker.program->said("phase: serving");
     } catch (const std::exception& error) {
-      broken_.push_back(broker.name + " did not start: " + error.what());
+      violations_.push_back(broker.name + " did not start: " + error.what());
     }
     broker.down = false;
   }
-  void add_engine(bool newcomer) {
+  void add_engine(bool announce) {
     auto engine = std::make_shared<Engine>();
     char name[16];
     std::snprintf(name, sizeof name, "s-%08zx", engines_.size() + 1);
@@ -184,14 +189,15 @@
         std::vector<std::string>{"engine", name, engine->reserved.address,
                                  std::to_string(options_.seed * 10'000 + engines_.size())},
         records_);
-    records_.wait([up = "up " + engine->name + " "](const std::string& line) { return line.find(up) == 0; });
+    records_.wait(
+        [ready = "ready " + engine->name + " "](const std::string& line) { return line.find(ready) == 0; });
     network_.place(engine->name, engine->reserved.address);
     engines_.push_back(engine);
-    if (!newcomer) return;
+    if (!announce) return;
     engine->started_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                              std::chrono::system_clock::now().time_since_epoch())
                              .count();
-    history_.engines[engine->name].began = now_ms();
+    history_.engines[engine->name].announced_at = now_ms();
     changes_.push({entry(*engine, "in_service")});
   }
   json entry(const Engine& engine, const char* state) {
@@ -199,45 +205,45 @@
     out["started_ms"] = engine.started_ms;
     return out;
   }
-  void tell_engines(bool full) {
+  void announce_engines(bool full) {
     json all = json::array();
     for (const auto& engine : engines_) all.push_back(entry(*engine, "in_service"));
     changes_.push(std::move(all), full);
   }
 
-  // ---- troubles
-  struct Trouble {
+  // ---- faults
+  struct Fault {
     const char* name;
-    void (Soak::*make)();
+    void (Soak::*inject)();
   };
-  void make_trouble() {
-    static const Trouble kTroubles[] = {{"restart", &Soak::restart_broker},
-                                        {"kill", &Soak::kill_broker},
-                                        {"reload", &Soak::reload},
-                                        {"replace", &Soak::replace_engine},
-                                        {"drain", &Soak::drain_engine},
-                                        {"hang", &Soak::stop_engine},
-                                        {"reset", &Soak::reset_links},
-                                        {"cut", &Soak::cut_link},
-                                        {"cut-log", &Soak::cut_change_log},
-                                        {"clock", &Soak::step_clock},
-                                        {"calls", &Soak::fail_calls},
-                                        {"calls", &Soak::fail_calls},
-                                        {"hold-log", &Soak::hold_change_log},
-                                        {"stall", &Soak::stall_broker},
-                                        {"stall-restart", &Soak::restart_stalled_broker}};
-    std::vector<const Trouble*> wanted;
-    for (const auto& trouble : kTroubles) {
-      if (options_.troubles.empty() || options_.troubles.contains(trouble.name)) wanted.push_back(&trouble);
+  void inject_fault() {
+    static const Fault kFaults[] = {{"restart", &Soak::restart_broker},
+                                    {"kill", &Soak::kill_broker},
+                                    {"reload", &Soak::reload},
+                                    {"replace", &Soak::replace_engine},
+                                    {"drain", &Soak::drain_engine},
+                                    {"hang", &Soak::stop_engine},
+                                    {"reset", &Soak::reset_links},
+                                    {"cut", &Soak::cut_link},
+                                    {"cut-log", &Soak::cut_change_log},
+                                    {"clock", &Soak::step_clock},
+                                    {"calls", &Soak::fail_calls},
+                                    {"calls", &Soak::fail_calls},
+                                    {"hold-log", &Soak::silence_change_log},
+                                    {"stall", &Soak::stall_broker},
+                                    {"stall-restart", &Soak::restart_stalled_broker}};
+    std::vector<const Fault*> candidates;
+    for (const auto& fault : kFaults) {
+      if (options_.faults.empty() || options_.faults.contains(fault.name)) candidates.push_back(&fault);
     }
-    if (!wanted.empty()) (this->*wanted[draw(wanted.size())]->make)();
+    if (!candidates.empty()) (this->*candidates[draw(candidates.size())]->inject)();
   }
-  Broker* any_broker() {
+  Broker* pick_broker() {
     auto& broker = *brokers_[draw(brokers_.size())];
     const auto down = std::ranges::count_if(brokers_, [](const auto& b) { return b->down; });
     return broker.down || static_cast<std::size_t>(down) * 2 >= brokers_.size() ? nullptr : &broker;
   }
-  std::shared_ptr<Engine> any_engine() {
+  std::shared_ptr<Engine> pick_engine() {
     std::vector<std::shared_ptr<Engine>> usable;
     for (const auto& engine : engines_)
       if (engine->usable) usable.push_back(engine);
@@ -246,142 +252,143 @@
   std::size_t number_of(const Broker& broker) const { return std::stoul(broker.name.substr(1)); }
 
   void restart_broker() {
-    auto* broker = any_broker();
+    auto* broker = pick_broker();
     if (broker == nullptr) return;
-    say("SIGTERM to " + broker->name);
+    log_fault("SIGTERM to " + broker->name);
     broker->down = true;
-    history_.brokers[broker->reserved.address].told_to_stop.push_back(now_ms());
+    history_.brokers[broker->reserved.address].stop_requested_at.push_back(now_ms());
     broker->program->signal(SIGTERM);
-    after(4200, [this, broker] {
+    schedule(4200, [this, broker] {
       check_exit(*broker);
       start(*broker, number_of(*broker));
     });
   }
   void kill_broker() {
-    auto* broker = any_broker();
+    auto* broker = pick_broker();
     if (broker == nullptr) return;
-    say("SIGKILL to " + broker->name);
+    log_fault("SIGKILL to " + broker->name);
     broker->down = true;
-    history_.brokers[broker->reserved.address].killed.push_back(now_ms());
+    history_.brokers[broker->reserved.address].killed_at.push_back(now_ms());
     broker->program->signal(SIGKILL);
     broker->program->wait();
-    keep_log(*broker);
-    after(300 + static_cast<double>(draw(900)), [this, broker] { start(*broker, number_of(*broker)); });
+    collect_log(*broker);
+    schedule(300 + static_cast<double>(draw(900)), [this, broker] { start(*broker, number_of(*broker)); });
   }
-  // As on a machine that is paused.
+  // Stops the process for a while, as on a machine that is paused.
   void stall_broker() {
-    auto* broker = any_broker();
+    auto* broker = pick_broker();
     if (broker == nullptr) return;
-    say(broker->name + " does not run");
+    log_fault(broker->name + " is stopped (SIGSTOP)");
     broker->down = true;
     broker->program->signal(SIGSTOP);
-    history_.brokers[broker->reserved.address].stalled.push_back({now_ms(), kNever});
-    after(100 + static_cast<double>(draw(1400)), [this, broker] {
+    history_.brokers[broker->reserved.address].stalls.push_back({now_ms(), kNever});
+    schedule(100 + static_cast<double>(draw(1400)), [this, broker] {
       broker->program->signal(SIGCONT);
-      history_.brokers[broker->reserved.address].stalled.back().to = now_ms();
+      history_.brokers[broker->reserved.address].stalls.back().to = now_ms();
       broker->down = false;
     });
   }
   void restart_stalled_broker() {
-    auto* broker = any_broker();
+    auto* broker = pick_broker();
     if (broker == nullptr) return;
-    say("SIGTERM to " + broker->name + ", which does not run");
+    log_fault("SIGTERM to " + broker->name + ", which is stopped (SIGSTOP)");
     broker->down = true;
     const auto& address = broker->reserved.address;
     broker->program->signal(SIGSTOP);
-    history_.brokers[address].stalled.push_back({now_ms(), kNever});
+    history_.brokers[address].stalls.push_back({now_ms(), kNever});
     broker->program->signal(SIGTERM);
-    history_.brokers[address].told_to_stop.push_back(now_ms());
-    after(100 + static_cast<double>(draw(1400)), [this, broker] {
+    history_.brokers[address].stop_requested_at.push_back(now_ms());
+    schedule(100 + static_cast<double>(draw(1400)), [this, broker] {
       broker->program->signal(SIGCONT);
-      history_.brokers[broker->reserved.address].stalled.back().to = now_ms();
+      history_.brokers[broker->reserved.address].stalls.back().to = now_ms();
     });
-    after(4200, [this, broker] {
+    schedule(4200, [this, broker] {
       check_exit(*broker);
       start(*broker, number_of(*broker));
     });
   }
   void reload() {
-    if (auto* broker = any_broker(); broker != nullptr) {
-      say("SIGHUP to " + broker->name);
+    if (auto* broker = pick_broker(); broker != nullptr) {
+      log_fault("SIGHUP to " + broker->name);
       broker->program->signal(SIGHUP);
     }
   }
   void replace_engine() {
-    const auto engine = any_engine();
+    const auto engine = pick_engine();
     if (!engine) return;
-    say("SIGKILL to " + engine->name + ", and a newcomer");
+    log_fault("SIGKILL to " + engine->name + ", and a new engine starts");
     engine->usable = false;
-    history_.engines[engine->name].killed = now_ms();
+    history_.engines[engine->name].killed_at = now_ms();
     engine->process->signal(SIGKILL);
-    after(400 + static_cast<double>(draw(1500)), [this, engine] {
+    schedule(400 + static_cast<double>(draw(1500)), [this, engine] {
       changes_.push({entry(*engine, "terminated")});
-      history_.engines[engine->name].told_draining =
-          std::min(history_.engines[engine->name].told_draining, now_ms());
+      history_.engines[engine->name].drain_announced_at =
+          std::min(history_.engines[engine->name].drain_announced_at, now_ms());
       add_engine(true);
     });
   }
   void drain_engine() {
-    const auto engine = any_engine();
+    const auto engine = pick_engine();
     if (!engine) return;
-    say(engine->name + " drains, and a newcomer");
+    log_fault(engine->name + " drains, and a new engine starts");
     engine->usable = false;
     changes_.push({entry(*engine, "terminating")});
-    history_.engines[engine->name].told_draining = now_ms();
+    history_.engines[engine->name].drain_announced_at = now_ms();
     add_engine(true);
   }
   void stop_engine() {
-    const auto engine = any_engine();
+    const auto engine = pick_engine();
     if (!engine) return;
-    say(engine->name + " hangs");
+    log_fault(engine->name + " is stopped (SIGSTOP)");
     engine->usable = false;
     engine->process->signal(SIGSTOP);
-    history_.engines[engine->name].stopped.push_back({now_ms(), kNever});
-    after(500 + static_cast<double>(draw(2500)), [this, engine] {
+    history_.engines[engine->name].pauses.push_back({now_ms(), kNever});
+    schedule(500 + static_cast<double>(draw(2500)), [this, engine] {
       engine->process->signal(SIGCONT);
-      history_.engines[engine->name].stopped.back().to = now_ms();
+      history_.engines[engine->name].pauses.back().to = now_ms();
       engine->usable = true;
     });
   }
   void reset_links() {
-    if (const auto engine = any_engine()) {
-      say("connections to " + engine->name + " are reset");
+    if (const auto engine = pick_engine()) {
+      log_fault("connections to " + engine->name + " are reset");
       network_.with("brokers", engine->name, [](test::Link& link) { link.reset(); });
     }
   }
   void cut_link() {
-    const auto engine = any_engine();
+    const auto engine = pick_engine();
     if (!engine) return;
-    say(engine->name + " is cut off");
+    log_fault(engine->name + " is cut off");
     engine->usable = false;
     network_.with("brokers", engine->name, [](test::Link& link) { link.cut(); });
-    after(300 + static_cast<double>(draw(1200)), [this, engine] {
+    schedule(300 + static_cast<double>(draw(1200)), [this, engine] {
       network_.with("brokers", engine->name, [](test::Link& link) { link.heal(); });
       engine->usable = true;
     });
   }
-  void on_change_log(const std::string& what, const std::function<void(test::Link&)>& how) {
+  void interrupt_change_log(const std::string& description,
+                            const std::function<void(test::Link&)>& change_link) {
     const auto& chosen = *brokers_[draw(brokers_.size())];
     const auto broker = chosen.name;
-    say("the change log " + what + " for " + broker);
-    network_.with(broker, "changes", how);
+    log_fault("the change log " + description + " for " + broker);
+    network_.with(broker, "changes", change_link);
     const double length = 200 + static_cast<double>(draw(1500));
-    history_.brokers[chosen.reserved.address].change_log_out.push_back({now_ms(), now_ms() + length});
-    after(length,
-          [this, broker] { network_.with(broker, "changes", [](test::Link& link) { link.heal(); }); });
+    history_.brokers[chosen.reserved.address].change_log_outages.push_back({now_ms(), now_ms() + length});
+    schedule(length,
+             [this, broker] { network_.with(broker, "changes", [](test::Link& link) { link.heal(); }); });
   }
   void cut_change_log() {
-    on_change_log("is cut off", [](test::Link& link) { link.cut(); });
+    interrupt_change_log("is cut off", [](test::Link& link) { link.cut(); });
   }
-  void hold_change_log() {
-    on_change_log("is silent", [](test::Link& link) { link.silence(); });
+  void silence_change_log() {
+    interrupt_change_log("is silent", [](test::Link& link) { link.silence(); });
   }
   void step_clock() {
     auto& broker = *brokers_[draw(brokers_.size())];
     constexpr int kSteps[] = {-3600, -7, 7, 3600};
     const auto by = kSteps[draw(std::size(kSteps))];
-    say("the clock of " + broker.name + " steps by " + std::to_string(by) + " s");
-    broker.faults.step_wall_clock(std::chrono::seconds(by));
+    log_fault("the clock of " + broker.name + " steps by " + std::to_string(by) + " s");
+    broker.call_faults.step_wall_clock(std::chrono::seconds(by));
   }
   void fail_calls() {
     using test::FaultyCall;
@@ -398,31 +405,32 @@
         {FaultyCall::wait, {EINTR}}};
     auto& broker = *brokers_[draw(brokers_.size())];
     const auto& kind = kKinds[draw(std::size(kKinds))];
-    say("calls of kind " + std::to_string(static_cast<int>(kind.call)) + " fail at " + broker.name);
-    broker.faults.fail(kind.call, 5, kind.errors);
-    broker.faults.shorten(FaultyCall::receive, 4);
-    broker.faults.shorten(FaultyCall::send, 4);
-    after(500 + static_cast<double>(draw(2500)), [&broker, call = kind.call] { broker.faults.stop(call); });
+    log_fault("calls of kind " + std::to_string(static_cast<int>(kind.call)) + " fail at " + broker.name);
+    broker.call_faults.fail(kind.call, 5, kind.errors);
+    broker.call_faults.shorten(FaultyCall::receive, 4);
+    broker.call_faults.shorten(FaultyCall::send, 4);
+    schedule(500 + static_cast<double>(draw(2500)),
+             [&broker, call = kind.call] { broker.call_faults.stop(call); });
   }
 
-  // ---- the end
-  void keep_log(Broker& broker) {
+  // ---- end of the run
+  void collect_log(Broker& broker) {
     for (auto& line : broker.program->all_lines()) {
       if (line.find("violation:") != std::string::npos || line.find("ERROR:") != std::string::npos ||
           line.find("runtime error") != std::string::npos)
-        broken_.push_back(broker.name + " said: " + line);
+        violations_.push_back(broker.name + " logged: " + line);
       logs_.push_back(line);
     }
   }
   void check_exit(Broker& broker) {
     const double from = now_ms();
     const int status = broker.program->wait();
-    if (status != 0) broken_.push_back(broker.name + " ended with status " + std::to_string(status));
-    if (now_ms() > from + 1000) broken_.push_back(broker.name + " took too long to end");
-    keep_log(broker);
+    if (status != 0) violations_.push_back(broker.name + " exited with status " + std::to_string(status));
+    if (now_ms() > from + 1000) violations_.push_back(broker.name + " took more than 1 s to exit");
+    collect_log(broker);
     if (logs_.empty() || logs_.back().find("counters: violations=0") == std::string::npos)
-      broken_.push_back(broker.name +
-                        " ended without clean counters: " + (logs_.empty() ? "" : logs_.back()));
+      violations_.push_back(
+          broker.name + " exited without \"counters: violations=0\": " + (logs_.empty() ? "" : logs_.back()));
   }
   void stop_brokers() {
     for (auto& broker : brokers_) {
@@ -431,48 +439,48 @@
     std::this_thread::sleep_for(4s);
     for (auto& broker : brokers_) check_exit(*broker);
   }
-  // All that stand-ins and brokers said of a request.
-  void tell_all_of(const std::string& ticket) {
+  // Prints the records of the stand-ins and the log lines of the brokers on a request.
+  void print_request(const std::string& ticket) {
     for (const auto& record : records_.all())
       if (record.find(ticket) != std::string::npos) std::cout << "    " << record << '\n';
     for (std::size_t i = 0; i < logs_.size(); ++i) {
       const auto at = logs_[i].find(" ticket " + ticket + " is admitted");
       if (at == std::string::npos) continue;
       const auto from = logs_[i].rfind(": request ", at);
-      const auto of = logs_[i].substr(from, at + 1 - from);
-      for (auto n = i; n < logs_.size() && n < i + kLinesToLookAt; ++n)
-        if (logs_[n].find(of) != std::string::npos) std::cout << "    " << logs_[n] << '\n';
+      const auto request = logs_[i].substr(from, at + 1 - from);
+      for (auto n = i; n < logs_.size() && n < i + kMaxRequestLines; ++n)
+        if (logs_[n].find(request) != std::string::npos) std::cout << "    " << logs_[n] << '\n';
     }
   }
-  // What a broker said before it told of a violation.
-  void tell_what_led_to(const std::string& violation) {
+  // Prints the lines that a broker logged before it reported a violation.
+  void print_lines_before(const std::string& violation) {
     const auto found = std::ranges::find_if(
         logs_, [&](const auto& line) { return violation.find(line) != std::string::npos; });
     const auto at = found - logs_.begin();
-    for (auto n = std::max<std::ptrdiff_t>(0, at - kLinesBefore); n < at; ++n)
+    for (auto n = std::max<std::ptrdiff_t>(0, at - kLinesBeforeViolation); n < at; ++n)
       std::cout << "    " << logs_[static_cast<std::size_t>(n)] << '\n';
   }
   int report() {
-    const SlowStart slow_start{kTipMultiple * kFullCapacity * kCores / kWorkSeconds, kColdFrom, kRampMs,
-                               1000};
-    auto verdicts = judge(records_.all(), history_, slow_start);
-    for (auto& line : broken_) verdicts.broken.push_back(std::move(line));
-    std::cout << "seed " << options_.seed << ": " << troubles_.size() << " troubles";
-    for (const auto& [what, count] : verdicts.counts) std::cout << ", " << count << ' ' << what;
-    std::cout << "; " << verdicts.broken.size() << " broken rules\n";
-    if (!verdicts.broken.empty()) {
-      for (const auto& line : troubles_) std::cout << "  trouble " << line << '\n';
-      std::size_t told = 0;
-      for (const auto& line : verdicts.broken) {
-        std::cout << "  BROKEN " << line << '\n';
-        if (++told > kMaxTold) continue;
-        if (line.find("violation:") != std::string::npos) tell_what_led_to(line);
-        for (const auto& word : names_of(line))
-          if (word.size() == 16) tell_all_of(word);
+    const SlowStart slow_start{kOverloadFactor * kFullCapacity * kCores / kQueryWorkSeconds, kInitialCapacity,
+                               kSlowStartMs, 1000};
+    auto findings = judge(records_.all(), history_, slow_start);
+    for (auto& line : violations_) findings.violations.push_back(std::move(line));
+    std::cout << "seed " << options_.seed << ": " << fault_log_.size() << " injected faults";
+    for (const auto& [what, count] : findings.counts) std::cout << ", " << count << ' ' << what;
+    std::cout << "; " << findings.violations.size() << " violations\n";
+    if (!findings.violations.empty()) {
+      for (const auto& line : fault_log_) std::cout << "  fault " << line << '\n';
+      std::size_t printed = 0;
+      for (const auto& line : findings.violations) {
+        std::cout << "  VIOLATION " << line << '\n';
+        if (++printed > kMaxDetailedViolations) continue;
+        if (line.find("violation:") != std::string::npos) print_lines_before(line);
+        for (const auto& word : split_words(line))
+          if (word.size() == 16) print_request(word);
       }
     }
     for (const auto& file : files_) ::unlink(file.c_str());
-    return verdicts.broken.empty() ? 0 : 1;
+    return findings.violations.empty() ? 0 : 1;
   }
 
   Options options_;
@@ -483,8 +491,8 @@
   History history_;
   std::vector<std::shared_ptr<Engine>> engines_;
   std::vector<std::unique_ptr<Broker>> brokers_;
-  std::multimap<double, std::function<void()>> later_;
-  std::vector<std::string> troubles_, broken_, logs_, files_;
+  std::multimap<double, std::function<void()>> scheduled_;
+  std::vector<std::string> fault_log_, violations_, logs_, files_;
 };
 
 int usage() {
@@ -510,7 +518,7 @@
       options.clients = std::stoul(value);
     } else if (arguments[i] == "--troubles") {
       std::istringstream names(value);
-      for (std::string name; std::getline(names, name, ',');) options.troubles.insert(name);
+      for (std::string name; std::getline(names, name, ',');) options.faults.insert(name);
     } else {
       return usage();
     }
--- a/tests/soak/records.hpp
+++ b/tests/soak/records.hpp
@@ -1,5 +1,5 @@
-// What the stand-ins of the soak test tell its judge: a line each on standard output, in words apart by
-// spaces.
+// The records that the stand-ins of the soak test write for its judge: one line each on standard output, with
+// words separated by spaces.
 #pragma once
 
 #include <unistd.h>
@@ -18,7 +18,7 @@
       .count();
 }
 
-// One write, so that lines of several threads do not mix.
+// Writes the line with one call, so that lines of several threads do not mix.
 template <class... Words>
 void record(const Words&... words) {
   std::ostringstream line;
@@ -26,20 +26,28 @@
   ((line << words << ' '), ...);
   auto text = std::move(line).str();
   text.back() = '\n';
-  [[maybe_unused]] const auto put = ::write(STDOUT_FILENO, text.data(), text.size());
+  [[maybe_unused]] const auto count = ::write(STDOUT_FILENO, text.data(), text.size());
 }
 
-[[nodiscard]] inline std::vector<std::string> names_of(const std::string& line) {
+[[nodiscard]] inline std::vector<std::string> split_words(const std::string& line) {
   std::istringstream in(line);
   std::vector<std::string> out;
   for (std::string word; in >> word;) out.push_back(word);
   return out;
 }
 
-// Engines tell:  post ENGINE TICKET CLASS MAX_MS AT   shed ENGINE TICKET AT   end ENGINE TICKET AT
-// Clients tell:  ask TICKET CLASS KEY LIMIT_MS BROKER FIRST_ON_CONNECTION AT   left TICKET AT   half TICKET
-// AT
-//                answer TICKET KIND BODY_IS_ITS_OWN AT   unanswered TICKET AT
+// Records of engines, with times in ms:
+//   ready ENGINE TIME
+//   attempt ENGINE TICKET CLASS MAX_MS TIME
+//   shed ENGINE TICKET TIME
+//   attempt_end ENGINE TICKET TIME
+// Records of clients:
+//   request TICKET CLASS KEY LIMIT_MS BROKER FIRST_ON_CONNECTION TIME
+//   left TICKET TIME
+//   half_closed TICKET TIME
+//   answer TICKET KIND BODY_IS_ITS_OWN TIME
+//   unexpected_answer JSON TIME
+//   unanswered TICKET TIME
 int run_engine(const std::string& name, const std::string& address, std::uint64_t seed);
 int run_client(const std::vector<std::string>& brokers, std::uint64_t seed, double seconds);
 
