--- a/src/mysql/binary_value.cpp
+++ b/src/mysql/binary_value.cpp
@@ -37,7 +37,7 @@
 // Dates and times travel as parts, and as much of them as is not zero.
 std::string date_time(Cursor& in) {
   const auto size = in.u8();
-  if (size != 0 && size != 4 && size != 7 && size != 11) throw Malformed("a date of a wrong length");
+  if (size != 0 && size != 4 && size != 7 && size != 11) throw MalformedPacket("a date of a wrong length");
   const unsigned year = size >= 4 ? in.u16() : 0U, month = size >= 4 ? in.u8() : 0U,
                  day = size >= 4 ? in.u8() : 0U;
   std::string out =
@@ -51,7 +51,7 @@
 
 std::string time_span(Cursor& in) {
   const auto size = in.u8();
-  if (size != 0 && size != 8 && size != 12) throw Malformed("a time of a wrong length");
+  if (size != 0 && size != 8 && size != 12) throw MalformedPacket("a time of a wrong length");
   if (size == 0) return "00:00:00";
   const bool negative = in.u8() != 0;
   const auto days = in.u32();
@@ -112,7 +112,7 @@
     case kTypeString:
       return std::string(in.lenenc_text());
     default:
-      throw Malformed("a parameter of an unknown type");
+      throw MalformedPacket("a parameter of an unknown type");
   }
 }
 
--- a/src/mysql/binary_value.hpp
+++ b/src/mysql/binary_value.hpp
@@ -13,7 +13,7 @@
 
 inline constexpr std::uint16_t kUnsignedFlag = 0x8000;  // beside a column type
 
-// Throws Malformed; also at types that are unknown.
+// Throws MalformedPacket; also at types that are unknown.
 [[nodiscard]] sql::Value read_binary_value(Cursor& in, std::uint16_t type);
 [[nodiscard]] std::uint16_t binary_type_of(const sql::Value& value);
 // Appends nothing for NULL, which stands in the bitmap alone.
--- a/src/mysql/command.cpp
+++ b/src/mysql/command.cpp
@@ -35,14 +35,14 @@
   static_cast<void>(in.u8());
   out.statement = in.u32();
   const auto flags = in.u8();
-  if ((flags & kCursorFlags) != 0) throw Malformed("cursors are not offered");
+  if ((flags & kCursorFlags) != 0) throw MalformedPacket("cursors are not offered");
   static_cast<void>(in.u32());  // iterations
   const bool counted = attributes && (flags & kParameterCountSent) != 0;
   std::size_t count = parameters;
   if (counted) count = in.lenenc();
-  if (count < parameters || count > kMaxParameters) throw Malformed("a wrong number of parameters");
+  if (count < parameters || count > kMaxParameters) throw MalformedPacket("a wrong number of parameters");
   if (count == 0) {
-    if (!in.empty()) throw Malformed("values without parameters");
+    if (!in.empty()) throw MalformedPacket("values without parameters");
     return out;
   }
   const auto nulls = in.text(bitmap_bytes(count));
@@ -54,7 +54,7 @@
       if (counted) names[i] = in.lenenc_text();
     }
   }
-  if (types.types.size() != count) throw Malformed("parameters without types");
+  if (types.types.size() != count) throw MalformedPacket("parameters without types");
   for (std::size_t i = 0; i < count; ++i) {
     auto value = has_bit(nulls, i) ? sql::Value(sql::Null{}) : read_binary_value(in, types.types[i]);
     if (i < parameters) {
@@ -63,7 +63,7 @@
       out.attributes.push_back({names[i], std::move(value)});
     }
   }
-  if (!in.empty()) throw Malformed("bytes after the last parameter");
+  if (!in.empty()) throw MalformedPacket("bytes after the last parameter");
   return out;
 }
 
@@ -93,11 +93,11 @@
   static_cast<void>(in.u8());
   if (attributes) {
     const auto count = in.lenenc();
-    if (in.lenenc() != 1) throw Malformed("more than one set of attributes");
-    if (count > kMaxParameters) throw Malformed("too many attributes");
+    if (in.lenenc() != 1) throw MalformedPacket("more than one set of attributes");
+    if (count > kMaxParameters) throw MalformedPacket("too many attributes");
     if (count > 0) {
       const auto nulls = in.text(bitmap_bytes(count));
-      if (in.u8() != 1) throw Malformed("attributes without types");
+      if (in.u8() != 1) throw MalformedPacket("attributes without types");
       std::vector<std::uint16_t> types;
       for (std::uint64_t i = 0; i < count; ++i) {
         types.push_back(in.u16());
@@ -142,7 +142,7 @@
 
 Prepared read_prepared(std::string_view payload) {
   Cursor in(payload);
-  if (in.u8() != 0) throw Malformed("no answer to a prepare");
+  if (in.u8() != 0) throw MalformedPacket("no answer to a prepare");
   Prepared out;
   out.statement = in.u32();
   out.columns = in.u16();
--- a/src/mysql/command.hpp
+++ b/src/mysql/command.hpp
@@ -1,5 +1,5 @@
 // Commands of the MySQL client/server protocol: queries, and the preparing and executing of statements.
-// Readers throw Malformed.
+// Readers throw MalformedPacket.
 #pragma once
 
 #include <cstddef>
--- a/src/mysql/engine_session.cpp
+++ b/src/mysql/engine_session.cpp
@@ -14,7 +14,7 @@
 
 std::string password_answer(const std::string& plugin, const std::string& password,
                             const std::string& nonce) {
-  return plugin == kCachingSha2 ? sha2_answer(password, nonce) : native_answer(password, nonce);
+  return plugin == kCachingSha2 ? sha2_answer(password, nonce) : native_auth_response(password, nonce);
 }
 
 LoginStep failed() { return {LoginStep::State::failed, {}}; }
--- a/src/mysql/engine_session.hpp
+++ b/src/mysql/engine_session.hpp
@@ -48,7 +48,7 @@
   std::optional<std::string> reply;  // the payload to send
 };
 
-// Takes the engine's next packet of the login. Throws Malformed.
+// Takes the engine's next packet of the login. Throws MalformedPacket.
 [[nodiscard]] LoginStep continue_login(EngineSession& session, const config::MysqlEngines& account,
                                        const std::string& payload);
 
--- a/src/mysql/handshake.cpp
+++ b/src/mysql/handshake.cpp
@@ -52,7 +52,7 @@
 Greeting read_greeting(std::string_view payload) {
   Cursor in(payload);
   Greeting out;
-  if (in.u8() != kProtocolVersion) throw Malformed("a handshake of another version");
+  if (in.u8() != kProtocolVersion) throw MalformedPacket("a handshake of another version");
   out.version = in.null_text();
   out.connection = in.u32();
   out.nonce = in.text(kNonceFirstPart);
@@ -84,7 +84,7 @@
   Cursor in(payload);
   Login out;
   out.capabilities = in.u32();
-  if ((out.capabilities & kProtocol41) == 0) throw Malformed("a client older than protocol 4.1");
+  if ((out.capabilities & kProtocol41) == 0) throw MalformedPacket("a client older than protocol 4.1");
   static_cast<void>(in.text(4 + 1 + 23));
   out.user = in.null_text();
   if ((out.capabilities & kLenencAuth) != 0) {
@@ -100,7 +100,7 @@
   return out;
 }
 
-std::string native_answer(std::string_view password, std::string_view nonce) {
+std::string native_auth_response(std::string_view password, std::string_view nonce) {
   if (password.empty()) return {};
   const auto once = digest(EVP_sha1(), password);
   return exclusive_or(once, digest(EVP_sha1(), nonce, digest(EVP_sha1(), once)));
--- a/src/mysql/handshake.hpp
+++ b/src/mysql/handshake.hpp
@@ -26,7 +26,7 @@
 [[nodiscard]] Login read_login(std::string_view payload);
 
 // Proofs of the password by the two methods of authentication; empty for an empty password.
-[[nodiscard]] std::string native_answer(std::string_view password, std::string_view nonce);
+[[nodiscard]] std::string native_auth_response(std::string_view password, std::string_view nonce);
 [[nodiscard]] std::string sha2_answer(std::string_view password, std::string_view nonce);
 [[nodiscard]] bool same_secret(std::string_view a, std::string_view b);  // in constant time
 
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -12,7 +12,9 @@
 
 using Options = std::map<std::string, std::string, std::less<>>;
 
-[[noreturn]] void refuse(const std::string& what) { throw Refusal{{kWrongArguments, "HY000", what}}; }
+[[noreturn]] void refuse(const std::string& what) {
+  throw InvalidStatement{{kWrongArguments, "HY000", what}};
+}
 
 constexpr std::string_view kCommentMark = "bellstair:";
 constexpr std::string_view kSpace = " \t\r\n";
--- a/src/mysql/mapping.hpp
+++ b/src/mysql/mapping.hpp
@@ -19,11 +19,11 @@
                                kTooLarge = 1153, kWrongArguments = 1210, kUnknownStatement = 1243,
                                kDirectoryDown = 1429, kMalformedPacket = 1835;
 
-struct Refusal {  // thrown: the statement can't become a request
+struct InvalidStatement {  // thrown: the statement can't become a request
   Error error;
 };
 
-// Throws Refusal. The client handle and the ticket are the caller's to fill in.
+// Throws InvalidStatement. The client handle and the ticket are the caller's to fill in.
 [[nodiscard]] core::Submission map_statement(std::string_view statement,
                                              const std::vector<sql::Value>& values,
                                              const std::vector<Attribute>& attributes, std::uint32_t tenant,
--- a/src/mysql/mysql_engine_client.cpp
+++ b/src/mysql/mysql_engine_client.cpp
@@ -65,7 +65,7 @@
     reader.feed(bytes);
     try {
       if (const auto packet = reader.next()) on_login_packet(connection, *packet, on_done);
-    } catch (const Malformed&) {
+    } catch (const MalformedPacket&) {
       on_done(false);
     }
   };
@@ -227,7 +227,7 @@
     bool answered = false;
     try {
       answered = session.reader.next().has_value();
-    } catch (const Malformed&) {
+    } catch (const MalformedPacket&) {
       return;  // until the timeout
     }
     if (!answered || on_command_timeout_.erase(serial) == 0) return;
@@ -261,13 +261,13 @@
       if (!packet) return;
       on_packet(id, current->second, *packet);
     }
-  } catch (const Malformed&) {
+  } catch (const MalformedPacket&) {
     on_lost(id);
   }
 }
 
 void MysqlEngineClient::on_packet(AttemptId id, Attempt& attempt, const Packet& packet) {
-  if (packet.payload.empty()) throw Malformed("an empty answer");
+  if (packet.payload.empty()) throw MalformedPacket("an empty answer");
   switch (attempt.stage) {
     case Stage::preparing:
       return on_prepared(id, attempt, packet.payload);
@@ -276,7 +276,7 @@
       return on_result(id, attempt, packet.payload);
     case Stage::connecting:
     case Stage::connected:
-      throw Malformed("an answer to nothing");
+      throw MalformedPacket("an answer to nothing");
   }
 }
 
--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -183,7 +183,7 @@
       if (!packet) break;
       on_packet(connection, *packet);
     }
-  } catch (const Malformed& error) {
+  } catch (const MalformedPacket& error) {
     // Where the next packet begins can't be told any more.
     connection.sequence = 1;
     close_with_error(connection, {kMalformedPacket, "HY000", error.what()});
@@ -206,7 +206,7 @@
       return look_up_user(connection, password);
     }
     case Phase::idle:
-      if (packet.sequence != 0) throw Malformed("a command out of sequence");
+      if (packet.sequence != 0) throw MalformedPacket("a command out of sequence");
       return on_command(connection, packet.payload);
     case Phase::directory_lookup:
     case Phase::running:
@@ -238,8 +238,8 @@
   const auto user = std::ranges::find(config_.users, connection.user, &config::MysqlUser::name);
   if (user == config_.users.end()) return close_with_error(connection, access_denied(connection.user));
   const bool sha2 = plugin == kCachingSha2;
-  const auto expected =
-      sha2 ? sha2_answer(user->password, connection.nonce) : native_answer(user->password, connection.nonce);
+  const auto expected = sha2 ? sha2_answer(user->password, connection.nonce)
+                             : native_auth_response(user->password, connection.nonce);
   // An empty password goes as no bytes, or as a lone zero.
   const auto given = answer == std::string(1, '\0') ? std::string() : answer;
   if (!same_secret(given, expected)) return close_with_error(connection, access_denied(connection.user));
@@ -279,7 +279,7 @@
 // ---- commands
 
 void MysqlServer::on_command(Connection& connection, const std::string& payload) {
-  if (payload.empty()) throw Malformed("an empty command");
+  if (payload.empty()) throw MalformedPacket("an empty command");
   switch (static_cast<std::uint8_t>(payload[0])) {
     case kQuit:
       return close(connection);
@@ -359,7 +359,7 @@
     connection.returns_rows = word == "select" || word == "with" || word == "show";
     running_[submission.client] = connection.serial;
     emit_(core::RequestReceived{std::move(submission)});
-  } catch (const Refusal& refusal) {
+  } catch (const InvalidStatement& refusal) {
     send_error(connection, refusal.error);
   }
 }
--- a/src/mysql/packet.cpp
+++ b/src/mysql/packet.cpp
@@ -15,7 +15,7 @@
     return static_cast<std::size_t>(static_cast<unsigned char>(buffer_[i]));
   };
   const auto size = byte(0) | byte(1) << 8 | byte(2) << 16;
-  if (size > max_payload_bytes_) throw Malformed("a packet is too large");
+  if (size > max_payload_bytes_) throw MalformedPacket("a packet is too large");
   if (buffer_.size() < kHeaderBytes + size) return std::nullopt;
   Packet out{static_cast<std::uint8_t>(byte(3)), buffer_.substr(kHeaderBytes, size)};
   buffer_.erase(0, kHeaderBytes + size);
--- a/src/mysql/packet.hpp
+++ b/src/mysql/packet.hpp
@@ -22,7 +22,7 @@
   // Longer payloads are malformed: an announced length must not take the memory.
   explicit PacketReader(std::size_t max_payload_bytes) : max_payload_bytes_(max_payload_bytes) {}
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  // None until a packet is complete. Throws Malformed.
+  // None until a packet is complete. Throws MalformedPacket.
   [[nodiscard]] std::optional<Packet> next();
   [[nodiscard]] std::size_t buffered() const { return buffer_.size(); }  // bytes
 
--- a/src/mysql/payload.cpp
+++ b/src/mysql/payload.cpp
@@ -27,14 +27,14 @@
       return number(8);
     case kNullMark:
     case kErrorMark:
-      throw Malformed("a length that is none");
+      throw MalformedPacket("a length that is none");
     default:
       return first;
   }
 }
 
 std::string_view Cursor::text(std::size_t bytes) {
-  if (bytes > in_.size()) throw Malformed("a packet is cut short");
+  if (bytes > in_.size()) throw MalformedPacket("a packet is cut short");
   const auto out = in_.substr(0, bytes);
   in_.remove_prefix(bytes);
   return out;
@@ -44,7 +44,7 @@
 
 std::string_view Cursor::null_text() {
   const auto end = in_.find('\0');
-  if (end == std::string_view::npos) throw Malformed("a text without its end");
+  if (end == std::string_view::npos) throw MalformedPacket("a text without its end");
   const auto out = text(end);
   in_.remove_prefix(1);
   return out;
--- a/src/mysql/payload.hpp
+++ b/src/mysql/payload.hpp
@@ -9,7 +9,7 @@
 
 namespace bellstair::mysql {
 
-// Reads a payload from its begin. All functions throw Malformed where bytes are missing.
+// Reads a payload from its begin. All functions throw MalformedPacket where bytes are missing.
 class Cursor {
  public:
   explicit Cursor(std::string_view in) : in_(in) {}
--- a/src/mysql/protocol.hpp
+++ b/src/mysql/protocol.hpp
@@ -7,7 +7,7 @@
 namespace bellstair::mysql {
 
 // The text says what is wrong.
-struct Malformed : std::runtime_error {
+struct MalformedPacket : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/mysql/response.hpp
+++ b/src/mysql/response.hpp
@@ -1,4 +1,4 @@
-// Responses of the MySQL client/server protocol: ok, errors, columns and rows. Readers throw Malformed.
+// Responses of the MySQL client/server protocol: ok, errors, columns and rows. Readers throw MalformedPacket.
 #pragma once
 
 #include <cstddef>
--- a/src/mysql/result_reader.cpp
+++ b/src/mysql/result_reader.cpp
@@ -19,9 +19,9 @@
     return false;
   }
   if (is_eof(payload)) return std::exchange(in_rows_, true);  // one ends the columns, another the rows
-  if (!in_rows_) throw Malformed("rows before the end of the columns");
+  if (!in_rows_) throw MalformedPacket("rows before the end of the columns");
   append_row(rows_, binary ? read_binary_row(payload, column_types_) : read_text_row(payload, columns_));
-  if (rows_.size() > kMaxResultBytes) throw Malformed("a result is too large");
+  if (rows_.size() > kMaxResultBytes) throw MalformedPacket("a result is too large");
   return false;
 }
 
@@ -36,7 +36,7 @@
     return true;
   }
   columns_ = in.lenenc();
-  if (columns_ > kMaxColumns) throw Malformed("too many columns");
+  if (columns_ > kMaxColumns) throw MalformedPacket("too many columns");
   return false;
 }
 
--- a/src/mysql/result_reader.hpp
+++ b/src/mysql/result_reader.hpp
@@ -12,7 +12,7 @@
 class ResultReader {
  public:
   // Takes the next packet, which is no error packet and not empty. `binary`: of a prepared statement. True:
-  // the result is complete. Throws Malformed.
+  // the result is complete. Throws MalformedPacket.
   [[nodiscard]] bool read(const std::string& payload, bool binary);
 
   [[nodiscard]] const Shape& shape() const { return shape_; }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -113,8 +113,8 @@
   EXPECT_EQ(mysql::write_binary_row({"foobar"s}), "\x00\x00\x06"s + "foobar");
   EXPECT_EQ(mysql::write_binary_row({std::nullopt}), "\x00\x04"s);
   // SHA1(password) XOR SHA1(nonce + SHA1(SHA1(password))).
-  EXPECT_EQ(mysql::native_answer("", "nonce"), "");
-  EXPECT_EQ(mysql::native_answer("secret", std::string(20, 'n')).size(), 20U);
+  EXPECT_EQ(mysql::native_auth_response("", "nonce"), "");
+  EXPECT_EQ(mysql::native_auth_response("secret", std::string(20, 'n')).size(), 20U);
 }
 
 TEST(MysqlPackets, SignsDatesAndFloatsOfBinaryValuesAreKept) {
@@ -134,7 +134,7 @@
   for (std::size_t size = 0; size < packet.size(); ++size) {
     mysql::ParameterTypes types;
     EXPECT_THROW(static_cast<void>(mysql::read_execute(packet.substr(0, size), 3, true, types)),
-                 mysql::Malformed)
+                 mysql::MalformedPacket)
         << size;
   }
   mysql::ParameterTypes types;
@@ -144,7 +144,7 @@
   EXPECT_EQ(read.attributes[0].name, "class");
   mysql::PacketReader reader(100);
   reader.feed("\xff\xff\xff\x00"s);
-  EXPECT_THROW(static_cast<void>(reader.next()), mysql::Malformed);
+  EXPECT_THROW(static_cast<void>(reader.next()), mysql::MalformedPacket);
 }
 
 TEST(MysqlResults, RowsSurviveTheirWayAsText) {
@@ -186,7 +186,7 @@
        {"INSERT INTO a_1.b VALUES (1)", "/* bellstair: class=load */ INSERT INTO a_1.b VALUES (1)",
         "/* bellstair: class=none */ SELECT 1", "/* bellstair: what=1 */ SELECT 1",
         "/* bellstair: limit=x */ SELECT 1", "/* bellstair: item=?1 */ SELECT 1"})
-    EXPECT_THROW(static_cast<void>(map(bad)), mysql::Refusal) << bad;
+    EXPECT_THROW(static_cast<void>(map(bad)), mysql::InvalidStatement) << bad;
 }
 
 // A change log that refused a hundred brokers was asked by all of them in the same moment, ten times a second
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -281,13 +281,13 @@
         {{"listen", "127.0.0.1:0"},
          {"users", {{{"name", "gateway"}, {"password_env", "TEST_SECRET"}, {"tenant", "acme"}}}}}}});
   MysqlClient client(broker.program->listens("mysql.listen"));
-  client.wire.command(my::write_query({kSelect, {}}, true));
+  client.packets.send_command(my::write_query({kSelect, {}}, true));
   engine.calls.wait(polls);
   ::shutdown(client.socket.fd(), SHUT_WR);
   Client other(broker.address);
   EXPECT_TRUE(other.green());
   done = true;
-  EXPECT_EQ(client.wire.take(), "\x03") << "three columns";
+  EXPECT_EQ(client.packets.receive(), "\x03") << "three columns";
 }
 
 // The list may be ahead of its engine: what runs there ends by its own word.
--- a/tests/net/mysql_client.hpp
+++ b/tests/net/mysql_client.hpp
@@ -17,10 +17,10 @@
                                                my::kPluginAuth | my::kLenencAuth | my::kQueryAttributes;
 
 // Packets over a blocking socket.
-class Wire {
+class PacketSocket {
  public:
-  explicit Wire(Socket& socket) : socket_(socket) {}
-  std::string take() {
+  explicit PacketSocket(Socket& socket) : socket_(socket) {}
+  std::string receive() {
     while (true) {
       if (auto packet = reader_.next()) {
         sequence_ = static_cast<std::uint8_t>(packet->sequence + 1);
@@ -30,10 +30,10 @@
       reader_.feed(std::exchange(socket_.in, {}));
     }
   }
-  void give(const std::string& payload) { socket_.send(my::frame(sequence_++, payload)); }
-  void command(const std::string& payload) {
+  void send(const std::string& payload) { socket_.send(my::frame(sequence_++, payload)); }
+  void send_command(const std::string& payload) {
     sequence_ = 0;
-    give(payload);
+    send(payload);
   }
 
  private:
@@ -46,26 +46,26 @@
  public:
   explicit MysqlClient(const std::string& address, const std::string& user = "gateway",
                        const std::string& password = "secret", const char* plugin = my::kCachingSha2)
-      : socket(Socket::to(address)), wire(socket) {
-    const auto greeting = my::read_greeting(wire.take());
+      : socket(Socket::to(address)), packets(socket) {
+    const auto greeting = my::read_greeting(packets.receive());
     const auto answer = std::string_view(plugin) == my::kNativePassword
-                            ? my::native_answer(password, greeting.nonce)
+                            ? my::native_auth_response(password, greeting.nonce)
                             : my::sha2_answer(password, greeting.nonce);
-    wire.give(my::write_login({kCapabilities, user, answer, plugin, {}}));
-    login = wire.take();
+    packets.send(my::write_login({kCapabilities, user, answer, plugin, {}}));
+    login = packets.receive();
     if (login[0] == '\xfe') {  // asked for the password itself, as a directory needs it
-      wire.give(password + '\0');
-      login = wire.take();
+      packets.send(password + '\0');
+      login = packets.receive();
     }
-    if (login == "\x01\x03") login = wire.take();  // the password was known; the verdict follows
+    if (login == "\x01\x03") login = packets.receive();  // the password was known; the verdict follows
   }
   std::string command(const std::string& payload) {
-    wire.command(payload);
-    return wire.take();
+    packets.send_command(payload);
+    return packets.receive();
   }
   std::uint32_t prepare(const std::string& text) {
     const auto prepared = my::read_prepared(command("\x16" + text));
-    for (int i = 0; i < (prepared.parameters == 0 ? 0 : prepared.parameters + 1); ++i) wire.take();
+    for (int i = 0; i < (prepared.parameters == 0 ? 0 : prepared.parameters + 1); ++i) packets.receive();
     return prepared.statement;
   }
   // Rows, or the error.
@@ -84,15 +84,15 @@
     if (my::is_error(first) || first[0] == 0) return {};
     const auto columns = static_cast<std::size_t>(first[0]);
     std::vector<std::uint8_t> types;
-    for (std::size_t i = 0; i < columns; ++i) types.push_back(my::read_column_type(wire.take()));
-    EXPECT_TRUE(my::is_eof(wire.take()));
+    for (std::size_t i = 0; i < columns; ++i) types.push_back(my::read_column_type(packets.receive()));
+    EXPECT_TRUE(my::is_eof(packets.receive()));
     std::vector<std::vector<my::Cell>> rows;
-    for (auto row = wire.take(); !my::is_eof(row); row = wire.take())
+    for (auto row = packets.receive(); !my::is_eof(row); row = packets.receive())
       rows.push_back(binary ? my::read_binary_row(row, types) : my::read_text_row(row, columns));
     return rows;
   }
   Socket socket;
-  Wire wire;
+  PacketSocket packets;
   std::string login;
   my::Error error;
 };
--- a/tests/net/mysql_test.cpp
+++ b/tests/net/mysql_test.cpp
@@ -28,16 +28,16 @@
 
  private:
   void serve(Socket& socket) {
-    Wire wire(socket);
+    PacketSocket packets(socket);
     const std::string nonce(20, 'n');
-    wire.give(my::write_greeting({"8.0.36", nonce, my::kNativePassword, 11, kCapabilities}));
-    const auto login = my::read_login(wire.take());
-    if (login.answer != my::native_answer("secret", nonce))
-      return wire.give(my::write_error({1045, "28000", "no"}));
-    wire.give(my::write_ok());
+    packets.send(my::write_greeting({"8.0.36", nonce, my::kNativePassword, 11, kCapabilities}));
+    const auto login = my::read_login(packets.receive());
+    if (login.answer != my::native_auth_response("secret", nonce))
+      return packets.send(my::write_error({1045, "28000", "no"}));
+    packets.send(my::write_ok());
     std::map<std::uint32_t, std::string> statements;
     while (true) {
-      const auto payload = wire.take();
+      const auto payload = packets.receive();
       Executed what;
       const auto note = [&](const std::vector<my::Attribute>& attributes) {
         for (const auto& [name, value] : attributes) {
@@ -50,9 +50,9 @@
         statements[id] = payload.substr(1);
         prepared.add(payload.substr(1));
         if (on_prepare) on_prepare();
-        wire.give(my::write_prepared({id, 0, 1}));
-        wire.give(my::write_column("?", my::kTypeVarString));
-        wire.give(my::write_eof());
+        packets.send(my::write_prepared({id, 0, 1}));
+        packets.send(my::write_column("?", my::kTypeVarString));
+        packets.send(my::write_eof());
         continue;
       }
       const bool binary = payload[0] == my::kExecute;
@@ -67,7 +67,7 @@
         note(query.attributes);
         if (query.text.rfind("KILL", 0) == 0) {
           killed.add(query.text);
-          wire.give(my::write_ok());
+          packets.send(my::write_ok());
           continue;
         }
       } else {
@@ -81,15 +81,16 @@
           socket.send(my::frame(1, my::write_ok()) + my::frame(2, my::write_ok()));
           continue;
         }
-        wire.give(my::write_ok());
+        packets.send(my::write_ok());
         continue;
       }
-      wire.give(std::string(1, static_cast<char>(rows->front().size())));
+      packets.send(std::string(1, static_cast<char>(rows->front().size())));
       for (std::size_t i = 0; i < rows->front().size(); ++i)
-        wire.give(my::write_column("c" + std::to_string(i), my::kTypeVarString));
-      wire.give(my::write_eof());
-      for (const auto& row : *rows) wire.give(binary ? my::write_binary_row(row) : my::write_text_row(row));
-      wire.give(my::write_eof());
+        packets.send(my::write_column("c" + std::to_string(i), my::kTypeVarString));
+      packets.send(my::write_eof());
+      for (const auto& row : *rows)
+        packets.send(binary ? my::write_binary_row(row) : my::write_text_row(row));
+      packets.send(my::write_eof());
     }
   }
   Answer answer_;
@@ -137,7 +138,7 @@
   EXPECT_EQ(my::read_error(client.command("\x1a\x09\0\0\0"s)).code, 1243);  // no such statement
   EXPECT_EQ(client.query("SET NAMES utf8mb4").size(), 0U);
   EXPECT_EQ(client.error.code, 0);
-  client.wire.command("\x01");
+  client.packets.send_command("\x01");
   EXPECT_TRUE(client.socket.ended());
 }
 
@@ -153,7 +154,7 @@
                 [](const Call& c) { return c.body == "SELECT a FROM sales_17.orders WHERE b = 'it''s'"; }),
             1U);
   EXPECT_EQ(client.command("\x1a"s + std::string("\x01\0\0\0", 4))[0], 0);  // reset
-  client.wire.command("\x19"s + std::string("\x01\0\0\0", 4));              // close: nothing answers
+  client.packets.send_command("\x19"s + std::string("\x01\0\0\0", 4));      // close: nothing answers
   client.execute(statement, {"x"s});
   EXPECT_EQ(client.error.code, 1243);
   client.query("DELETE FROM sales_17.orders");
@@ -246,13 +247,13 @@
   MysqlBroker broker({{"s-00000001", one.server.address()}}, true);
   MysqlClient client(broker.mysql);
   const auto statement = client.prepare("SELECT a FROM sales_17.x WHERE b = ?");
-  client.wire.command(my::write_execute({statement, {"1"s}, {}}, true));
+  client.packets.send_command(my::write_execute({statement, {"1"s}, {}}, true));
   one.prepared.wait([](const std::string&) { return true; });
   broker.changes.push({server("s-00000001", one.server.address(), "terminating"),
                        server("s-00000002", two.server.address())});
   broker.changes.wait_until_told();
   go_on.set_value();
-  EXPECT_EQ(client.result(client.wire.take(), true).size(), 1U);
+  EXPECT_EQ(client.result(client.packets.receive(), true).size(), 1U);
   EXPECT_EQ(one.executed.count([](const Executed&) { return true; }), 0U);
   EXPECT_EQ(two.executed.count([](const Executed&) { return true; }), 1U);
 }
@@ -282,7 +283,7 @@
   }
   MysqlClient large(broker.mysql);
   large.socket.send("\xff\xff\xff\x00"s);
-  EXPECT_EQ(my::read_error(large.wire.take()).code, 1835);
+  EXPECT_EQ(my::read_error(large.packets.receive()).code, 1835);
   auto raw = Socket::to(broker.mysql);
   raw.send("GET / HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(raw.ended());
