--- a/src/mysql/binary_value.cpp
+++ b/src/mysql/binary_value.cpp
@@ -9,7 +9,7 @@
 namespace bellstair::mysql {
 namespace {
 
-// Column types beside those that are written here too.
+// Column types that are only read. Those that are also written are in protocol.hpp.
 constexpr std::uint8_t kTypeDecimal = 0x00, kTypeTiny = 0x01, kTypeShort = 0x02, kTypeLong = 0x03,
                        kTypeFloat = 0x04, kTypeTimestamp = 0x07, kTypeInt24 = 0x09, kTypeDate = 0x0a,
                        kTypeTime = 0x0b, kTypeDateTime = 0x0c, kTypeYear = 0x0d, kTypeVarchar = 0x0f,
@@ -28,14 +28,14 @@
   return out.data();
 }
 
-std::string microseconds(Cursor& in) {
+std::string read_microseconds(Cursor& in) {
   std::array<char, 16> out{};
   std::snprintf(out.data(), out.size(), ".%06u", in.u32() % 1000000);
   return out.data();
 }
 
-// Dates and times travel as parts, and as much of them as is not zero.
-std::string date_time(Cursor& in) {
+// A date with a time is encoded as its parts; trailing parts that are zero are left out.
+std::string read_date_time(Cursor& in) {
   const auto size = in.u8();
   if (size != 0 && size != 4 && size != 7 && size != 11) throw MalformedPacket("a date of a wrong length");
   const unsigned year = size >= 4 ? in.u16() : 0U, month = size >= 4 ? in.u8() : 0U,
@@ -46,10 +46,10 @@
   const unsigned hour = in.u8(), minute = in.u8(), second = in.u8();
   out += " " + two_digits(hour) + ":" + two_digits(minute) + ":" + two_digits(second);
   if (size < 11) return out;
-  return out + microseconds(in);
+  return out + read_microseconds(in);
 }
 
-std::string time_span(Cursor& in) {
+std::string read_time(Cursor& in) {
   const auto size = in.u8();
   if (size != 0 && size != 8 && size != 12) throw MalformedPacket("a time of a wrong length");
   if (size == 0) return "00:00:00";
@@ -59,14 +59,14 @@
   std::string out = (negative ? "-" : "") + std::to_string(std::uint64_t{days} * 24 + hour) + ":" +
                     two_digits(minute) + ":" + two_digits(second);
   if (size < 12) return out;
-  return out + microseconds(in);
+  return out + read_microseconds(in);
 }
 
 sql::Value read_integer(Cursor& in, std::size_t bytes, bool is_unsigned) {
   const auto raw = in.number(bytes);
   if (is_unsigned) return raw;
   const auto shift = 64 - 8 * bytes;
-  return static_cast<std::int64_t>(raw << shift) >> shift;  // extends the sign
+  return static_cast<std::int64_t>(raw << shift) >> shift;  // sign-extends
 }
 
 }  // namespace
@@ -93,9 +93,9 @@
     case kTypeTimestamp:
     case kTypeDate:
     case kTypeDateTime:
-      return date_time(in);
+      return read_date_time(in);
     case kTypeTime:
-      return time_span(in);
+      return read_time(in);
     case kTypeTinyBlob:
     case kTypeMediumBlob:
     case kTypeLongBlob:
--- a/src/mysql/binary_value.hpp
+++ b/src/mysql/binary_value.hpp
@@ -1,4 +1,5 @@
-// Values and null bitmaps of the binary protocol, which parameters and rows of prepared statements travel in.
+// Reads and writes values and null bitmaps of the binary protocol, which encodes the parameters and the rows
+// of prepared statements.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +12,18 @@
 
 namespace bellstair::mysql {
 
-inline constexpr std::uint16_t kUnsignedFlag = 0x8000;  // beside a column type
+inline constexpr std::uint16_t kUnsignedFlag = 0x8000;  // combined with a column type
 
-// Throws MalformedPacket; also at types that are unknown.
+// Throws MalformedPacket, also for an unknown type.
 [[nodiscard]] sql::Value read_binary_value(Cursor& in, std::uint16_t type);
 [[nodiscard]] std::uint16_t binary_type_of(const sql::Value& value);
-// Appends nothing for NULL, which stands in the bitmap alone.
+// Appends nothing for NULL, which is encoded in the null bitmap only.
 void write_binary_value(Writer& out, const sql::Value& value);
 
-// Bits before those of the columns in a row.
+// Reserved bits of a row's null bitmap, before those of the columns.
 inline constexpr std::size_t kRowBitmapOffset = 2;
 [[nodiscard]] constexpr std::size_t bitmap_bytes(std::size_t bits) { return (bits + 7) / 8; }
-// The bitmap has room for the bit.
+// The bitmap must have room for the bit.
 void set_bit(std::string& bitmap, std::size_t bit);
 [[nodiscard]] bool has_bit(std::string_view bitmap, std::size_t bit);
 
--- a/src/mysql/command.cpp
+++ b/src/mysql/command.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t kMaxParameters = 4096;
-constexpr std::uint8_t kCursorFlags = 7, kParameterCountSent = 8;  // of an execute
-constexpr std::uint32_t kIterations = 1;                           // of an execute; nothing else is defined
+constexpr std::uint8_t kCursorFlags = 7, kParameterCountSent = 8;  // flags of an execute
+constexpr std::uint32_t kIterations = 1;  // of an execute; the protocol defines no other value
 
 std::string null_bitmap(const std::vector<sql::Value>& values) {
   std::string bitmap(bitmap_bytes(values.size()), '\0');
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-std::uint32_t execute_statement(std::string_view payload) {
+std::uint32_t read_statement_id(std::string_view payload) {
   Cursor in(payload);
   static_cast<void>(in.u8());
   return in.u32();
 }
 
-Execute read_execute(std::string_view payload, std::size_t parameters, bool attributes,
+Execute read_execute(std::string_view payload, std::size_t parameters, bool with_attributes,
                      ParameterTypes& types) {
   Cursor in(payload);
   Execute out;
@@ -37,12 +37,12 @@
   const auto flags = in.u8();
   if ((flags & kCursorFlags) != 0) throw MalformedPacket("cursors are not offered");
   static_cast<void>(in.u32());  // iterations
-  const bool counted = attributes && (flags & kParameterCountSent) != 0;
+  const bool count_sent = with_attributes && (flags & kParameterCountSent) != 0;
   std::size_t count = parameters;
-  if (counted) count = in.lenenc();
+  if (count_sent) count = in.lenenc();
   if (count < parameters || count > kMaxParameters) throw MalformedPacket("a wrong number of parameters");
   if (count == 0) {
-    if (!in.empty()) throw MalformedPacket("values without parameters");
+    if (!in.empty()) throw MalformedPacket("the statement has no parameters, but the execute sends values");
     return out;
   }
   const auto nulls = in.text(bitmap_bytes(count));
@@ -51,7 +51,7 @@
     types.types.clear();
     for (std::size_t i = 0; i < count; ++i) {
       types.types.push_back(in.u16());
-      if (counted) names[i] = in.lenenc_text();
+      if (count_sent) names[i] = in.lenenc_text();
     }
   }
   if (types.types.size() != count) throw MalformedPacket("parameters without types");
@@ -67,19 +67,19 @@
   return out;
 }
 
-std::string write_execute(const Execute& execute, bool attributes) {
+std::string write_execute(const Execute& execute, bool with_attributes) {
   auto all = execute.values;
-  if (attributes) {
+  if (with_attributes) {
     for (const auto& attribute : execute.attributes) all.push_back(attribute.value);
   }
   Writer out;
-  out.u8(kExecute).u32(execute.statement).u8(attributes ? kParameterCountSent : 0).u32(kIterations);
-  if (attributes) out.lenenc(all.size());
+  out.u8(kExecute).u32(execute.statement).u8(with_attributes ? kParameterCountSent : 0).u32(kIterations);
+  if (with_attributes) out.lenenc(all.size());
   if (all.empty()) return out.take();
   out.text(null_bitmap(all)).u8(1);
   for (std::size_t i = 0; i < all.size(); ++i) {
     out.u16(binary_type_of(all[i]));
-    if (!attributes) continue;
+    if (!with_attributes) continue;
     const bool named = i >= execute.values.size();
     out.lenenc_text(named ? execute.attributes[i - execute.values.size()].name : std::string());
   }
@@ -87,11 +87,11 @@
   return out.take();
 }
 
-Query read_query(std::string_view payload, bool attributes) {
+Query read_query(std::string_view payload, bool with_attributes) {
   Cursor in(payload);
   Query out;
   static_cast<void>(in.u8());
-  if (attributes) {
+  if (with_attributes) {
     const auto count = in.lenenc();
     if (in.lenenc() != 1) throw MalformedPacket("more than one set of attributes");
     if (count > kMaxParameters) throw MalformedPacket("too many attributes");
@@ -112,10 +112,10 @@
   return out;
 }
 
-std::string write_query(const Query& query, bool attributes) {
+std::string write_query(const Query& query, bool with_attributes) {
   Writer out;
   out.u8(kQuery);
-  if (attributes) {
+  if (with_attributes) {
     out.lenenc(query.attributes.size()).lenenc(1);
     if (!query.attributes.empty()) {
       std::vector<sql::Value> values;
@@ -142,7 +142,7 @@
 
 Prepared read_prepared(std::string_view payload) {
   Cursor in(payload);
-  if (in.u8() != 0) throw MalformedPacket("no answer to a prepare");
+  if (in.u8() != 0) throw MalformedPacket("unexpected response to a prepare");
   Prepared out;
   out.statement = in.u32();
   out.columns = in.u16();
--- a/src/mysql/command.hpp
+++ b/src/mysql/command.hpp
@@ -1,5 +1,5 @@
-// Commands of the MySQL client/server protocol: queries, and the preparing and executing of statements.
-// Readers throw MalformedPacket.
+// Reads and writes commands of the MySQL client/server protocol: queries, and the preparation and execution
+// of statements. The read functions throw MalformedPacket.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
   std::string name;
   sql::Value value;
 };
-struct ParameterTypes {  // a client sends them with the first execute only
+struct ParameterTypes {  // a client may omit them after a statement's first execute
   std::vector<std::uint16_t> types;
 };
 struct Execute {
@@ -25,18 +25,19 @@
   std::vector<sql::Value> values;
   std::vector<Attribute> attributes;
 };
-// `types`: as an earlier execute of the statement left them. `attributes`: whether the capability is on.
-[[nodiscard]] Execute read_execute(std::string_view payload, std::size_t parameters, bool attributes,
+// `types`: those of the statement's previous execute; replaced if this one sends new ones. `with_attributes`:
+// whether the connection supports query attributes.
+[[nodiscard]] Execute read_execute(std::string_view payload, std::size_t parameters, bool with_attributes,
                                    ParameterTypes& types);
-[[nodiscard]] std::uint32_t execute_statement(std::string_view payload);  // its id alone
-[[nodiscard]] std::string write_execute(const Execute& execute, bool attributes);
+[[nodiscard]] std::uint32_t read_statement_id(std::string_view payload);  // of any command on a statement
+[[nodiscard]] std::string write_execute(const Execute& execute, bool with_attributes);
 
 struct Query {
   std::string text;
   std::vector<Attribute> attributes;
 };
-[[nodiscard]] Query read_query(std::string_view payload, bool attributes);
-[[nodiscard]] std::string write_query(const Query& query, bool attributes);
+[[nodiscard]] Query read_query(std::string_view payload, bool with_attributes);
+[[nodiscard]] std::string write_query(const Query& query, bool with_attributes);
 
 struct Prepared {
   std::uint32_t statement = 0;
--- a/src/mysql/engine_session.cpp
+++ b/src/mysql/engine_session.cpp
@@ -2,7 +2,7 @@
 
 namespace bellstair::mysql {
 namespace {
-constexpr std::size_t kMaxPrepared = 128;  // on one connection
+constexpr std::size_t kMaxPrepared = 128;  // statements on one connection
 constexpr std::size_t kNonceBytes = 20;
 constexpr std::uint32_t kWantedCapabilities = kLongPassword | kProtocol41 | kTransactions |
                                               kSecureConnection | kPluginAuth | kLenencAuth |
@@ -10,37 +10,35 @@
 constexpr std::uint8_t kOk = 0x00;
 constexpr std::uint8_t kMoreAuthData = 0x01;
 constexpr std::uint8_t kAuthSwitch = 0xfe;
-constexpr std::uint8_t kFastAuthSucceeded = 3;  // else the engine wants what only TLS may carry
+constexpr std::uint8_t kFastAuthSucceeded = 3;  // else the engine asks for the password, which needs TLS
 
-std::string password_answer(const std::string& plugin, const std::string& password,
-                            const std::string& nonce) {
-  return plugin == kCachingSha2 ? sha2_answer(password, nonce) : native_auth_response(password, nonce);
+std::string auth_response(const std::string& plugin, const std::string& password, const std::string& nonce) {
+  return plugin == kCachingSha2 ? sha2_auth_response(password, nonce) : native_auth_response(password, nonce);
 }
 
 LoginStep failed() { return {LoginStep::State::failed, {}}; }
 
-LoginStep answer_greeting(EngineSession& session, const config::MysqlEngines& account,
-                          const std::string& payload) {
+LoginStep reply_to_greeting(EngineSession& session, const config::MysqlEngines& account,
+                            const std::string& payload) {
   const auto greeting = read_greeting(payload);
-  session.greeted = true;
+  session.greeting_received = true;
   session.connection_id = greeting.connection;
   session.capabilities = greeting.capabilities & kWantedCapabilities;
   session.nonce = greeting.nonce;
   if ((session.capabilities & kProtocol41) == 0) return failed();
   const auto* plugin = greeting.plugin == kCachingSha2 ? kCachingSha2 : kNativePassword;
-  return {LoginStep::State::in_progress,
-          write_login({session.capabilities | kLenencAuth,
-                       account.user,
-                       password_answer(plugin, account.password, session.nonce),
-                       plugin,
-                       {}})};
+  return {LoginStep::State::in_progress, write_login({session.capabilities | kLenencAuth,
+                                                      account.user,
+                                                      auth_response(plugin, account.password, session.nonce),
+                                                      plugin,
+                                                      {}})};
 }
 
-LoginStep answer_auth_switch(EngineSession& session, const config::MysqlEngines& account, Cursor& in) {
-  const std::string plugin(in.null_text());
+LoginStep reply_to_auth_switch(EngineSession& session, const config::MysqlEngines& account, Cursor& in) {
+  const std::string plugin(in.zero_terminated_text());
   if (plugin != kNativePassword && plugin != kCachingSha2) return failed();
   session.nonce = std::string(in.rest().substr(0, kNonceBytes));
-  return {LoginStep::State::in_progress, password_answer(plugin, account.password, session.nonce)};
+  return {LoginStep::State::in_progress, auth_response(plugin, account.password, session.nonce)};
 }
 }  // namespace
 
@@ -66,7 +64,7 @@
 LoginStep continue_login(EngineSession& session, const config::MysqlEngines& account,
                          const std::string& payload) {
   if (payload.empty() || is_error(payload)) return failed();
-  if (!session.greeted) return answer_greeting(session, account, payload);
+  if (!session.greeting_received) return reply_to_greeting(session, account, payload);
   Cursor in(payload);
   switch (in.u8()) {
     case kOk:
@@ -74,7 +72,7 @@
     case kMoreAuthData:
       return in.u8() == kFastAuthSucceeded ? LoginStep{} : failed();
     case kAuthSwitch:
-      return answer_auth_switch(session, account, in);
+      return reply_to_auth_switch(session, account, in);
     default:
       return failed();
   }
--- a/src/mysql/engine_session.hpp
+++ b/src/mysql/engine_session.hpp
@@ -1,4 +1,4 @@
-// The state of a connection to an engine that speaks MySQL: its login, and the statements prepared on it.
+// The state of a connection to a MySQL engine: its login and its prepared statements.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +17,26 @@
 
 namespace bellstair::mysql {
 
-// Statements that a connection knows, by their text; the one prepared first is evicted.
+// The statements prepared on a connection, by their text. The one that was prepared first is evicted first.
 class PreparedStatements {
  public:
   [[nodiscard]] const Prepared* find(const std::string& text) const;
-  // Makes room for one more; the statement to be closed at the engine, if any.
+  // Evicts a statement if the limit is reached. Returns it, to be closed at the engine.
   [[nodiscard]] std::optional<Prepared> evict();
   void add(const std::string& text, const Prepared& prepared);
 
  private:
   std::unordered_map<std::string, Prepared> by_text_;
-  std::deque<std::string> order_;  // of preparing
+  std::deque<std::string> order_;  // texts, in order of preparation
 };
 
 struct EngineSession : net::Session {
   static constexpr std::size_t kMaxPacket = std::size_t{4} << 20;
 
   PacketReader reader{kMaxPacket};
-  std::uint32_t connection_id = 0;  // the engine's, for KILL
-  std::uint32_t capabilities = 0;   // those that both sides have
-  bool greeted = false;
+  std::uint32_t connection_id = 0;  // assigned by the engine; used by KILL
+  std::uint32_t capabilities = 0;   // supported by both sides
+  bool greeting_received = false;
   std::string nonce;
   PreparedStatements prepared;
   [[nodiscard]] bool supports_attributes() const { return (capabilities & kQueryAttributes) != 0; }
@@ -48,7 +48,7 @@
   std::optional<std::string> reply;  // the payload to send
 };
 
-// Takes the engine's next packet of the login. Throws MalformedPacket.
+// Handles the engine's next login packet. Throws MalformedPacket.
 [[nodiscard]] LoginStep continue_login(EngineSession& session, const config::MysqlEngines& account,
                                        const std::string& payload);
 
--- a/src/mysql/handshake.cpp
+++ b/src/mysql/handshake.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::uint8_t kProtocolVersion = 10;
-constexpr std::uint32_t kMaxPacket = 1U << 24;  // bytes, that a client takes
-// The nonce travels in two parts; the second ends in a zero byte.
-constexpr std::size_t kNonceBytes = 20, kNonceFirstPart = 8, kNonceRestMinimum = 13;
+constexpr std::uint32_t kMaxPacket = 1U << 24;  // bytes; the largest packet that the client accepts
+// The nonce is sent in two parts; the second ends with a zero byte.
+constexpr std::size_t kNonceBytes = 20, kNonceFirstPart = 8, kNonceSecondPartMinimum = 13;
 
 std::string digest(const EVP_MD* kind, std::string_view a, std::string_view b = {}) {
   std::string joined(a);
@@ -35,25 +35,25 @@
 std::string write_greeting(const Greeting& greeting) {
   return Writer()
       .u8(kProtocolVersion)
-      .null_text(greeting.version)
+      .zero_terminated_text(greeting.version)
       .u32(greeting.connection)
-      .null_text(greeting.nonce.substr(0, kNonceFirstPart))
+      .zero_terminated_text(greeting.nonce.substr(0, kNonceFirstPart))
       .u16(static_cast<std::uint16_t>(greeting.capabilities))
       .u8(kUtf8)
       .u16(kAutocommit)
       .u16(static_cast<std::uint16_t>(greeting.capabilities >> 16))
       .u8(kNonceBytes + 1)
       .text(std::string(10, '\0'))
-      .null_text(greeting.nonce.substr(kNonceFirstPart))
-      .null_text(greeting.plugin)
+      .zero_terminated_text(greeting.nonce.substr(kNonceFirstPart))
+      .zero_terminated_text(greeting.plugin)
       .take();
 }
 
 Greeting read_greeting(std::string_view payload) {
   Cursor in(payload);
   Greeting out;
-  if (in.u8() != kProtocolVersion) throw MalformedPacket("a handshake of another version");
-  out.version = in.null_text();
+  if (in.u8() != kProtocolVersion) throw MalformedPacket("unsupported protocol version in the handshake");
+  out.version = in.zero_terminated_text();
   out.connection = in.u32();
   out.nonce = in.text(kNonceFirstPart);
   static_cast<void>(in.u8());
@@ -63,20 +63,24 @@
   const auto size = in.u8();
   static_cast<void>(in.text(10));
   if ((out.capabilities & kSecureConnection) != 0) {
-    const auto more = in.text(
-        std::max<std::size_t>(kNonceRestMinimum, size > kNonceFirstPart ? size - kNonceFirstPart : 0U));
-    out.nonce.append(more.substr(0, kNonceBytes - kNonceFirstPart));
+    const auto second_part = in.text(
+        std::max<std::size_t>(kNonceSecondPartMinimum, size > kNonceFirstPart ? size - kNonceFirstPart : 0U));
+    out.nonce.append(second_part.substr(0, kNonceBytes - kNonceFirstPart));
   }
-  if ((out.capabilities & kPluginAuth) != 0) out.plugin = in.null_text();
+  if ((out.capabilities & kPluginAuth) != 0) out.plugin = in.zero_terminated_text();
   return out;
 }
 
 std::string write_login(const Login& login) {
   Writer out;
-  out.u32(login.capabilities).u32(kMaxPacket).u8(kUtf8).text(std::string(23, '\0')).null_text(login.user);
-  out.lenenc_text(login.answer);  // kLenencAuth is always set here
-  if ((login.capabilities & kConnectWithDb) != 0) out.null_text(login.database);
-  if ((login.capabilities & kPluginAuth) != 0) out.null_text(login.plugin);
+  out.u32(login.capabilities)
+      .u32(kMaxPacket)
+      .u8(kUtf8)
+      .text(std::string(23, '\0'))
+      .zero_terminated_text(login.user);
+  out.lenenc_text(login.auth_response);  // callers always set kLenencAuth
+  if ((login.capabilities & kConnectWithDb) != 0) out.zero_terminated_text(login.database);
+  if ((login.capabilities & kPluginAuth) != 0) out.zero_terminated_text(login.plugin);
   return out.take();
 }
 
@@ -86,33 +90,33 @@
   out.capabilities = in.u32();
   if ((out.capabilities & kProtocol41) == 0) throw MalformedPacket("a client older than protocol 4.1");
   static_cast<void>(in.text(4 + 1 + 23));
-  out.user = in.null_text();
+  out.user = in.zero_terminated_text();
   if ((out.capabilities & kLenencAuth) != 0) {
-    out.answer = in.lenenc_text();
+    out.auth_response = in.lenenc_text();
   } else if ((out.capabilities & kSecureConnection) != 0) {
-    out.answer = in.text(in.u8());
+    out.auth_response = in.text(in.u8());
   } else {
-    out.answer = in.null_text();
+    out.auth_response = in.zero_terminated_text();
   }
-  if ((out.capabilities & kConnectWithDb) != 0) out.database = in.null_text();
-  if ((out.capabilities & kPluginAuth) != 0 && !in.empty()) out.plugin = in.null_text();
+  if ((out.capabilities & kConnectWithDb) != 0) out.database = in.zero_terminated_text();
+  if ((out.capabilities & kPluginAuth) != 0 && !in.empty()) out.plugin = in.zero_terminated_text();
   if ((out.capabilities & kConnectAttributes) != 0 && !in.empty()) static_cast<void>(in.lenenc_text());
   return out;
 }
 
 std::string native_auth_response(std::string_view password, std::string_view nonce) {
   if (password.empty()) return {};
-  const auto once = digest(EVP_sha1(), password);
-  return exclusive_or(once, digest(EVP_sha1(), nonce, digest(EVP_sha1(), once)));
+  const auto password_hash = digest(EVP_sha1(), password);
+  return exclusive_or(password_hash, digest(EVP_sha1(), nonce, digest(EVP_sha1(), password_hash)));
 }
 
-std::string sha2_answer(std::string_view password, std::string_view nonce) {
+std::string sha2_auth_response(std::string_view password, std::string_view nonce) {
   if (password.empty()) return {};
-  const auto once = digest(EVP_sha256(), password);
-  return exclusive_or(once, digest(EVP_sha256(), digest(EVP_sha256(), once), nonce));
+  const auto password_hash = digest(EVP_sha256(), password);
+  return exclusive_or(password_hash, digest(EVP_sha256(), digest(EVP_sha256(), password_hash), nonce));
 }
 
-bool same_secret(std::string_view a, std::string_view b) {
+bool equal_in_constant_time(std::string_view a, std::string_view b) {
   return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -12,12 +12,12 @@
 
 using Options = std::map<std::string, std::string, std::less<>>;
 
-[[noreturn]] void refuse(const std::string& what) {
-  throw InvalidStatement{{kWrongArguments, "HY000", what}};
+[[noreturn]] void reject(const std::string& reason) {
+  throw InvalidStatement{{kWrongArguments, "HY000", reason}};
 }
 
-constexpr std::string_view kCommentMark = "bellstair:";
-constexpr std::string_view kSpace = " \t\r\n";
+constexpr std::string_view kCommentPrefix = "bellstair:";
+constexpr std::string_view kWhitespace = " \t\r\n";
 constexpr std::size_t kMaxIdempotencyKey = 128;  // bytes
 constexpr double kMaxNumber = 1e9;
 
@@ -28,29 +28,29 @@
   return false;
 }
 
-void skip_space(std::string_view& text) {
-  text.remove_prefix(std::min(text.find_first_not_of(kSpace), text.size()));
+void skip_whitespace(std::string_view& text) {
+  text.remove_prefix(std::min(text.find_first_not_of(kWhitespace), text.size()));
 }
 
-// The text after the mark in the comment that the statement begins with; empty if there is none.
+// The text after the prefix in the statement's leading comment; empty if there is none.
 std::string_view comment_text(std::string_view statement) {
-  skip_space(statement);
+  skip_whitespace(statement);
   if (!statement.starts_with("/*")) return {};
   auto text = statement.substr(2, statement.find("*/") - 2);
-  skip_space(text);
-  if (!text.starts_with(kCommentMark)) return {};
-  text.remove_prefix(kCommentMark.size());
+  skip_whitespace(text);
+  if (!text.starts_with(kCommentPrefix)) return {};
+  text.remove_prefix(kCommentPrefix.size());
   return text;
 }
 
-// The bound value that `?N` stands for, counted from 1. `word`: the option as written, for errors.
+// The bound value that `?N` refers to, numbered from 1. `word`: the option as written, for error messages.
 const sql::Value& bound_value(std::string_view reference, const std::vector<sql::Value>& values,
                               std::string_view word) {
   const auto digits = reference.substr(1);
   std::size_t index = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), index);
   if (error != std::errc() || end != digits.data() + digits.size() || index == 0 || index > values.size())
-    refuse("the comment names a value that is not bound: " + std::string(word));
+    reject("the comment names a value that is not bound: " + std::string(word));
   return values[index - 1];
 }
 
@@ -58,12 +58,12 @@
 Options comment_options(std::string_view statement, const std::vector<sql::Value>& values) {
   Options out;
   auto text = comment_text(statement);
-  for (skip_space(text); !text.empty(); skip_space(text)) {
-    const auto word = text.substr(0, text.find_first_of(kSpace));
+  for (skip_whitespace(text); !text.empty(); skip_whitespace(text)) {
+    const auto word = text.substr(0, text.find_first_of(kWhitespace));
     text.remove_prefix(word.size());
     const auto equals = word.find('=');
     if (equals == std::string_view::npos || !is_option(word.substr(0, equals)))
-      refuse("the comment names no option: " + std::string(word));
+      reject("the comment contains an unknown option: " + std::string(word));
     const std::string name(word.substr(0, equals));
     const auto value = word.substr(equals + 1);
     if (!value.starts_with('?')) {
@@ -75,14 +75,14 @@
   return out;
 }
 
-double number(const Options& options, const char* name, double fallback) {
+double number_or(const Options& options, const char* name, double fallback) {
   const auto found = options.find(name);
   if (found == options.end()) return fallback;
   const auto& text = found->second;
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= kMaxNumber))
-    refuse(std::string(name) + " is not a number in range");
+    reject(std::string(name) + " is not a number in range");
   return value;
 }
 
@@ -95,14 +95,14 @@
                           const policy::Settings& settings) {
   if (const auto given = options.find("class"); given != options.end()) {
     const auto found = names.classes.find(given->second);
-    if (found == names.classes.end()) refuse("class is in no settings: " + given->second);
+    if (found == names.classes.end()) reject("class is in no settings: " + given->second);
     return found->second;
   }
-  // A statement that only reads needs none: it is of the first idempotent class.
-  const auto safe = std::ranges::find(settings.classes, policy::Idempotency::idempotent,
-                                      &policy::ClassSettings::idempotency);
-  if (!is_read_only(statement) || safe == settings.classes.end()) refuse("class is missing");
-  return static_cast<core::ClassIndex>(safe - settings.classes.begin());
+  // A read-only statement needs no class option: it gets the first idempotent class.
+  const auto idempotent_class = std::ranges::find(settings.classes, policy::Idempotency::idempotent,
+                                                  &policy::ClassSettings::idempotency);
+  if (!is_read_only(statement) || idempotent_class == settings.classes.end()) reject("class is missing");
+  return static_cast<core::ClassIndex>(idempotent_class - settings.classes.begin());
 }
 
 core::Time milliseconds(double value) { return core::Time(static_cast<std::int64_t>(value * 1e6)); }
@@ -110,19 +110,19 @@
 std::string idempotency_key(const std::string& key, const policy::ClassSettings& cls) {
   const auto allowed = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
   if (key.size() > kMaxIdempotencyKey || !std::ranges::all_of(key, allowed))
-    refuse("unique holds what no key may hold");
-  // Without a key of the client's, its own repeat could not be told from a new request.
+    reject("unique is too long, or has spaces or characters that are not printable ASCII");
+  // Without a key, a retry by the client could not be distinguished from a new request.
   if (cls.idempotency == policy::Idempotency::keyed && key.empty())
-    refuse("unique is missing: " + cls.name + " needs it");
+    reject("unique is missing: " + cls.name + " needs it");
   return key;
 }
 
-// 0 if the option is not given.
+// 0 if the option is absent.
 std::uint64_t ordering_key(const std::string& digits) {
   std::uint64_t key = 0;
   if (digits.empty()) return key;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), key, 16);
-  if (error != std::errc() || end != digits.data() + digits.size()) refuse("item is not up to 16 hex digits");
+  if (error != std::errc() || end != digits.data() + digits.size()) reject("item is not up to 16 hex digits");
   return key;
 }
 
@@ -133,7 +133,7 @@
                                const config::Names& names, const policy::Settings& settings) {
   auto options = comment_options(statement, values);
   for (const auto& attribute : attributes) {
-    // Drivers send attributes of their own too, which are ignored.
+    // Attributes that drivers add on their own are ignored.
     if (const auto value = sql::as_text(attribute.value); value && is_option(attribute.name))
       options[attribute.name] = *value;
   }
@@ -141,11 +141,11 @@
   out.cls = class_of(options, statement, names, settings);
   const auto& cls = settings.classes.at(out.cls);
   out.tenant = tenant;
-  const double most = std::chrono::duration<double, std::milli>(cls.client_timeout).count();
-  out.time_limit = milliseconds(number(options, "limit", most));
-  if (options.contains("cpu")) out.estimated_work = milliseconds(number(options, "cpu", 0));
-  out.estimated_memory_mb = number(options, "ram", 0);
-  out.is_client_retry = number(options, "second", 0) != 0;
+  const double client_timeout_ms = std::chrono::duration<double, std::milli>(cls.client_timeout).count();
+  out.time_limit = milliseconds(number_or(options, "limit", client_timeout_ms));
+  if (options.contains("cpu")) out.estimated_work = milliseconds(number_or(options, "cpu", 0));
+  out.estimated_memory_mb = number_or(options, "ram", 0);
+  out.is_client_retry = number_or(options, "second", 0) != 0;
   out.idempotency_key = idempotency_key(options["unique"], cls);
   out.ordering_key = ordering_key(options["item"]);
   out.body = statement;
@@ -155,20 +155,22 @@
 }
 
 Error error_of(const core::Answer& answer) {
-  const auto more = answer.body.empty() ? std::string() : ": " + answer.body;
+  const auto detail = answer.body.empty() ? std::string() : ": " + answer.body;
   switch (answer.kind) {
     case core::AnswerKind::rejected: {
-      const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(answer.retry_after).count();
-      // 40001: drivers know it as "nothing has happened, try again".
-      return {kRefused, "40001", "refused; come back after " + std::to_string(pause) + " ms" + more};
+      const auto retry_after_ms =
+          std::chrono::duration_cast<std::chrono::milliseconds>(answer.retry_after).count();
+      // To drivers, 40001 means that nothing was executed and that the statement can be retried.
+      return {kRejected, "40001",
+              "refused; come back after " + std::to_string(retry_after_ms) + " ms" + detail};
     }
     case core::AnswerKind::timed_out:
-      return {kTimedOut, "HYT00", "timed out; it may have run" + more};
+      return {kTimedOut, "HYT00", "timed out; it may have run" + detail};
     case core::AnswerKind::failed:
     case core::AnswerKind::served:
       break;
   }
-  return {kFailed, "HY000", "failed; it may have run" + more};
+  return {kFailed, "HY000", "failed; it may have run" + detail};
 }
 
 }  // namespace bellstair::mysql
--- a/src/mysql/mapping.hpp
+++ b/src/mysql/mapping.hpp
@@ -1,4 +1,4 @@
-// How a statement of a MySQL client becomes a request: the documented mapping (README, "MySQL clients").
+// Maps a statement of a MySQL client to a request, as documented in the README ("MySQL clients").
 #pragma once
 
 #include <string>
@@ -13,17 +13,17 @@
 
 namespace bellstair::mysql {
 
-// Codes from 50000 up are the protocol's own range for others than the server's makers.
-inline constexpr std::uint16_t kRefused = 50001, kFailed = 50002, kTimedOut = 50003;
+// Error codes from 50000 up are reserved by MySQL for third parties.
+inline constexpr std::uint16_t kRejected = 50001, kFailed = 50002, kTimedOut = 50003;
 inline constexpr std::uint16_t kAccessDenied = 1045, kUnknownCommand = 1047, kEmptyQuery = 1065,
                                kTooLarge = 1153, kWrongArguments = 1210, kUnknownStatement = 1243,
-                               kDirectoryDown = 1429, kMalformedPacket = 1835;
+                               kDirectoryUnavailable = 1429, kMalformedPacket = 1835;
 
-struct InvalidStatement {  // thrown: the statement can't become a request
+struct InvalidStatement {  // thrown if a statement cannot be mapped to a request
   Error error;
 };
 
-// Throws InvalidStatement. The client handle and the ticket are the caller's to fill in.
+// Throws InvalidStatement. The caller sets the front, the client handle and the ticket.
 [[nodiscard]] core::Submission map_statement(std::string_view statement,
                                              const std::vector<sql::Value>& values,
                                              const std::vector<Attribute>& attributes, std::uint32_t tenant,
--- a/src/mysql/mysql_engine_client.cpp
+++ b/src/mysql/mysql_engine_client.cpp
@@ -11,11 +11,11 @@
 using core::AttemptId;
 
 constexpr core::Time kCommandTimeout = 500ms;
-// Errors by which an engine takes no work now; before an execute they prove that nothing ran.
+// Errors of an engine that accepts no work now. Before an execute they prove that nothing was executed.
 constexpr std::uint16_t kShuttingDown = 1053;
-constexpr std::uint16_t kTooManyConnectionsOfUser = 1203;
+constexpr std::uint16_t kTooManyUserConnections = 1203;
 
-// Query attributes, by which an engine learns of the request.
+// Query attributes that describe the request to the engine.
 constexpr const char* kRequestIdAttribute = "ticket";
 constexpr const char* kClassAttribute = "class";
 constexpr const char* kTimeLimitMsAttribute = "limit";
@@ -29,8 +29,8 @@
 
 std::string command(std::uint8_t code, std::string_view text) { return Writer().u8(code).text(text).take(); }
 
-// A list of definitions is followed by its end.
-std::size_t packets_of_definitions(std::size_t count) { return count == 0 ? 0 : count + 1; }
+// A list of definitions is followed by an EOF packet.
+std::size_t definition_packets(std::size_t count) { return count == 0 ? 0 : count + 1; }
 }  // namespace
 
 MysqlEngineClient::MysqlEngineClient(ev::loop_ref loop, net::ConnectionPool::Limits limits,
@@ -47,7 +47,7 @@
 void MysqlEngineClient::tick(core::Time now) {
   now_ = now;
   pool_.tick(now);
-  command_timeouts_.advance(now, [this](std::uint64_t serial) { abandon_command(serial); });
+  command_timeouts_.advance(now, [this](std::uint64_t serial) { fail_command(serial); });
 }
 
 void MysqlEngineClient::resume(const net::Stall& stall) {
@@ -55,12 +55,12 @@
   pool_.set_clock(stall.resumed_at);
 }
 
-// ---- the login
+// ---- login
 
 void MysqlEngineClient::log_in(Connection& connection, std::function<void(bool)> done) {
   connection.session = std::make_unique<EngineSession>();
   connection.on_data = [this, &connection, done = std::move(done)](std::string_view bytes) {
-    const auto on_done = done;  // the handler may be replaced from within
+    const auto on_done = done;  // the call may replace this closure
     auto& reader = session_of(connection).reader;
     reader.feed(bytes);
     try {
@@ -87,12 +87,12 @@
     pool_.remove_endpoint(effect.engine);
   }
   if (effect.accepting) return;
-  // A statement that is being prepared has not been sent yet, and must not be once the engine drains.
-  std::vector<AttemptId> unsent;
+  // A statement that is being prepared has not been executed yet, and must not be once the engine drains.
+  std::vector<AttemptId> unexecuted;
   for (const auto& [id, attempt] : attempts_) {
-    if (attempt.engine == effect.engine && attempt.stage == Stage::preparing) unsent.push_back(id);
+    if (attempt.engine == effect.engine && attempt.stage == Stage::preparing) unexecuted.push_back(id);
   }
-  for (const auto id : unsent) run(core::CancelAttempt{id});
+  for (const auto id : unexecuted) run(core::CancelAttempt{id});
 }
 
 void MysqlEngineClient::run(const core::StartAttempt& effect) {
@@ -118,8 +118,8 @@
   attempt.statement = std::move(effect);
   const auto& statement = attempt.statement;
   if (statement.parameters.empty()) return execute(statement.id, attempt);
-  if (const auto* known = session_of(*attempt.connection).prepared.find(statement.body)) {
-    attempt.prepared = *known;
+  if (const auto* prepared = session_of(*attempt.connection).prepared.find(statement.body)) {
+    attempt.prepared = *prepared;
     return execute(statement.id, attempt);
   }
   attempt.stage = Stage::preparing;
@@ -141,7 +141,7 @@
   return attributes;
 }
 
-// Nothing of the statement has run before this is written; once a byte has left, it may have.
+// The statement cannot have been executed before this write. Once a byte has been sent, it may have been.
 void MysqlEngineClient::execute(AttemptId id, Attempt& attempt) {
   const auto& statement = attempt.statement;
   const bool with_attributes = session_of(*attempt.connection).supports_attributes();
@@ -152,7 +152,7 @@
   } else {
     auto values = sql::unpack(statement.parameters);
     if (!values || values->size() != attempt.prepared.parameters)
-      return end(id, AttemptEnd::error, "the engine counts other parameters");
+      return end(id, AttemptEnd::error, "the engine expects a different number of parameters");
     payload = write_execute({attempt.prepared.statement, std::move(*values), std::move(attributes)},
                             with_attributes);
   }
@@ -172,7 +172,7 @@
     case Stage::connected:
       return end(id, AttemptEnd::expired);
     case Stage::preparing:
-      // The answer is still to come, and must not be taken for another's.
+      // The response to the prepare is outstanding, and must not be read as that of another statement.
       pool_.discard(*std::exchange(attempt.connection, nullptr));
       return end(id, AttemptEnd::expired);
     case Stage::executing: {
@@ -222,22 +222,22 @@
   };
   command_timeouts_.arm(now_ + kCommandTimeout, serial);
   connection.on_data = [this, &connection, serial, &session, handler](std::string_view bytes) {
-    const auto on_answer = handler;  // releasing the connection destroys this closure
+    const auto on_response = handler;  // releasing the connection destroys this closure
     session.reader.feed(bytes);
     bool answered = false;
     try {
       answered = session.reader.next().has_value();
     } catch (const MalformedPacket&) {
-      return;  // until the timeout
+      return;  // the command fails at its timeout
     }
     if (!answered || on_command_timeout_.erase(serial) == 0) return;
     session.reader.buffered() == 0 ? pool_.release(connection) : pool_.discard(connection);
-    on_answer(CommandOutcome::answered);
+    on_response(CommandOutcome::answered);
   };
-  connection.on_lost = [this, serial](bool) { abandon_command(serial); };
+  connection.on_lost = [this, serial](bool) { fail_command(serial); };
 }
 
-void MysqlEngineClient::abandon_command(std::uint64_t serial) {
+void MysqlEngineClient::fail_command(std::uint64_t serial) {
   const auto found = on_command_timeout_.find(serial);
   if (found == on_command_timeout_.end()) return;
   const auto on_timeout = std::move(found->second);
@@ -245,7 +245,7 @@
   on_timeout();
 }
 
-// ---- answers
+// ---- responses
 
 void MysqlEngineClient::on_data(AttemptId id, std::string_view bytes) {
   const auto found = attempts_.find(id);
@@ -267,7 +267,7 @@
 }
 
 void MysqlEngineClient::on_packet(AttemptId id, Attempt& attempt, const Packet& packet) {
-  if (packet.payload.empty()) throw MalformedPacket("an empty answer");
+  if (packet.payload.empty()) throw MalformedPacket("an empty response packet");
   switch (attempt.stage) {
     case Stage::preparing:
       return on_prepared(id, attempt, packet.payload);
@@ -276,7 +276,7 @@
       return on_result(id, attempt, packet.payload);
     case Stage::connecting:
     case Stage::connected:
-      throw MalformedPacket("an answer to nothing");
+      throw MalformedPacket("a response without a command");
   }
 }
 
@@ -286,38 +286,39 @@
   } else {
     if (is_error(payload)) return on_prepare_error(id, payload);
     attempt.prepared = read_prepared(payload);
-    attempt.definitions_left = packets_of_definitions(attempt.prepared.parameters) +
-                               packets_of_definitions(attempt.prepared.columns);
+    attempt.definitions_left =
+        definition_packets(attempt.prepared.parameters) + definition_packets(attempt.prepared.columns);
     if (attempt.definitions_left > 0) return;
   }
-  auto& known = session_of(*attempt.connection).prepared;
-  if (const auto evicted = known.evict()) {
+  auto& prepared = session_of(*attempt.connection).prepared;
+  if (const auto evicted = prepared.evict()) {
     const auto close = Writer().u8(kCloseStatement).u32(evicted->statement).take();
     attempt.connection->stream.write(frame(0, close));
   }
-  known.add(attempt.statement.body, attempt.prepared);
+  prepared.add(attempt.statement.body, attempt.prepared);
   execute(id, attempt);
 }
 
-// The statement was never executed; but one that is wrong is wrong on every engine.
+// The statement was never executed. Errors of a busy engine are reported as a rejection; other errors are
+// not, since an invalid statement is invalid on every engine.
 void MysqlEngineClient::on_prepare_error(AttemptId id, const std::string& payload) {
   const auto error = read_error(payload);
   const bool busy = error.code == kTooManyConnections || error.code == kShuttingDown ||
-                    error.code == kTooManyConnectionsOfUser;
+                    error.code == kTooManyUserConnections;
   end(id, busy ? AttemptEnd::rejected : AttemptEnd::error, error.message);
 }
 
 void MysqlEngineClient::on_result(AttemptId id, Attempt& attempt, const std::string& payload) {
   if (is_error(payload)) {
     const auto error = read_error(payload);
-    if (attempt.stage == Stage::killing) return;  // the answer to the kill ends the attempt
+    if (attempt.stage == Stage::killing) return;  // the response to KILL ends the attempt
     return end(id, AttemptEnd::error, error.message);
   }
   const bool binary = !attempt.statement.parameters.empty();
   if (attempt.reader.read(payload, binary)) end(id, AttemptEnd::served);
 }
 
-// The connection is gone, or nothing on it can be trusted any more.
+// The connection was lost, or its data is malformed and cannot be parsed any further.
 void MysqlEngineClient::on_lost(AttemptId id) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
@@ -327,28 +328,28 @@
     case Stage::connecting:
     case Stage::connected:
     case Stage::preparing:
-      return end(id, AttemptEnd::connect_failed);  // it was never executed
+      return end(id, AttemptEnd::connect_failed);  // the statement was never executed
     case Stage::executing:
-      return end(id, AttemptEnd::reset);  // it may have been
+      return end(id, AttemptEnd::reset);  // the statement may have been executed
     case Stage::killing:
       return end(id, AttemptEnd::cancelled);
   }
 }
 
-void MysqlEngineClient::end(AttemptId id, AttemptEnd how, std::string error) {
+void MysqlEngineClient::end(AttemptId id, AttemptEnd kind, std::string error) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto attempt = std::move(found->second);
   attempts_.erase(found);
   if (attempt.connection != nullptr) {
-    // A connection that was killed is of no more use, nor one with more behind the answer.
-    const bool reusable = how == AttemptEnd::served || how == AttemptEnd::expired ||
-                          how == AttemptEnd::error || how == AttemptEnd::rejected;
-    const bool drained = session_of(*attempt.connection).reader.buffered() == 0;
-    reusable&& drained ? pool_.release(*attempt.connection) : pool_.discard(*attempt.connection);
+    // A connection cannot be reused after a KILL, nor with unread bytes after the response.
+    const bool reusable = kind == AttemptEnd::served || kind == AttemptEnd::expired ||
+                          kind == AttemptEnd::error || kind == AttemptEnd::rejected;
+    const bool input_consumed = session_of(*attempt.connection).reader.buffered() == 0;
+    reusable&& input_consumed ? pool_.release(*attempt.connection) : pool_.discard(*attempt.connection);
   }
-  attempt.result.end = how;
-  if (how == AttemptEnd::served) {
+  attempt.result.end = kind;
+  if (kind == AttemptEnd::served) {
     attempt.result.body = attempt.reader.take_rows();
     attempt.result.shape = pack(attempt.reader.shape());
   } else {
--- a/src/mysql/mysql_engine_client.hpp
+++ b/src/mysql/mysql_engine_client.hpp
@@ -1,5 +1,5 @@
-// Engines that speak MySQL. Prepared statements of clients belong to the broker: each is prepared on the
-// connection that an attempt uses, unless that connection knows it already.
+// The client of engines that use the MySQL protocol. The broker holds the prepared statements of its clients.
+// For an attempt, a statement is prepared on the attempt's connection unless it was already prepared there.
 #pragma once
 
 #include <ev++.h>
@@ -25,7 +25,7 @@
 
 class MysqlEngineClient : public net::EngineDriver {
  public:
-  // `class_names`: by core::ClassIndex.
+  // `class_names`: indexed by core::ClassIndex.
   MysqlEngineClient(ev::loop_ref loop, net::ConnectionPool::Limits limits, config::MysqlEngines account,
                     std::vector<std::string> class_names, net::EventSink emit);
 
@@ -75,21 +75,20 @@
   void on_prepare_error(core::AttemptId id, const std::string& payload);
   void on_result(core::AttemptId id, Attempt& attempt, const std::string& payload);
   void on_lost(core::AttemptId id);
-  // `error`: what the engine said, unless served.
-  void end(core::AttemptId id, core::AttemptEnd how, std::string error = {});
+  // `error`: the engine's message, unless served.
+  void end(core::AttemptId id, core::AttemptEnd kind, std::string error = {});
 
-  // A command that one OK packet answers, on any connection to the engine.
+  // Sends a command whose response is a single packet, on any connection to the engine.
   void run_command(core::EngineId engine, std::string payload, CommandHandler handler);
   void send_command(Connection& connection, const std::string& payload, const CommandHandler& handler);
-  void abandon_command(std::uint64_t serial);
+  void fail_command(std::uint64_t serial);
 
   net::ConnectionPool pool_;
   config::MysqlEngines account_;
   std::vector<std::string> class_names_;
   net::EventSink emit_;
   std::map<core::AttemptId, Attempt> attempts_;
-  std::unordered_map<std::uint64_t, std::function<void()>>
-      on_command_timeout_;  // of commands without an answer
+  std::unordered_map<std::uint64_t, std::function<void()>> on_command_timeout_;  // of unanswered commands
   core::TimerWheel<std::uint64_t> command_timeouts_{std::chrono::milliseconds(5)};
   std::uint64_t last_command_ = 0;
   core::Time now_{};
--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -17,7 +17,7 @@
                                                kSecureConnection | kPluginAuth | kConnectAttributes |
                                                kLenencAuth | kQueryAttributes;
 constexpr core::Time kLoginTimeout = 10s;
-constexpr std::size_t kMaxBuffered = std::size_t{2} << 20;  // of what a client sends ahead
+constexpr std::size_t kMaxBuffered = std::size_t{2} << 20;  // bytes of commands that a client sends ahead
 constexpr std::size_t kMaxStatements = 1024;                // prepared, on one connection
 constexpr std::size_t kNonceBytes = 20;
 constexpr std::uint8_t kAuthSwitch = 0xfe;
@@ -25,7 +25,7 @@
 constexpr std::uint8_t kFastAuthSucceeded = 0x03;
 constexpr std::uint16_t kTooManyStatements = 1461;
 
-// Random bytes without zeros, which end a text in this protocol.
+// Random bytes without zeros, since a zero byte terminates a string in this protocol.
 std::string new_nonce() {
   std::string out(kNonceBytes, '\0');
   RAND_bytes(reinterpret_cast<unsigned char*>(out.data()), static_cast<int>(out.size()));
@@ -38,7 +38,7 @@
 }
 
 std::string auth_switch(const char* plugin, const std::string& nonce) {
-  return Writer().u8(kAuthSwitch).null_text(plugin).null_text(nonce).take();
+  return Writer().u8(kAuthSwitch).zero_terminated_text(plugin).zero_terminated_text(nonce).take();
 }
 
 }  // namespace
@@ -88,7 +88,8 @@
           },
       .ended =
           [this, &connection] {
-            // The client may only have closed its side, or have gone: what runs is answered.
+            // The client has closed its sending side or the whole connection. A running statement is still
+            // answered.
             connection.half_closed = true;
             if (connection.phase == Phase::running) return emit_(core::ClientHalfClosed{connection.client});
             if (connection.stream.unsent_bytes() == 0) close(connection);
@@ -125,20 +126,20 @@
   if (connection.phase != Phase::running) close_gracefully(connection);
 }
 
-// After a half-close, a reset is not seen by reading.
-void MysqlServer::close_departed_clients() {
-  std::vector<Connection*> departed;
+// After a half-close, reads no longer report a reset of the connection.
+void MysqlServer::close_reset_connections() {
+  std::vector<Connection*> reset_connections;
   for (const auto& [client, serial] : running_) {
     auto& connection = *connections_.at(serial);
-    if (connection.half_closed && connection.stream.reset()) departed.push_back(&connection);
+    if (connection.half_closed && connection.stream.reset()) reset_connections.push_back(&connection);
   }
-  for (auto* connection : departed) close(*connection);
+  for (auto* connection : reset_connections) close(*connection);
 }
 
 void MysqlServer::tick(core::Time now) {
   now_ = now;
   lingerer_.tick(now);
-  close_departed_clients();
+  close_reset_connections();
   login_timers_.advance(now, [this](std::uint64_t serial) {
     const auto found = connections_.find(serial);
     if (found != connections_.end() && found->second->phase < Phase::idle) close_gracefully(*found->second);
@@ -158,11 +159,11 @@
 void MysqlServer::shut_down() {
   shutting_down_ = true;
   lingerer_.lift_limit();
-  std::vector<Connection*> unoccupied;
+  std::vector<Connection*> not_running;
   for (const auto& [serial, connection] : connections_) {
-    if (connection->phase != Phase::running) unoccupied.push_back(connection.get());
+    if (connection->phase != Phase::running) not_running.push_back(connection.get());
   }
-  for (auto* connection : unoccupied) close_gracefully(*connection);
+  for (auto* connection : not_running) close_gracefully(*connection);
 }
 
 bool MysqlServer::has_unsent_output() const {
@@ -172,7 +173,8 @@
 
 // ---- packets
 
-// One command at a time: what a client sends ahead stays where it is until the answer has gone out.
+// Handles one command at a time. Commands that a client sends ahead stay buffered until the response has been
+// sent.
 void MysqlServer::read_packets(Connection& connection) {
   if (connection.in_read_packets) return;
   connection.in_read_packets = true;
@@ -184,7 +186,7 @@
       on_packet(connection, *packet);
     }
   } catch (const MalformedPacket& error) {
-    // Where the next packet begins can't be told any more.
+    // The start of the next packet is unknown.
     connection.sequence = 1;
     close_with_error(connection, {kMalformedPacket, "HY000", error.what()});
   }
@@ -214,35 +216,36 @@
   }
 }
 
-// ---- the login
+// ---- login
 
 void MysqlServer::on_login(Connection& connection, const std::string& payload) {
   auto login = read_login(payload);
   connection.capabilities = login.capabilities & kOfferedCapabilities;
   connection.user = login.user;
-  const bool in_own_settings =
+  const bool is_configured_user =
       std::ranges::any_of(config_.users, [&](const auto& u) { return u.name == login.user; });
-  if (!in_own_settings && options_.lookup) {
-    // A directory takes the password as it is; this front listens on the loopback only.
+  if (!is_configured_user && options_.lookup) {
+    // The directory needs the password in clear text. This server listens on the loopback interface only.
     connection.phase = Phase::clear_password;
     return send(connection, auth_switch(kClearPassword, connection.nonce));
   }
   if (login.plugin == kCachingSha2 || login.plugin == kNativePassword)
-    return check_password(connection, login.answer, login.plugin);
+    return check_password(connection, login.auth_response, login.plugin);
   connection.phase = Phase::auth_switched;
   send(connection, auth_switch(kNativePassword, connection.nonce));
 }
 
-void MysqlServer::check_password(Connection& connection, const std::string& answer,
+void MysqlServer::check_password(Connection& connection, const std::string& auth_response,
                                  const std::string& plugin) {
   const auto user = std::ranges::find(config_.users, connection.user, &config::MysqlUser::name);
   if (user == config_.users.end()) return close_with_error(connection, access_denied(connection.user));
   const bool sha2 = plugin == kCachingSha2;
-  const auto expected = sha2 ? sha2_answer(user->password, connection.nonce)
+  const auto expected = sha2 ? sha2_auth_response(user->password, connection.nonce)
                              : native_auth_response(user->password, connection.nonce);
-  // An empty password goes as no bytes, or as a lone zero.
-  const auto given = answer == std::string(1, '\0') ? std::string() : answer;
-  if (!same_secret(given, expected)) return close_with_error(connection, access_denied(connection.user));
+  // An empty password is sent as no bytes or as a single zero byte.
+  const auto received = auth_response == std::string(1, '\0') ? std::string() : auth_response;
+  if (!equal_in_constant_time(received, expected))
+    return close_with_error(connection, access_denied(connection.user));
   if (sha2 && !expected.empty()) send(connection, Writer().u8(kMoreAuthData).u8(kFastAuthSucceeded).take());
   accept_login(connection, user->tenant);
 }
@@ -250,22 +253,22 @@
 void MysqlServer::look_up_user(Connection& connection, const std::string& password) {
   connection.phase = Phase::directory_lookup;
   options_.lookup(connection.user, password,
-                  [this, serial = connection.serial](const directory::LookupResult& verdict) {
-                    on_lookup(serial, verdict);
+                  [this, serial = connection.serial](const directory::LookupResult& result) {
+                    on_lookup(serial, result);
                   });
 }
 
-void MysqlServer::on_lookup(std::uint64_t serial, const directory::LookupResult& verdict) {
+void MysqlServer::on_lookup(std::uint64_t serial, const directory::LookupResult& result) {
   using Kind = directory::LookupResult::Kind;
   const auto found = connections_.find(serial);
   if (found == connections_.end()) return;
   auto& connection = *found->second;
-  if (verdict.kind == Kind::denied) return close_with_error(connection, access_denied(connection.user));
-  if (verdict.kind == Kind::unavailable) {
-    return close_with_error(
-        connection, {kDirectoryDown, "HY000", "the directory of users can't be reached; try again later"});
+  if (result.kind == Kind::denied) return close_with_error(connection, access_denied(connection.user));
+  if (result.kind == Kind::unavailable) {
+    return close_with_error(connection, {kDirectoryUnavailable, "HY000",
+                                         "the directory of users can't be reached; try again later"});
   }
-  accept_login(connection, verdict.tenant);
+  accept_login(connection, result.tenant);
   if (connection.phase == Phase::idle) read_packets(connection);
 }
 
@@ -294,19 +297,19 @@
     case kExecute:
       return execute(connection, payload);
     case kResetStatement: {
-      if (!connection.statements.contains(execute_statement(payload)))
+      if (!connection.statements.contains(read_statement_id(payload)))
         return send_error(connection, {kUnknownStatement, "HY000", "unknown prepared statement"});
       return send(connection, write_ok());
     }
     case kCloseStatement:
-      connection.statements.erase(execute_statement(payload));
-      return;  // nothing answers it
+      connection.statements.erase(read_statement_id(payload));
+      return;  // the command has no response
     default:
       return send_error(connection, {kUnknownCommand, "08S01", "unknown command"});
   }
 }
 
-// Statements belong to the broker: an engine comes to know them when an attempt is sent to it.
+// The broker holds the prepared statement. An engine prepares it only when an attempt is sent to that engine.
 void MysqlServer::prepare(Connection& connection, std::string text) {
   if (sql::first_word(text).empty())
     return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
@@ -324,7 +327,7 @@
 }
 
 void MysqlServer::execute(Connection& connection, const std::string& payload) {
-  const auto found = connection.statements.find(execute_statement(payload));
+  const auto found = connection.statements.find(read_statement_id(payload));
   if (found == connection.statements.end())
     return send_error(connection, {kUnknownStatement, "HY000", "unknown prepared statement"});
   auto& statement = found->second;
@@ -343,9 +346,9 @@
                          const std::vector<Attribute>& attributes, bool binary) {
   const auto word = sql::first_word(text);
   if (word.empty()) return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
-  // What drivers set when they connect is about a session, and a broker has none.
+  // Drivers set session variables when they connect. The broker has no session, so it ignores them.
   if (word == "set") return send(connection, write_ok());
-  // The settings may have lost it since the login.
+  // The tenant may have been removed from the settings since the login.
   const auto tenant = names_.tenants.find(connection.tenant);
   if (tenant == names_.tenants.end()) return send_error(connection, access_denied(connection.user));
   try {
--- a/src/mysql/mysql_server.hpp
+++ b/src/mysql/mysql_server.hpp
@@ -1,4 +1,5 @@
-// The server for clients that speak MySQL: logins, and one statement at a time on a connection.
+// The server for clients that use the MySQL protocol. It handles logins and runs one statement at a time on
+// each connection.
 #pragma once
 
 #include <ev++.h>
@@ -34,10 +35,10 @@
   struct Options {
     std::size_t max_connections = 256;
     bool escaped_rows = false;  // see read_rows()
-    directory::Lookup lookup;   // of users that the server's own settings do not name; empty: no directory
+    directory::Lookup lookup;   // for users that are not in the server's own settings; empty: no directory
   };
-  // Client handles are drawn from `last_handle`, which all servers share. The seed is that of the request
-  // ids.
+  // `last_handle`: the last client handle that was assigned; all servers share it. `seed`: for generating
+  // request ids.
   MysqlServer(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
               const config::Names& names, const policy::Settings& settings, Options options,
               std::uint64_t& last_handle, std::uint64_t seed, net::EventSink emit);
@@ -55,8 +56,8 @@
 
   enum class Phase {
     login,
-    auth_switched,   // the client is to answer for another authentication plugin
-    clear_password,  // the client is to send its password as it is
+    auth_switched,   // waits for the client's response to another authentication plugin
+    clear_password,  // waits for the client's password in clear text
     directory_lookup,
     idle,
     running,
@@ -76,15 +77,15 @@
     Phase phase = Phase::login;
     std::string nonce;
     std::string user;
-    std::string tenant;  // by name: it may leave the settings and come back
+    std::string tenant;  // by name: it may be removed from the settings and added again
     std::uint32_t capabilities = 0;
     std::uint8_t sequence = 0;
     bool in_read_packets = false;
-    bool closing = false;           // input is dropped; closed once what runs is answered
-    bool half_closed = false;       // the client writes no more: it has closed its side, or all of it
-    core::ClientHandle client = 0;  // while one of its statements runs
+    bool closing = false;           // input is ignored; closed once the running statement is answered
+    bool half_closed = false;       // the client has closed its sending side or the whole connection
+    core::ClientHandle client = 0;  // set while one of its statements runs
     bool binary_result = false;
-    bool returns_rows = false;  // the running statement, by its first word
+    bool returns_rows = false;  // of the running statement, judged by its first word
     std::map<std::uint32_t, Statement> statements;
     std::uint32_t last_statement_id = 0;
   };
@@ -95,9 +96,9 @@
   void on_packet(Connection& connection, const Packet& packet);
 
   void on_login(Connection& connection, const std::string& payload);
-  void check_password(Connection& connection, const std::string& answer, const std::string& plugin);
+  void check_password(Connection& connection, const std::string& auth_response, const std::string& plugin);
   void look_up_user(Connection& connection, const std::string& password);
-  void on_lookup(std::uint64_t serial, const directory::LookupResult& verdict);
+  void on_lookup(std::uint64_t serial, const directory::LookupResult& result);
   void accept_login(Connection& connection, const std::string& tenant);
 
   void on_command(Connection& connection, const std::string& payload);
@@ -109,8 +110,8 @@
 
   void send(Connection& connection, std::string_view payload);
   void send_error(Connection& connection, const Error& error);
-  void close_departed_clients();
-  // The one end of a connection: what runs for it is cancelled.
+  void close_reset_connections();
+  // Every connection ends here. Its running statement is cancelled.
   void close(Connection& connection);
   void close_gracefully(Connection& connection);
   void close_with_error(Connection& connection, const Error& error);
@@ -125,8 +126,8 @@
   net::EventSink emit_;
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::ClientHandle, std::uint64_t> running_;  // connections
-  std::vector<std::unique_ptr<Connection>> closed_;  // freed once no handler of theirs can be running
+  std::unordered_map<core::ClientHandle, std::uint64_t> running_;  // serials of connections
+  std::vector<std::unique_ptr<Connection>> closed_;  // freed once none of their handlers can be running
   net::Lingerer lingerer_;
   bool shutting_down_ = false;
   core::TimerWheel<std::uint64_t> login_timers_{std::chrono::milliseconds(5)};  // by connection
--- a/src/mysql/packet.cpp
+++ b/src/mysql/packet.cpp
@@ -5,7 +5,7 @@
 namespace bellstair::mysql {
 namespace {
 
-constexpr std::size_t kHeaderBytes = 4;  // three of the length, one of the sequence
+constexpr std::size_t kHeaderBytes = 4;  // three for the length, one for the sequence number
 
 }  // namespace
 
--- a/src/mysql/packet.hpp
+++ b/src/mysql/packet.hpp
@@ -1,4 +1,4 @@
-// Packets of the MySQL client/server protocol: the cutting of a stream of bytes, without I/O.
+// Splits a byte stream into packets of the MySQL client/server protocol, and frames payloads. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
   std::string payload;
 };
 
-// Cuts a stream into packets.
+// Splits a byte stream into packets.
 class PacketReader {
  public:
-  // Longer payloads are malformed: an announced length must not take the memory.
+  // Longer payloads are malformed, so that an announced length cannot exhaust the memory.
   explicit PacketReader(std::size_t max_payload_bytes) : max_payload_bytes_(max_payload_bytes) {}
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  // None until a packet is complete. Throws MalformedPacket.
+  // Returns the next packet, or nullopt until one is complete. Throws MalformedPacket.
   [[nodiscard]] std::optional<Packet> next();
   [[nodiscard]] std::size_t buffered() const { return buffer_.size(); }  // bytes
 
@@ -31,7 +31,7 @@
   std::string buffer_;
 };
 
-// The bytes of a packet.
+// The payload with its packet header.
 [[nodiscard]] std::string frame(std::uint8_t sequence, std::string_view payload);
 
 }  // namespace bellstair::mysql
--- a/src/mysql/payload.cpp
+++ b/src/mysql/payload.cpp
@@ -5,7 +5,8 @@
 namespace bellstair::mysql {
 namespace {
 
-// First bytes of length-encoded integers: of the next two, three or eight bytes, or of what is no integer.
+// First bytes of length-encoded integers. The value follows in two, three or eight bytes; NULL and an error
+// are marked instead of an integer.
 constexpr std::uint8_t kNullMark = 0xfb, kLength2 = 0xfc, kLength3 = 0xfd, kLength8 = 0xfe, kErrorMark = 0xff;
 
 }  // namespace
@@ -27,7 +28,7 @@
       return number(8);
     case kNullMark:
     case kErrorMark:
-      throw MalformedPacket("a length that is none");
+      throw MalformedPacket("an invalid length-encoded integer");
     default:
       return first;
   }
@@ -42,9 +43,9 @@
 
 std::string_view Cursor::lenenc_text() { return text(lenenc()); }
 
-std::string_view Cursor::null_text() {
+std::string_view Cursor::zero_terminated_text() {
   const auto end = in_.find('\0');
-  if (end == std::string_view::npos) throw MalformedPacket("a text without its end");
+  if (end == std::string_view::npos) throw MalformedPacket("a string without its terminating zero byte");
   const auto out = text(end);
   in_.remove_prefix(1);
   return out;
@@ -69,6 +70,6 @@
   return *this;
 }
 Writer& Writer::lenenc_text(std::string_view value) { return lenenc(value.size()).text(value); }
-Writer& Writer::null_text(std::string_view value) { return text(value).u8(0); }
+Writer& Writer::zero_terminated_text(std::string_view value) { return text(value).u8(0); }
 
 }  // namespace bellstair::mysql
--- a/src/mysql/protocol.hpp
+++ b/src/mysql/protocol.hpp
@@ -1,4 +1,4 @@
-// Numbers and names of the MySQL client/server protocol, and the error of what does not follow it.
+// Constants of the MySQL client/server protocol, and the exception for malformed packets.
 #pragma once
 
 #include <cstdint>
@@ -6,13 +6,13 @@
 
 namespace bellstair::mysql {
 
-// The text says what is wrong.
+// Thrown for a packet that violates the protocol; the text names the violation.
 struct MalformedPacket : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Capabilities, commands, column types and flags, as the protocol numbers them.
-inline constexpr std::uint16_t kTooManyConnections = 1040;  // an error, of engines and of the front
+// Numeric codes of the protocol: errors, capabilities, commands, column types and status flags.
+inline constexpr std::uint16_t kTooManyConnections = 1040;  // an error of engines and of MysqlServer
 inline constexpr std::uint32_t kLongPassword = 1, kConnectWithDb = 8, kProtocol41 = 1U << 9,
                                kTransactions = 1U << 13, kSecureConnection = 1U << 15, kPluginAuth = 1U << 19,
                                kConnectAttributes = 1U << 20, kLenencAuth = 1U << 21,
--- a/src/mysql/response.cpp
+++ b/src/mysql/response.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint8_t kEofMark = 0xfe, kErrorMark = 0xff, kNullCell = 0xfb;
-constexpr std::size_t kMaxEofBytes = 9;  // from this length on, the mark begins a row
+constexpr std::size_t kMaxEofBytes = 9;  // a packet of this length or more with the mark is a row
 
 }  // namespace
 
@@ -96,20 +96,20 @@
       out.emplace_back(std::string(in.lenenc_text()));
     }
   }
-  if (!in.empty()) throw MalformedPacket("a row is longer than its columns");
+  if (!in.empty()) throw MalformedPacket("bytes after the last column of a row");
   return out;
 }
 
 std::vector<Cell> read_binary_row(std::string_view payload, const std::vector<std::uint8_t>& types) {
   Cursor in(payload);
-  if (in.u8() != 0) throw MalformedPacket("no binary row");
+  if (in.u8() != 0) throw MalformedPacket("a binary row does not begin with a zero byte");
   const auto nulls = in.text(bitmap_bytes(types.size() + kRowBitmapOffset));
   std::vector<Cell> out;
   for (std::size_t i = 0; i < types.size(); ++i) {
     out.emplace_back(has_bit(nulls, i + kRowBitmapOffset) ? Cell()
                                                           : sql::as_text(read_binary_value(in, types[i])));
   }
-  if (!in.empty()) throw MalformedPacket("a row is longer than its columns");
+  if (!in.empty()) throw MalformedPacket("bytes after the last column of a row");
   return out;
 }
 
--- a/src/mysql/response.hpp
+++ b/src/mysql/response.hpp
@@ -1,4 +1,5 @@
-// Responses of the MySQL client/server protocol: ok, errors, columns and rows. Readers throw MalformedPacket.
+// Reads and writes responses of the MySQL client/server protocol: OK, errors, columns and rows. The read
+// functions throw MalformedPacket.
 #pragma once
 
 #include <cstddef>
@@ -25,9 +26,9 @@
 [[nodiscard]] std::string write_column(std::string_view name, std::uint8_t type);
 [[nodiscard]] std::uint8_t read_column_type(std::string_view payload);
 
-using Cell = std::optional<std::string>;  // none: NULL
+using Cell = std::optional<std::string>;  // nullopt: NULL
 [[nodiscard]] std::string write_text_row(const std::vector<Cell>& cells);
-[[nodiscard]] std::string write_binary_row(const std::vector<Cell>& cells);  // all columns var_string
+[[nodiscard]] std::string write_binary_row(const std::vector<Cell>& cells);  // all columns as VAR_STRING
 [[nodiscard]] std::vector<Cell> read_text_row(std::string_view payload, std::size_t columns);
 [[nodiscard]] std::vector<Cell> read_binary_row(std::string_view payload,
                                                 const std::vector<std::uint8_t>& types);
--- a/src/mysql/result.cpp
+++ b/src/mysql/result.cpp
@@ -45,8 +45,8 @@
 }  // namespace
 
 std::string pack(const Shape& shape) {
-  std::vector<sql::Value> values{static_cast<std::uint64_t>(shape.rows ? 1 : 0)};
-  if (!shape.rows) {
+  std::vector<sql::Value> values{static_cast<std::uint64_t>(shape.has_rows ? 1 : 0)};
+  if (!shape.has_rows) {
     values.emplace_back(shape.affected);
     values.emplace_back(shape.insert_id);
   }
@@ -63,8 +63,8 @@
     return value == nullptr ? 0 : *value;
   };
   Shape out;
-  out.rows = number(0) == 1;
-  if (!out.rows) {
+  out.has_rows = number(0) == 1;
+  if (!out.has_rows) {
     out.affected = number(1);
     out.insert_id = number(2);
     return out;
--- a/src/mysql/result.hpp
+++ b/src/mysql/result.hpp
@@ -1,4 +1,5 @@
-// What a statement gave, as the core carries it: rows as text, and an opaque shape beside them.
+// The result of a statement in the form that the core carries: the rows as text, and their shape as opaque
+// bytes.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +12,19 @@
 
 namespace bellstair::mysql {
 
-// Names of columns, or the counts of a statement without rows.
+// The column names, or the counts of a statement that returns no rows.
 struct Shape {
-  bool rows = true;
+  bool has_rows = true;
   std::vector<std::string> names;
   std::uint64_t affected = 0, insert_id = 0;
 };
 [[nodiscard]] std::string pack(const Shape& shape);
-[[nodiscard]] std::optional<Shape> unpack(std::string_view packed);  // none: an engine that tells no shape
+[[nodiscard]] std::optional<Shape> unpack(std::string_view packed);  // nullopt: the engine sent none
 
-// Rows of engines that speak MySQL: as `mysql --batch` prints them, with \N for NULL.
+// Appends a MySQL engine's row in the format of `mysql --batch`, with \N for NULL.
 void append_row(std::string& body, const std::vector<Cell>& cells);
-// A row a line, a tab between columns. `escaped`: as append_row() writes them; else taken as they are.
+// Reads one row per line, with tabs between columns. `escaped`: cells are escaped as by append_row();
+// otherwise they are used unchanged.
 [[nodiscard]] std::vector<std::vector<Cell>> read_rows(std::string_view body, bool escaped);
 
 }  // namespace bellstair::mysql
--- a/src/mysql/result_reader.hpp
+++ b/src/mysql/result_reader.hpp
@@ -1,4 +1,4 @@
-// Reads an engine's answer to a statement, packet by packet. Pure.
+// Reads an engine's response to a statement, packet by packet. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 class ResultReader {
  public:
-  // Takes the next packet, which is no error packet and not empty. `binary`: of a prepared statement. True:
-  // the result is complete. Throws MalformedPacket.
+  // Reads the next packet, which must be neither empty nor an error. `binary`: the statement was prepared.
+  // Returns true once the result is complete. Throws MalformedPacket.
   [[nodiscard]] bool read(const std::string& payload, bool binary);
 
   [[nodiscard]] const Shape& shape() const { return shape_; }
   [[nodiscard]] std::string take_rows() { return std::move(rows_); }
 
  private:
-  bool read_head(const std::string& payload);
+  bool read_header(const std::string& payload);
   void read_column(const std::string& payload);
 
-  std::size_t columns_ = 0;                 // 0: the head is still to come
-  std::vector<std::uint8_t> column_types_;  // of those whose definitions have come
+  std::size_t columns_ = 0;                 // 0: the header has not been read yet
+  std::vector<std::uint8_t> column_types_;  // of the column definitions read so far
   bool in_rows_ = false;
   Shape shape_;
   std::string rows_;
--- a/src/mysql/result_writer.cpp
+++ b/src/mysql/result_writer.cpp
@@ -18,10 +18,11 @@
 
 using Rows = std::vector<std::vector<Cell>>;
 
-// Engines that speak HTTP send rows only: columns have no names, and a write without rows is merely done.
+// HTTP engines send rows only, without column names or counts. Columns get numbered names, and a write
+// without rows is reported with counts of 0.
 Shape assumed_shape(const Rows& rows, bool returns_rows) {
   Shape shape;
-  shape.rows = !rows.empty() || returns_rows;
+  shape.has_rows = !rows.empty() || returns_rows;
   const auto columns = rows.empty() ? kHttpEngineColumns : rows.front().size();
   for (std::size_t i = 0; i < columns; ++i) shape.names.push_back("column_" + std::to_string(i + 1));
   return shape;
@@ -37,7 +38,7 @@
   const auto rows = read_rows(answer.body, format.escaped_rows);
   auto shape = unpack(answer.shape);
   if (!shape) shape = assumed_shape(rows, format.returns_rows);
-  if (!shape->rows) return send(write_counts(*shape));
+  if (!shape->has_rows) return send(write_counts(*shape));
   const auto columns = shape->names.size();
   if (std::ranges::any_of(rows, [&](const auto& row) { return row.size() != columns; }))
     return send(write_error({kFailed, "HY000", "failed; the engine's rows differ in length"}));
--- a/src/mysql/result_writer.hpp
+++ b/src/mysql/result_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the result of a statement for a MySQL client. Pure.
+// Writes the result of a statement for a MySQL client. Does no I/O.
 #pragma once
 
 #include <functional>
@@ -9,9 +9,9 @@
 namespace bellstair::mysql {
 
 struct ResultFormat {
-  bool escaped_rows = false;  // of the engines' rows, see read_rows()
+  bool escaped_rows = false;  // the engines escape their rows, see read_rows()
   bool binary = false;        // the statement was prepared
-  bool returns_rows = false;  // by the statement's first word, where the engine does not say
+  bool returns_rows = false;  // judged by the statement's first word; used if the engine sent no shape
 };
 
 // Calls `send` with the payload of each packet, in order.
--- a/tests/net/mysql_client.hpp
+++ b/tests/net/mysql_client.hpp
@@ -1,4 +1,4 @@
-// A client that speaks the MySQL protocol, over a blocking socket.
+// A test client of the MySQL protocol, over a blocking socket.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 inline constexpr std::uint32_t kCapabilities = my::kLongPassword | my::kProtocol41 | my::kSecureConnection |
                                                my::kPluginAuth | my::kLenencAuth | my::kQueryAttributes;
 
-// Packets over a blocking socket.
+// Sends and receives packets over a blocking socket.
 class PacketSocket {
  public:
   explicit PacketSocket(Socket& socket) : socket_(socket) {}
@@ -48,16 +48,16 @@
                        const std::string& password = "secret", const char* plugin = my::kCachingSha2)
       : socket(Socket::to(address)), packets(socket) {
     const auto greeting = my::read_greeting(packets.receive());
-    const auto answer = std::string_view(plugin) == my::kNativePassword
-                            ? my::native_auth_response(password, greeting.nonce)
-                            : my::sha2_answer(password, greeting.nonce);
-    packets.send(my::write_login({kCapabilities, user, answer, plugin, {}}));
+    const auto auth_response = std::string_view(plugin) == my::kNativePassword
+                                   ? my::native_auth_response(password, greeting.nonce)
+                                   : my::sha2_auth_response(password, greeting.nonce);
+    packets.send(my::write_login({kCapabilities, user, auth_response, plugin, {}}));
     login = packets.receive();
-    if (login[0] == '\xfe') {  // asked for the password itself, as a directory needs it
+    if (login[0] == '\xfe') {  // the server requests the password in clear text, for a directory
       packets.send(password + '\0');
       login = packets.receive();
     }
-    if (login == "\x01\x03") login = packets.receive();  // the password was known; the verdict follows
+    if (login == "\x01\x03") login = packets.receive();  // fast authentication succeeded; the result follows
   }
   std::string command(const std::string& payload) {
     packets.send_command(payload);
@@ -68,7 +68,7 @@
     for (int i = 0; i < (prepared.parameters == 0 ? 0 : prepared.parameters + 1); ++i) packets.receive();
     return prepared.statement;
   }
-  // Rows, or the error.
+  // Returns the rows, or none and sets `error`.
   std::vector<std::vector<my::Cell>> execute(std::uint32_t statement, std::vector<sql::Value> values,
                                              std::vector<my::Attribute> attributes = {}) {
     return result(command(my::write_execute({statement, std::move(values), std::move(attributes)}, true)),
--- a/tests/net/mysql_test.cpp
+++ b/tests/net/mysql_test.cpp
@@ -1,5 +1,6 @@
-// The second front between MySQL clients and engines of both kinds. The stand-in server is written from the
-// protocol's public description; it counts what it has executed, by key.
+// Tests the broker between MySQL clients and engines of both protocols. The MySQL engine stand-in is written
+// from the protocol's public description and records the statements that it executes, with their idempotency
+// keys.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -9,22 +10,22 @@
 namespace {
 using namespace std::string_literals;
 
-struct Executed {
-  std::string statement, unique, cls;
+struct ExecutedStatement {
+  std::string statement, idempotency_key, cls;
 };
 
-// A server that speaks MySQL. `answer` gives the rows of an executed statement, or none to drop the
+// A stand-in for a MySQL engine. `answer` returns the rows of an executed statement, or nullopt to reset the
 // connection.
 class MysqlEngine {
  public:
   using Rows = std::vector<std::vector<my::Cell>>;
-  using Answer = std::function<std::optional<Rows>(const Executed&)>;
+  using Answer = std::function<std::optional<Rows>(const ExecutedStatement&)>;
   explicit MysqlEngine(Answer answer)
       : answer_(std::move(answer)), server([this](Socket& socket) { serve(socket); }) {}
-  Log<Executed> executed;
+  Log<ExecutedStatement> executed;
   Log<std::string> prepared, killed;
   std::function<void()> on_prepare;
-  bool twice = false;  // an OK comes with another behind it
+  bool sends_extra_ok = false;  // each OK response is followed by another OK packet
 
  private:
   void serve(Socket& socket) {
@@ -32,17 +33,17 @@
     const std::string nonce(20, 'n');
     packets.send(my::write_greeting({"8.0.36", nonce, my::kNativePassword, 11, kCapabilities}));
     const auto login = my::read_login(packets.receive());
-    if (login.answer != my::native_auth_response("secret", nonce))
+    if (login.auth_response != my::native_auth_response("secret", nonce))
       return packets.send(my::write_error({1045, "28000", "no"}));
     packets.send(my::write_ok());
     std::map<std::uint32_t, std::string> statements;
     while (true) {
       const auto payload = packets.receive();
-      Executed what;
-      const auto note = [&](const std::vector<my::Attribute>& attributes) {
+      ExecutedStatement executing;
+      const auto read_attributes = [&](const std::vector<my::Attribute>& attributes) {
         for (const auto& [name, value] : attributes) {
-          if (name == "unique") what.unique = sql::as_text(value).value();
-          if (name == "class") what.cls = sql::as_text(value).value();
+          if (name == "unique") executing.idempotency_key = sql::as_text(value).value();
+          if (name == "class") executing.cls = sql::as_text(value).value();
         }
       };
       if (payload[0] == my::kPrepare) {
@@ -59,12 +60,12 @@
       if (binary) {
         my::ParameterTypes types;
         const auto execute = my::read_execute(payload, 1, true, types);
-        what.statement = statements.at(execute.statement);
-        note(execute.attributes);
+        executing.statement = statements.at(execute.statement);
+        read_attributes(execute.attributes);
       } else if (payload[0] == my::kQuery) {
         const auto query = my::read_query(payload, true);
-        what.statement = query.text;
-        note(query.attributes);
+        executing.statement = query.text;
+        read_attributes(query.attributes);
         if (query.text.rfind("KILL", 0) == 0) {
           killed.add(query.text);
           packets.send(my::write_ok());
@@ -73,11 +74,11 @@
       } else {
         return;
       }
-      executed.add(what);
-      const auto rows = answer_(what);
+      executed.add(executing);
+      const auto rows = answer_(executing);
       if (!rows) return socket.reset();
       if (rows->empty()) {
-        if (twice) {
+        if (sends_extra_ok) {
           socket.send(my::frame(1, my::write_ok()) + my::frame(2, my::write_ok()));
           continue;
         }
@@ -99,7 +100,7 @@
   Server server;
 };
 
-json fronts(bool mysql_engines) {
+json front_settings(bool mysql_engines) {
   json out{{"mysql",
             {{"listen", "127.0.0.1:0"},
              {"users", {{{"name", "gateway"}, {"password_env", "TEST_SECRET"}, {"tenant", "acme"}}}}}}};
@@ -110,23 +111,24 @@
 class MysqlBroker : public Broker {
  public:
   MysqlBroker(const std::vector<std::pair<std::string, std::string>>& engines, bool mysql_engines)
-      : Broker(engines, fronts(mysql_engines)), mysql(program->listens("mysql.listen")) {}
-  std::string mysql;
+      : Broker(engines, front_settings(mysql_engines)), mysql_address(program->listens("mysql.listen")) {}
+  std::string mysql_address;
 };
 
-std::size_t keyed(MysqlEngine& engine, const std::string& key) {
-  return engine.executed.count([&](const Executed& e) { return e.unique == key; });
+std::size_t count_executions(MysqlEngine& engine, const std::string& key) {
+  return engine.executed.count([&](const ExecutedStatement& e) { return e.idempotency_key == key; });
 }
 
-TEST(Mysql, WhoIsLetInAndWhatIsUnknown) {
+TEST(Mysql, ChecksLoginsAndRejectsUnknownCommands) {
   HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
-  MysqlClient native(broker.mysql, "gateway", "secret", my::kNativePassword), client(broker.mysql);
+  MysqlClient native(broker.mysql_address, "gateway", "secret", my::kNativePassword),
+      client(broker.mysql_address);
   EXPECT_EQ(native.login[0], 0);
   EXPECT_EQ(client.login[0], 0);
   for (const auto& [user, password] :
        {std::pair{"gateway", "wrong"}, {"nobody", "secret"}, {"gateway", ""}}) {
-    MysqlClient denied(broker.mysql, user, password);
+    MysqlClient denied(broker.mysql_address, user, password);
     EXPECT_EQ(my::read_error(denied.login).code, 1045);
     EXPECT_TRUE(denied.socket.ended());
   }
@@ -134,7 +136,7 @@
   EXPECT_EQ(my::read_error(client.command("\x02"
                                           "db"))
                 .code,
-            1047);                                                          // not offered
+            1047);                                                          // not supported
   EXPECT_EQ(my::read_error(client.command("\x1a\x09\0\0\0"s)).code, 1243);  // no such statement
   EXPECT_EQ(client.query("SET NAMES utf8mb4").size(), 0U);
   EXPECT_EQ(client.error.code, 0);
@@ -142,10 +144,10 @@
   EXPECT_TRUE(client.socket.ended());
 }
 
-TEST(Mysql, PreparedStatementsReachHttpEnginesWithTheirValues) {
+TEST(Mysql, SendsPreparedStatementsToHttpEnginesWithLiterals) {
   HttpEngine engine([](const Call&) { return rows("1\t2\t3\n4\t5\t6\n"); });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
-  MysqlClient client(broker.mysql);
+  MysqlClient client(broker.mysql_address);
   const auto statement = client.prepare("SELECT a FROM sales_17.orders WHERE b = ?");
   const std::vector<std::vector<my::Cell>> expected{{"1", "2", "3"}, {"4", "5", "6"}};
   EXPECT_EQ(client.execute(statement, {"it's"s}), expected);
@@ -154,21 +156,21 @@
                 [](const Call& c) { return c.body == "SELECT a FROM sales_17.orders WHERE b = 'it''s'"; }),
             1U);
   EXPECT_EQ(client.command("\x1a"s + std::string("\x01\0\0\0", 4))[0], 0);  // reset
-  client.packets.send_command("\x19"s + std::string("\x01\0\0\0", 4));      // close: nothing answers
+  client.packets.send_command("\x19"s + std::string("\x01\0\0\0", 4));      // close, which has no response
   client.execute(statement, {"x"s});
   EXPECT_EQ(client.error.code, 1243);
   client.query("DELETE FROM sales_17.orders");
-  EXPECT_EQ(client.error.code, 1210);  // a write must name its class
+  EXPECT_EQ(client.error.code, 1210);  // a write requires a class
 }
 
-TEST(Mysql, RefusedFailedAndTimedOutDiffer) {
+TEST(Mysql, ReportsRejectedFailedAndTimedOutByDistinctCodes) {
   HttpEngine engine([](const Call& call) {
     if (call.headers.contains("X-Queue") && call.headers.at("X-Queue") == "lookup")
       return http(503, {}, "X-Shed: 1\r\n");
     return http(call.body == "UPDATE sales_17.x SET a = 1" ? 500 : 202);
   });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
-  MysqlClient client(broker.mysql);
+  MysqlClient client(broker.mysql_address);
   client.query("UPDATE sales_17.x SET a = 1", {{"class", "once"s}});
   EXPECT_EQ(client.error.code, 50002);
   EXPECT_EQ(client.error.state, "HY000");
@@ -182,112 +184,114 @@
   EXPECT_NE(client.error.message.find("500 ms"), std::string::npos);
 }
 
-TEST(Mysql, ADroppedExecuteGoesAgainOnlyAsItsClassAllows) {
-  std::atomic<bool> drop = true;
-  const auto answer = [&](const Executed& what) -> std::optional<MysqlEngine::Rows> {
-    if (what.cls == "once" || drop.exchange(false)) return std::nullopt;
+TEST(Mysql, RetriesLostExecuteOnlyIfItsClassAllows) {
+  std::atomic<bool> drop_connection = true;
+  const auto answer = [&](const ExecutedStatement& statement) -> std::optional<MysqlEngine::Rows> {
+    if (statement.cls == "once" || drop_connection.exchange(false)) return std::nullopt;
     return MysqlEngine::Rows{};
   };
-  MysqlEngine one(answer), two(answer);
-  MysqlBroker broker({{"s-00000001", one.server.address()}, {"s-00000002", two.server.address()}}, true);
-  MysqlClient client(broker.mysql);
+  MysqlEngine first(answer), second(answer);
+  MysqlBroker broker({{"s-00000001", first.server.address()}, {"s-00000002", second.server.address()}}, true);
+  MysqlClient client(broker.mysql_address);
   const auto load =
       client.prepare("/* bellstair: class=load unique=?1 item=a1 */ INSERT INTO sales_17.x VALUES (?)");
   client.execute(load, {"key-1"s});
   EXPECT_EQ(client.error.code, 0) << client.error.message;
-  // It may have run where it was dropped. Engines drop a repeat of its key, so it goes once more, with the
-  // key.
-  EXPECT_EQ(keyed(one, "key-1") + keyed(two, "key-1"), 2U);
+  // The statement may have been executed before the connection was lost. Engines ignore a repeated key, so it
+  // is retried once, with the key.
+  EXPECT_EQ(count_executions(first, "key-1") + count_executions(second, "key-1"), 2U);
   client.execute(load, {"key-2"s});
-  EXPECT_EQ(keyed(one, "key-2") + keyed(two, "key-2"), 1U);
+  EXPECT_EQ(count_executions(first, "key-2") + count_executions(second, "key-2"), 1U);
   const auto once = client.prepare("/* bellstair: class=once unique=?1 */ INSERT INTO sales_17.x VALUES (?)");
   client.execute(once, {"key-3"s});
   EXPECT_EQ(client.error.code, 50002);
-  EXPECT_EQ(keyed(one, "key-3") + keyed(two, "key-3"), 1U);
+  EXPECT_EQ(count_executions(first, "key-3") + count_executions(second, "key-3"), 1U);
 }
 
-TEST(Mysql, AStatementPreparedOnOneEngineWorksOnAnother) {
+TEST(Mysql, ExecutesPreparedStatementOnAnotherEngine) {
   const MysqlEngine::Rows rows{{"x", std::nullopt}, {"tab\there", "\\"}};
-  MysqlEngine one([&](const Executed&) { return rows; }), two([&](const Executed&) { return rows; });
-  MysqlBroker broker({{"s-00000001", one.server.address()}}, true);
-  MysqlClient client(broker.mysql);
+  MysqlEngine first([&](const ExecutedStatement&) { return rows; }),
+      second([&](const ExecutedStatement&) { return rows; });
+  MysqlBroker broker({{"s-00000001", first.server.address()}}, true);
+  MysqlClient client(broker.mysql_address);
   const auto statement = client.prepare("SELECT a FROM sales_17.x WHERE b = ?");
-  EXPECT_EQ(one.prepared.count([](const auto&) { return true; }),
-            0U);  // it is the broker's until it is executed
+  EXPECT_EQ(first.prepared.count([](const auto&) { return true; }),
+            0U);  // only the broker holds it until it is executed
   EXPECT_EQ(client.execute(statement, {"1"s}), rows);
   EXPECT_EQ(client.execute(statement, {"2"s}), rows);
-  EXPECT_EQ(one.prepared.count([](const auto&) { return true; }), 1U);  // once for a connection
-  one.server.stop();
-  broker.changes.push(
-      {server("s-00000001", one.server.address(), "terminated"), server("s-00000002", two.server.address())});
+  EXPECT_EQ(first.prepared.count([](const auto&) { return true; }), 1U);  // once per connection
+  first.server.stop();
+  broker.changes.push({server("s-00000001", first.server.address(), "terminated"),
+                       server("s-00000002", second.server.address())});
   broker.changes.wait_until_told();
   EXPECT_EQ(client.execute(statement, {"3"s}), rows);
-  EXPECT_EQ(two.prepared.count([](const auto&) { return true; }), 1U);
+  EXPECT_EQ(second.prepared.count([](const auto&) { return true; }), 1U);
 }
 
-// What comes behind an answer was taken for the answer to the next statement.
-TEST(Mysql, AnAnswerWithMoreBehindItIsUsedAndItsConnectionIsNot) {
+// Guards against reading bytes after a response as the response to the next statement.
+TEST(Mysql, DiscardsConnectionWithBytesAfterTheResponse) {
   const MysqlEngine::Rows rows{{"x"}};
-  MysqlEngine engine(
-      [&](const Executed& e) { return e.statement.rfind("SELECT", 0) == 0 ? rows : MysqlEngine::Rows(); });
-  engine.twice = true;
+  MysqlEngine engine([&](const ExecutedStatement& e) {
+    return e.statement.rfind("SELECT", 0) == 0 ? rows : MysqlEngine::Rows();
+  });
+  engine.sends_extra_ok = true;
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, true);
-  MysqlClient client(broker.mysql);
+  MysqlClient client(broker.mysql_address);
   client.query("/* bellstair: class=lookup */ UPDATE sales_17.x SET a = 1");
   EXPECT_EQ(client.error.code, 0);
   EXPECT_EQ(client.query("SELECT a FROM sales_17.x"), rows);
 }
 
-// An execute must not leave once the engine drains, though its prepare has left before.
-TEST(Mysql, WhatIsBeingPreparedWhenItsEngineDrainsIsExecutedElsewhere) {
-  const auto answer = [](const Executed&) { return MysqlEngine::Rows{{"x"}}; };
-  MysqlEngine one(answer), two(answer);
-  std::promise<void> go_on;
-  one.on_prepare = [wait = go_on.get_future().share()] { wait.wait(); };
-  MysqlBroker broker({{"s-00000001", one.server.address()}}, true);
-  MysqlClient client(broker.mysql);
+// An execute must not be sent once the engine drains, even if its prepare was sent before.
+TEST(Mysql, ExecutesElsewhereIfEngineDrainsDuringPrepare) {
+  const auto answer = [](const ExecutedStatement&) { return MysqlEngine::Rows{{"x"}}; };
+  MysqlEngine first(answer), second(answer);
+  std::promise<void> prepare_response;
+  first.on_prepare = [wait = prepare_response.get_future().share()] { wait.wait(); };
+  MysqlBroker broker({{"s-00000001", first.server.address()}}, true);
+  MysqlClient client(broker.mysql_address);
   const auto statement = client.prepare("SELECT a FROM sales_17.x WHERE b = ?");
   client.packets.send_command(my::write_execute({statement, {"1"s}, {}}, true));
-  one.prepared.wait([](const std::string&) { return true; });
-  broker.changes.push({server("s-00000001", one.server.address(), "terminating"),
-                       server("s-00000002", two.server.address())});
+  first.prepared.wait([](const std::string&) { return true; });
+  broker.changes.push({server("s-00000001", first.server.address(), "terminating"),
+                       server("s-00000002", second.server.address())});
   broker.changes.wait_until_told();
-  go_on.set_value();
+  prepare_response.set_value();
   EXPECT_EQ(client.result(client.packets.receive(), true).size(), 1U);
-  EXPECT_EQ(one.executed.count([](const Executed&) { return true; }), 0U);
-  EXPECT_EQ(two.executed.count([](const Executed&) { return true; }), 1U);
+  EXPECT_EQ(first.executed.count([](const ExecutedStatement&) { return true; }), 0U);
+  EXPECT_EQ(second.executed.count([](const ExecutedStatement&) { return true; }), 1U);
 }
 
-TEST(Mysql, AStatementPastItsDeadlineIsKilledWhereItRuns) {
-  std::promise<void> over;
-  MysqlEngine engine([&, wait = over.get_future().share()](const Executed&) {
+TEST(Mysql, KillsRunningStatementPastItsDeadline) {
+  std::promise<void> execute_response;
+  MysqlEngine engine([&, wait = execute_response.get_future().share()](const ExecutedStatement&) {
     wait.wait();
     return MysqlEngine::Rows{};
   });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, true);
-  MysqlClient client(broker.mysql);
+  MysqlClient client(broker.mysql_address);
   client.query("UPDATE sales_17.x SET a = 1", {{"class", "once"s}, {"limit", std::int64_t{900}}});
   EXPECT_EQ(client.error.code, 50003);
   engine.killed.wait([](const std::string& text) { return text == "KILL 11"; });
-  over.set_value();
+  execute_response.set_value();
 }
 
-TEST(Mysql, BadPacketsAreRefusedAndHarmNobodyElse) {
+TEST(Mysql, RejectsMalformedPacketsAndServesOtherClients) {
   HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
-  MysqlClient good(broker.mysql);
-  for (const auto& bad : {"\x17\x01"s, ""s, "\x03\xff\xff"s}) {
-    MysqlClient client(broker.mysql);
-    EXPECT_EQ(my::read_error(client.command(bad)).code, 1835);
+  MysqlClient other_client(broker.mysql_address);
+  for (const auto& malformed : {"\x17\x01"s, ""s, "\x03\xff\xff"s}) {
+    MysqlClient client(broker.mysql_address);
+    EXPECT_EQ(my::read_error(client.command(malformed)).code, 1835);
     EXPECT_TRUE(client.socket.ended());
   }
-  MysqlClient large(broker.mysql);
+  MysqlClient large(broker.mysql_address);
   large.socket.send("\xff\xff\xff\x00"s);
   EXPECT_EQ(my::read_error(large.packets.receive()).code, 1835);
-  auto raw = Socket::to(broker.mysql);
+  auto raw = Socket::to(broker.mysql_address);
   raw.send("GET / HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(raw.ended());
-  EXPECT_EQ(good.query("SELECT a FROM sales_17.x").size(), 1U);
+  EXPECT_EQ(other_client.query("SELECT a FROM sales_17.x").size(), 1U);
 }
 
 }  // namespace
