--- a/src/simulator/batch_reader.cpp
+++ b/src/simulator/batch_reader.cpp
@@ -36,7 +36,7 @@
     case ResultCode::not_started:
       return AttemptResult::not_started;
   }
-  throw FrameError("frame: unknown outcome " + std::to_string(code));
+  throw FrameError("frame: unknown attempt result " + std::to_string(code));
 }
 
 std::vector<double> take_load_report(ByteReader& in) {
@@ -97,7 +97,7 @@
   outcome.result = take_result(in);
   outcome.latency = in.take_time();
   outcome.request_closed = in.take<std::uint8_t>() != 0;
-  // The cost: 20 bits of milliseconds above 12 bits of memory in units of 4 MB.
+  // The cost: work in milliseconds in the upper 20 bits, memory in units of 4 MB in the lower 12 bits.
   const auto cost = in.take<std::uint32_t>();
   if (cost != 0) {
     outcome.work = std::chrono::milliseconds(cost / 4096);
@@ -117,7 +117,7 @@
     case ProgressCode::waiting:
       return ProgressKind::waiting;
   }
-  throw FrameError("frame: unknown note " + std::to_string(code));
+  throw FrameError("frame: unknown kind of progress " + std::to_string(code));
 }
 
 AttemptProgress take_progress(ByteReader& in) {
@@ -147,7 +147,7 @@
 }
 
 TimerFired take_timer(ByteReader& in) {
-  in.take<std::uint32_t>();  // the timer's number, which is not used
+  in.take<std::uint32_t>();  // the timer's number, unused
   return {};
 }
 
@@ -161,7 +161,7 @@
 std::size_t frame_length(std::span<const std::uint8_t> first_bytes) {
   const std::size_t length = ByteReader(first_bytes).take<std::uint32_t>();
   if (length < kBatchHeaderBytes || length > kMaxFrameBytes)
-    throw FrameError("frame: a length of " + std::to_string(length) + " makes no sense");
+    throw FrameError("frame: length " + std::to_string(length) + " is out of range");
   return length;
 }
 
@@ -178,10 +178,10 @@
   for (std::uint32_t i = 0; i < count; ++i) {
     auto content = read_record(in);
     if (!content) continue;
-    if (!instance_) throw FrameError("frame: an event before any context");
+    if (!instance_) throw FrameError("frame: an event precedes the first instance record");
     batch.records.push_back({*instance_, std::move(*content)});
   }
-  if (in.left() != 0) throw FrameError("frame: bytes left over");
+  if (in.left() != 0) throw FrameError("frame: bytes after the last record");
   return batch;
 }
 
@@ -194,7 +194,7 @@
     case RecordCode::numbered_list:
       read_numbered_list(in);
       return std::nullopt;
-    case RecordCode::stream_begun:  // no class streams here
+    case RecordCode::stream_begun:  // skipped: no class streams
       in.take_span(kStreamBegunBytes);
       return std::nullopt;
     case RecordCode::start:
@@ -225,7 +225,7 @@
   const auto number = in.take<std::uint32_t>();
   const auto rows = in.take<std::uint32_t>();
   if (number >= lists_.size()) throw FrameError("frame: unknown list number " + std::to_string(number));
-  if (rows > in.left() / kEndpointBytes) throw FrameError("frame: a list runs past its frame");
+  if (rows > in.left() / kEndpointBytes) throw FrameError("frame: a list extends past the end of its frame");
   Endpoints list;
   list.reserve(rows);
   for (std::uint32_t row = 0; row < rows; ++row) list.push_back(take_endpoint(in));
@@ -235,7 +235,7 @@
 EndpointList BatchReader::read_endpoint_list(ByteReader& in) const {
   const auto mode = in.take<std::uint8_t>();
   const auto number = in.take<std::uint32_t>();
-  in.take<std::uint32_t>();  // the list's version
+  in.take<std::uint32_t>();  // the list's version, unused
   if (mode > static_cast<std::uint8_t>(EndpointListKind::failed))
     throw FrameError("frame: unknown list mode " + std::to_string(mode));
   EndpointList list{static_cast<EndpointListKind>(mode), {}};
--- a/src/simulator/batch_reader.hpp
+++ b/src/simulator/batch_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the simulator's batches: frames of records, in numbers with the low byte first.
+// Reads the simulator's batches, which are frames of records. Numbers are little-endian.
 #pragma once
 
 #include <cstddef>
@@ -26,7 +26,7 @@
   RecordContent content;
 };
 
-// The events of one moment, for any instances.
+// The events of one point in time, for any number of instances.
 struct Batch {
   policy::Time now{};
   std::uint32_t sequence = 0;
@@ -38,7 +38,7 @@
 
 class ByteReader;
 
-// Keeps the numbered endpoint lists, which belong to no instance.
+// Stores the numbered endpoint lists, which all instances share.
 class BatchReader {
  public:
   // Throws FrameError or SettingsError.
@@ -48,7 +48,7 @@
   static constexpr std::size_t kMaxLists = 16;
   using Endpoints = std::vector<policy::Endpoint>;
 
-  // The record's content; none of records that tell the reader itself something.
+  // The record's content; nullopt for records that only change the reader's state or are skipped.
   [[nodiscard]] std::optional<RecordContent> read_record(ByteReader& in);
   void read_numbered_list(ByteReader& in);
   [[nodiscard]] policy::EndpointList read_endpoint_list(ByteReader& in) const;
--- a/src/simulator/byte_reader.hpp
+++ b/src/simulator/byte_reader.hpp
@@ -1,4 +1,4 @@
-// Takes numbers, times and texts from the bytes of a frame.
+// Reads numbers, times and strings from the bytes of a frame.
 #pragma once
 
 #include <bit>
@@ -14,7 +14,7 @@
 
 namespace bellstair::simulator {
 
-// All functions throw FrameError at the end of the bytes.
+// All functions throw FrameError where bytes are missing.
 class ByteReader {
  public:
   explicit ByteReader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
@@ -34,7 +34,7 @@
     return policy::Time(static_cast<std::int64_t>(value));
   }
   std::span<const std::uint8_t> take_span(std::size_t count) {
-    if (count > left()) throw FrameError("frame: a record runs past its frame");
+    if (count > left()) throw FrameError("frame: a record extends past the end of its frame");
     const auto taken = bytes_.subspan(position_, count);
     position_ += count;
     return taken;
--- a/src/simulator/error.hpp
+++ b/src/simulator/error.hpp
@@ -1,16 +1,16 @@
-// Errors of input that does not follow the simulator's protocol. The text says which part and why.
+// Exceptions for input that violates the simulator's protocol. The text names the part and the reason.
 #pragma once
 
 #include <stdexcept>
 
 namespace bellstair::simulator {
 
-// Of a frame, in its bytes.
+// A frame is malformed.
 struct FrameError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Of the settings in JSON; the text names the field.
+// The settings in JSON are invalid; the text names the field.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// Hosts schedulers for the simulator: batches on standard input, replies on standard output.
+// Runs schedulers for the simulator. Reads batches from standard input and writes replies to standard output.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -18,34 +18,34 @@
 using bellstair::policy::Scheduler;
 namespace simulator = bellstair::simulator;
 
-constexpr std::size_t kChunkBytes = std::size_t{1} << 20;  // read at once
+constexpr std::size_t kChunkBytes = std::size_t{1} << 20;  // per read
 
-// False at the end of input; a frame cut short is malformed.
+// Returns false at the end of the input. Throws FrameError if a frame is truncated.
 bool read_frame(std::vector<std::uint8_t>& frame) {
   frame.resize(simulator::kLengthBytes);
   const auto got = std::fread(frame.data(), 1, frame.size(), stdin);
   if (got == 0 && std::feof(stdin) != 0) return false;
   if (got != frame.size()) throw simulator::FrameError("frame: truncated");
   const auto length = simulator::frame_length(frame);
-  // Grow as bytes come: a false length must not take the memory.
+  // Grows the frame with the bytes that arrive, so that a wrong length cannot exhaust the memory.
   while (frame.size() < length) {
-    const auto at = frame.size();
-    const auto part = std::min(kChunkBytes, length - at);
-    frame.resize(at + part);
-    if (std::fread(frame.data() + at, 1, part, stdin) != part)
+    const auto offset = frame.size();
+    const auto part = std::min(kChunkBytes, length - offset);
+    frame.resize(offset + part);
+    if (std::fread(frame.data() + offset, 1, part, stdin) != part)
       throw simulator::FrameError("frame: truncated");
   }
   return true;
 }
 
-class Host {
+class SchedulerHost {
  public:
-  std::vector<std::uint8_t> answer(const simulator::Batch& batch) {
+  std::vector<std::uint8_t> run_batch(const simulator::Batch& batch) {
     simulator::ReplyWriter reply;
     std::vector<Event> events;
     std::optional<std::uint32_t> current;
     const auto flush = [&] {
-      if (current && !events.empty()) decide(batch.now, *current, events, reply);
+      if (current && !events.empty()) run_scheduler(batch.now, *current, events, reply);
       events.clear();
     };
     for (const auto& record : batch.records) {
@@ -66,8 +66,8 @@
   }
 
  private:
-  void decide(bellstair::policy::Time now, std::uint32_t id, const std::vector<Event>& events,
-              simulator::ReplyWriter& reply) {
+  void run_scheduler(bellstair::policy::Time now, std::uint32_t id, const std::vector<Event>& events,
+                     simulator::ReplyWriter& reply) {
     const auto found = schedulers_.find(id);
     if (found == schedulers_.end())
       throw simulator::FrameError("frame: an event for an instance that is not running");
@@ -86,10 +86,10 @@
 int main() {
   try {
     simulator::BatchReader reader;
-    Host host;
+    SchedulerHost host;
     std::vector<std::uint8_t> frame;
     while (read_frame(frame)) {
-      const auto reply = host.answer(reader.read(frame));
+      const auto reply = host.run_batch(reader.read(frame));
       if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
         std::fputs("bellstair_simulator: cannot write the reply\n", stderr);
         return 1;
--- a/src/simulator/record_codes.hpp
+++ b/src/simulator/record_codes.hpp
@@ -1,4 +1,4 @@
-// Codes of the records in the simulator's frames, as the protocol numbers them.
+// Codes of the records in the simulator's frames, as defined by its protocol.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace bellstair::simulator {
 
-inline constexpr std::size_t kLengthBytes = 4;  // at the begin of each frame; the length counts them too
+inline constexpr std::size_t kLengthBytes = 4;  // at the start of each frame; the length includes them
 inline constexpr std::size_t kBatchHeaderBytes = 20;
 inline constexpr std::size_t kReplyHeaderBytes = 12;
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
@@ -24,8 +24,8 @@
   gossip = 90,
   stop = 100,
   attempt_progress = 110,
-  numbered_list = 120,  // endpoints, which lists refer to by the number
-  instance = 130        // that the following records are for
+  numbered_list = 120,  // endpoints, to which endpoint lists refer by number
+  instance = 130        // the instance of the following records
 };
 
 // Records of replies.
--- a/src/simulator/reply_writer.cpp
+++ b/src/simulator/reply_writer.cpp
@@ -60,7 +60,7 @@
   }
   void operator()(const ScheduleTimer& action) const {
     code(ActionCode::schedule_timer);
-    put(out, std::uint32_t{0});  // the timer's number, which is not used
+    put(out, std::uint32_t{0});  // the timer's number, unused
     put_time(out, action.delay);
   }
   void operator()(const SendHealthCheck& action) const {
--- a/src/simulator/reply_writer.hpp
+++ b/src/simulator/reply_writer.hpp
@@ -10,10 +10,10 @@
 
 class ReplyWriter {
  public:
-  // The following actions are of the instance `id`.
+  // Sets the instance of the following actions.
   void instance(std::uint32_t id);
   void action(const policy::Action& action);
-  // The frame. `sequence`: of the batch.
+  // Returns the frame. `sequence`: that of the batch.
   [[nodiscard]] std::vector<std::uint8_t> finish(std::uint32_t sequence);
 
  private:
--- a/src/simulator/settings_json.cpp
+++ b/src/simulator/settings_json.cpp
@@ -14,12 +14,12 @@
 
 using nlohmann::json;
 
-[[noreturn]] void fail(const std::string& field, const char* what) {
-  throw SettingsError("settings: " + field + " " + what);
+[[noreturn]] void fail(const std::string& field, const char* problem) {
+  throw SettingsError("settings: " + field + " " + problem);
 }
 
-const json& need(const json& in, const char* key) {
-  if (!in.is_object()) fail(key, "is looked for in something that is no object");
+const json& required(const json& in, const char* key) {
+  if (!in.is_object()) fail(key, "is required, but its parent is not an object");
   const auto found = in.find(key);
   if (found == in.end() || found->is_null()) fail(key, "is missing");
   return *found;
@@ -43,8 +43,9 @@
 template <std::integral T>
 T integer(const json& value, const char* key) {
   if (value.is_number_unsigned()) {
-    const auto whole = value.get<std::uint64_t>();
-    if (whole <= static_cast<std::uint64_t>(std::numeric_limits<T>::max())) return static_cast<T>(whole);
+    const auto unsigned_value = value.get<std::uint64_t>();
+    if (unsigned_value <= static_cast<std::uint64_t>(std::numeric_limits<T>::max()))
+      return static_cast<T>(unsigned_value);
   } else if (value.is_number_float()) {
     const double real = value.get<double>();
     if (real >= 0 && real <= static_cast<double>(std::numeric_limits<T>::max()) / 2)
@@ -76,10 +77,10 @@
   return value == nullptr ? fallback : flag(*value, key);
 }
 
-std::string text_or(const json& in, const char* key, const char* fallback) {
+std::string string_or(const json& in, const char* key, const char* fallback) {
   const json* value = find(in, key);
   if (value == nullptr) return fallback;
-  if (!value->is_string()) fail(key, "is not a text");
+  if (!value->is_string()) fail(key, "is not a string");
   return value->get<std::string>();
 }
 
@@ -99,7 +100,7 @@
   for (const auto& name : names) {
     if (text == name.text) return name.value;
   }
-  fail(key, "holds an unknown word");
+  fail(key, "has an unknown value");
 }
 
 constexpr EnumName<Idempotency> kIdempotencyNames[] = {{"safe", Idempotency::idempotent},
@@ -126,15 +127,16 @@
 
 ClassSettings parse_class(const json& in) {
   ClassSettings out;
-  out.name = text_or(in, "name", "");
-  out.latency_objective = time(need(in, "aim"), "classes[].aim");
+  out.name = string_or(in, "name", "");
+  out.latency_objective = time(required(in, "aim"), "classes[].aim");
   out.objective_stretch = number_or(in, "aim-stretch", 0);
-  out.client_timeout = time(need(in, "give-up"), "classes[].give-up");
+  out.client_timeout = time(required(in, "give-up"), "classes[].give-up");
   out.priority_weight = number_or(in, "credit", 1);
   out.late_weight = number_or(in, "late-share", 0);
-  out.idempotency = enum_value(text_or(in, "semantics", "unsafe"), kIdempotencyNames, "classes[].semantics");
+  out.idempotency =
+      enum_value(string_or(in, "semantics", "unsafe"), kIdempotencyNames, "classes[].semantics");
   out.deduplication_scope =
-      enum_value(text_or(in, "group", "all"), kDeduplicationScopeNames, "classes[].group");
+      enum_value(string_or(in, "group", "all"), kDeduplicationScopeNames, "classes[].group");
   out.deduplication_window = time_or(in, "window", Time::zero());
   out.ordered_by_key = flag_or(in, "in-order", false);
   out.zones = indexes_or_none(in, "zones-allowed");
@@ -142,7 +144,7 @@
   return out;
 }
 
-// Calls `set` with the position and the value of each entry for which there is something to set.
+// Calls `set` with the index and the value of each of the first `count` entries.
 template <class Set>
 void for_each_value(const json* values, std::size_t count, const char* key, Set set) {
   if (values == nullptr) return;
@@ -175,7 +177,7 @@
   out.max_memory_grant_fraction = number_or(in, "max-grant-share", 1);
   out.progress_interval = time_or(in, "progress-pace", Time::zero());
   out.memory_shortage =
-      enum_value(text_or(in, "out-of-memory", "line_up"), kMemoryShortageNames, "out-of-memory");
+      enum_value(string_or(in, "out-of-memory", "line_up"), kMemoryShortageNames, "out-of-memory");
 }
 
 void parse_ceilings(const json& in, Settings& out) {
@@ -205,13 +207,13 @@
 }
 
 void parse_report(const json& in, Settings& out) {
-  const std::string how = text_or(in, "how", "silent");
-  out.answers_report_load = how == "piggyback";
-  if (how == "silent") return;
+  const std::string mode = string_or(in, "how", "silent");
+  out.answers_report_load = mode == "piggyback";
+  if (mode == "silent") return;
   const json* fields = find(in, "fields");
   if (fields == nullptr) return;
   for (const json& field : list(*fields, "report.fields")) {
-    if (!field.is_string()) fail("report.fields", "is not a list of texts");
+    if (!field.is_string()) fail("report.fields", "is not a list of strings");
     LoadReportField value = LoadReportField::unknown;
     for (const auto& name : kLoadReportFieldNames) {
       if (field.get<std::string>() == name.text) value = name.value;
@@ -222,16 +224,16 @@
 
 void parse_kinds(const json& in, Settings& out) {
   for (const json& item : list(in, "kinds")) {
-    if (!item.is_string()) fail("kinds", "holds something that is no text");
+    if (!item.is_string()) fail("kinds", "contains an entry that is not a string");
     out.kinds.push_back({item.get<std::string>(), 1, 0});
   }
 }
 
 void parse_tenants(const json& in, Settings& out) {
   for (const json& item : list(in, "tenants")) {
-    if (!item.is_object()) fail("tenants", "holds something that is no object");
+    if (!item.is_object()) fail("tenants", "contains an entry that is not an object");
     out.tenants.push_back(
-        {text_or(item, "name", ""), number_or(item, "portion", 0), number_or(item, "quota-rps", 0)});
+        {string_or(item, "name", ""), number_or(item, "portion", 0), number_or(item, "quota-rps", 0)});
   }
 }
 
@@ -244,22 +246,22 @@
 Settings settings_from_json(const json& in) {
   if (in.is_discarded() || !in.is_object()) throw SettingsError("settings: not a JSON object");
   Settings out;
-  out.brokers = integer<unsigned>(need(in, "balancers"), "balancers");
+  out.brokers = integer<unsigned>(required(in, "balancers"), "balancers");
   out.broker_index = integer_or<unsigned>(in, "me", 0);
   out.zone = integer_or<std::uint16_t>(in, "az", 0);
   out.min_call_interval = time_or(in, "step", out.min_call_interval);
-  for (const json& item : list(need(in, "classes"), "classes")) out.classes.push_back(parse_class(item));
-  parse_kinds(need(in, "kinds"), out);
+  for (const json& item : list(required(in, "classes"), "classes")) out.classes.push_back(parse_class(item));
+  parse_kinds(required(in, "kinds"), out);
   if (const json* tenants = find(in, "tenants"); tenants != nullptr) parse_tenants(*tenants, out);
   if (const json* zones = find(in, "zones"); zones != nullptr)
     out.zones = static_cast<unsigned>(list(*zones, "zones").size());
   out.over_quota_weight = number_or(in, "over-share-worth", 1);
   if (const json* prices = find(in, "prices"); prices != nullptr)
     out.cross_zone_cost = number_or(*prices, "cross-zone", 0);
-  out.polls_endpoint_list = text_or(in, "membership-mode", "pushed") == "on_request";
-  parse_ceilings(need(in, "ceilings"), out);
-  parse_safety(need(in, "safety"), out);
-  parse_family_info(need(in, "family-info"), out);
+  out.polls_endpoint_list = string_or(in, "membership-mode", "pushed") == "on_request";
+  parse_ceilings(required(in, "ceilings"), out);
+  parse_safety(required(in, "safety"), out);
+  parse_family_info(required(in, "family-info"), out);
   if (const json* report = find(in, "report"); report != nullptr) parse_report(*report, out);
   return out;
 }
--- a/src/simulator/settings_json.hpp
+++ b/src/simulator/settings_json.hpp
@@ -1,5 +1,5 @@
-// Reads the settings that the simulator and the platform give in JSON. The keys and words of that JSON are
-// known here alone; all other code uses the names of policy::Settings.
+// Reads the settings of the simulator and the platform from JSON. Only this module uses the keys and values
+// of that JSON; all other code uses the names of policy::Settings.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
--- a/src/sql/statement.hpp
+++ b/src/sql/statement.hpp
@@ -1,4 +1,4 @@
-// As much of SQL as a front needs to know of a statement.
+// Scans a SQL statement for what the broker needs: its data group, its placeholders and its first word.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 namespace bellstair::sql {
 
-// The group of tables that a statement reads or writes: 17 for `sales_17.orders`. Names in strings and
-// comments do not count, nor does the schema `staging`. 0: none is named.
+// The data group of the tables that a statement reads or writes: 17 for `sales_17.orders`. Ignores names in
+// strings and comments, and the schema `staging`. 0: no table with a group is named.
 [[nodiscard]] std::int64_t table_group(std::string_view statement);
 
-// Where the question marks stand that bind values: not those in texts, names and comments.
+// The positions of the `?` placeholders. Ignores question marks in strings, names and comments.
 [[nodiscard]] std::vector<std::size_t> placeholders(std::string_view statement);
 
-// "select" for `(SELECT 1)`: what kind of statement it is, in lower case.
+// The first word in lower case, which identifies the kind of statement: "select" for `(SELECT 1)`.
 [[nodiscard]] std::string first_word(std::string_view statement);
 
 }  // namespace bellstair::sql
--- a/src/sql/value.cpp
+++ b/src/sql/value.cpp
@@ -18,7 +18,7 @@
   out.append(raw.data(), raw.size());
 }
 
-// Reads what pack() has written; none where bytes are missing or make no sense.
+// Reads the output of pack(). Returns nullopt if bytes are missing or invalid.
 class Unpacker {
  public:
   explicit Unpacker(std::string_view in) : in_(in) {}
@@ -40,7 +40,7 @@
   std::optional<Value> take_value() {
     const auto index = take<char>();
     if (!index) return std::nullopt;
-    switch (*index) {  // of the type in the variant
+    switch (*index) {  // of the type in Value
       case 0:
         return Null{};
       case 1:
@@ -142,16 +142,16 @@
 }
 
 std::optional<std::string> with_literals(std::string_view statement, const std::vector<Value>& values) {
-  const auto marks = placeholders(statement);
-  if (marks.size() != values.size()) return std::nullopt;
+  const auto positions = placeholders(statement);
+  if (positions.size() != values.size()) return std::nullopt;
   std::string out;
-  std::size_t at = 0;
-  for (std::size_t i = 0; i < marks.size(); ++i) {
-    out.append(statement.substr(at, marks[i] - at));
+  std::size_t copied = 0;
+  for (std::size_t i = 0; i < positions.size(); ++i) {
+    out.append(statement.substr(copied, positions[i] - copied));
     out.append(std::visit(Literal{}, values[i]));
-    at = marks[i] + 1;
+    copied = positions[i] + 1;
   }
-  return out.append(statement.substr(at));
+  return out.append(statement.substr(copied));
 }
 
 std::optional<std::string> as_text(const Value& value) {
--- a/src/sql/value.hpp
+++ b/src/sql/value.hpp
@@ -1,4 +1,4 @@
-// Bound values of a prepared statement, and what becomes of them where an engine takes only text.
+// The bound values of a prepared statement, and their conversion to text for engines that accept only text.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,22 @@
 struct Null {
   bool operator==(const Null&) const = default;
 };
-struct Bytes {  // no text: written in hex where it has to be a literal
+struct Bytes {  // binary data; written in hex as a literal
   std::string bytes;
   bool operator==(const Bytes&) const = default;
 };
 using Value = std::variant<Null, std::int64_t, std::uint64_t, double, std::string, Bytes>;
 
-// As the core carries them: opaque, and none is not the same as no statement with parameters.
+// The opaque form in which the core carries the values. An empty list has a form that is not empty, since an
+// empty text stands for a statement without parameters.
 [[nodiscard]] std::string pack(const std::vector<Value>& values);
 [[nodiscard]] std::optional<std::vector<Value>> unpack(std::string_view packed);
 
-// The statement with its values as literals; none if their number does not fit.
+// The statement with its placeholders replaced by the values as literals. nullopt: their numbers differ.
 [[nodiscard]] std::optional<std::string> with_literals(std::string_view statement,
                                                        const std::vector<Value>& values);
 
-// A value as text, as for an id or a number in a mapping. None for NULL.
+// A value as unquoted text, e.g. for a key or a number. nullopt for NULL.
 [[nodiscard]] std::optional<std::string> as_text(const Value& value);
 
 }  // namespace bellstair::sql
