--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -290,13 +290,13 @@
         {{"listen", "127.0.0.1:0"},
          {"users", {{{"name", "gateway"}, {"password_env", "TEST_SECRET"}, {"tenant", "acme"}}}}}}});
   MysqlClient client(broker.program->listen_address("mysql.listen"));
-  client.wire.command(my::write_query({kSelect, {}}, true));
+  client.packets.send_command(my::write_query({kSelect, {}}, true));
   engine.calls.wait(is_poll);
   ::shutdown(client.socket.fd(), SHUT_WR);
   Client other(broker.address);
   EXPECT_TRUE(other.is_healthy());
   done = true;
-  EXPECT_EQ(client.wire.take(), "\x03") << "three columns";
+  EXPECT_EQ(client.packets.receive(), "\x03") << "three columns";
 }
 
 // The endpoint list may report an engine as terminated before it stops, so that a query there may still end.
