--- a/include/bellstair/policy/settings.hpp
+++ b/include/bellstair/policy/settings.hpp
@@ -12,8 +12,8 @@
 
 namespace bellstair::policy {
 
-/// The additional effect of a repeated request: none; none within a window, by its key; the full effect
-/// again.
+/// The effect of running a request again: none; none within the deduplication window, in which engines
+/// recognise the request by its key; the full effect once more.
 enum class Idempotency { idempotent, keyed, not_idempotent };
 /// The engines among which repeats of keyed requests are dropped.
 enum class DeduplicationScope { all, zone, cell };
@@ -108,12 +108,14 @@
   Time progress_interval{};  // between progress events of an attempt; 0: there are none
   bool answers_report_load = false;
   std::vector<LoadReportField> load_report_fields;
+  // drain_grace, answer_grace and ask_within are settings of the platform that no decision depends on.
   Time drain_grace{};
   Time answer_grace{};
   // An engine has this fraction of its capacity right after its start, and all of it after the duration.
   double slow_start_capacity = 1;
   Time slow_start_duration{};
-  // The factor of its capacity above which the work sent within the window overloads the engine; 0: no limit.
+  // The work sent within the window overloads the engine if it exceeds this multiple of what the engine's
+  // capacity serves in that time; 0: no limit.
   double slow_start_overload_factor = 0;
   Time slow_start_overload_window{};
   Time ordering_key_hold{};  // time for which a key is blocked after an attempt that may still run
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -172,8 +172,8 @@
   std::string path_;
 };
 
-// The other members may have another meaning in another protocol version, so they are read only if this one
-// matches.
+// Must be read before the other members: they may have another meaning in another protocol version, and are
+// read only if the version matches.
 unsigned read_protocol(const ObjectReader& in) {
   return static_cast<unsigned>(in.number("protocol", std::numeric_limits<unsigned>::max()));
 }
--- a/src/control/message.hpp
+++ b/src/control/message.hpp
@@ -16,7 +16,7 @@
 
 inline constexpr unsigned kProtocolVersion = 1;
 inline constexpr std::size_t kMaxNameBytes = 128;    // the name of a fleet, node, broker or region
-inline constexpr std::size_t kMaxReasonBytes = 512;  // the reason for which a broker rejects a version
+inline constexpr std::size_t kMaxReasonBytes = 512;  // the reason of a GoAway or of a rejected version
 inline constexpr std::size_t kMaxRejectionBytes = std::size_t{1} << 16;  // all errors in a document
 inline constexpr std::size_t kMaxMessageBytes = std::size_t{4} << 20;
 
--- a/src/core/attempt_tracker.cpp
+++ b/src/core/attempt_tracker.cpp
@@ -97,7 +97,8 @@
   if (decision == GuardDecision::allowed) return transmit(id, request, *attempt);
   ++context_.counters().attempts_denied[static_cast<std::size_t>(decision)];
   context_.trace(id.request, "attempt ", id.index, " is not transmitted: ", name(decision));
-  // For the scheduler any other reason counts as a timeout: connecting took too long.
+  // Unless the engine is not ready or the request is answered, the scheduler is notified of a timeout:
+  // connecting took too long.
   attempt->timed_out =
       decision != GuardDecision::engine_not_ready && decision != GuardDecision::already_answered;
   cancel(id, *attempt);
--- a/src/core/attempt_tracker.hpp
+++ b/src/core/attempt_tracker.hpp
@@ -39,7 +39,7 @@
 
   // Cancels the request's attempts that are still connecting.
   void cancel_connecting(RequestId id, Request& request);
-  // Cancels the connecting attempts of all requests whose engines are not ready.
+  // Cancels all connecting attempts whose engines are not ready.
   void cancel_connecting_to_unready();
   void cancel_all(RequestId id, Request& request);
 
--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -75,7 +75,8 @@
     record.endpoint.started_at = std::max(record.endpoint.started_at, corrected);
     list.endpoints.push_back(record.endpoint);
   }
-  context_.log("a wall clock is wrong: engine start times are recalculated");
+  context_.log(
+      "the wall clock of this machine or of the change log is wrong: engine start times are recalculated");
   return list;
 }
 
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -140,7 +140,7 @@
 }
 
 // A half-close can't be distinguished from a close. Attempts in flight continue, and their answer is written.
-// Without one the request is answered now, since no further attempt may start.
+// If none is in flight, the request is answered now, since no further attempt may start.
 void Reducer::on(const ClientHalfClosed& half_closed) {
   const auto id = requests_.find_by_client(half_closed.client);
   if (!id) return;
--- a/src/link/channel.hpp
+++ b/src/link/channel.hpp
@@ -18,7 +18,7 @@
   closed_by_peer,
   closed_within_frame,  // by the peer, after a part of a frame
   bad_frame,
-  message_too_long,  // a message of the owner
+  message_too_long,  // the owner tried to send a message above the limit
   slow_peer,         // the unsent bytes exceed their limit
   io,                // the connection failed or could not be made
 };
--- a/src/link/channel_manager.cpp
+++ b/src/link/channel_manager.cpp
@@ -56,7 +56,7 @@
 
 ChannelId ChannelManager::add(net::Fd fd, bool dialling) {
   const auto id = ++last_id_;
-  // A dialled peer is identified by its address, so its first message needs no lower limit.
+  // A dialled peer is identified by its address, so its first message may be as long as any other.
   auto limits = limits_;
   if (dialling) limits.max_first_message_bytes = limits.max_message_bytes;
   auto entry = std::make_unique<Entry>(loop_, std::move(fd), dialling, limits);
--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -18,9 +18,9 @@
 constexpr int kMaxMissedIntervals = 2;  // of progress events, before an attempt or its answer counts as lost
 
 constexpr Time kMinProgressAge = 900ms;     // the progress of a younger attempt is ignored
-constexpr double kMaxPredictedLatency = 5;  // in mean latencies; above it, the plan or the engine is bad
+constexpr double kMaxPredictedLatency = 5;  // in mean latencies; above it, query plan or engine is bad
 constexpr double kMinProgress = 0.005;      // fraction done
-constexpr double kWaitsForDataGroup = 1.5;  // a waiting event with an amount above it
+constexpr double kWaitsForDataGroup = 1.5;  // between the amounts 1 (for memory) and 2 (for its data group)
 }  // namespace
 
 void AttemptMonitor::record_progress(const AttemptProgress& progress) {
@@ -36,7 +36,8 @@
     dispatcher_.cancel_for_retry(progress.request, progress.attempt);
 }
 
-// Whether the rest of a first attempt is predicted to take longer than a new attempt at another engine.
+// Whether the predicted latency of a first attempt is so long that a new attempt at another engine should be
+// faster.
 bool AttemptMonitor::is_too_slow(const Request& request, const AttemptProgress& progress) const {
   if (progress.kind != ProgressKind::progress || progress.attempt != 0) return false;
   const double age = to_seconds(context_.now - request.attempts[progress.attempt].sent_at);
--- a/src/policy/attempt_monitor.hpp
+++ b/src/policy/attempt_monitor.hpp
@@ -11,7 +11,7 @@
 
 namespace bellstair::policy {
 
-/// Withdraws slow or lost attempts, and ejects engines that send nothing while answers are overdue.
+/// Cancels slow or lost attempts for a retry, and ejects engines that send nothing while answers are overdue.
 class AttemptMonitor {
  public:
   AttemptMonitor(const Context& context, const ClassTable& classes, Fleet& fleet, RequestTable& requests,
--- a/src/policy/endpoint_selector.hpp
+++ b/src/policy/endpoint_selector.hpp
@@ -35,7 +35,8 @@
   EndpointSelector(Context& context, SelectorInputs inputs) : context_(context), inputs_(inputs) {}
 
   /// The engine to send the request to now; nullptr if no engine is eligible, or while the request waits for
-  /// the health checks sent for it. Makes one random draw for each eligible engine.
+  /// the health checks sent for it. Makes one random draw for each eligible engine and, in a large fleet, for
+  /// each candidate chosen at random.
   [[nodiscard]] Engine* select(Request& request);
 
  private:
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -47,8 +47,8 @@
   const auto size = kDatagramHeaderBytes + static_cast<double>(encode_gossip(payload).size());
   const double count = std::floor(budget_bytes_ / size);
   if (count < 1) return;
-  // Each message covers only a part of the time since the last ones: in busy times messages are more
-  // frequent.
+  // Messages are more frequent in busy times. Each one states the time that it covers, which is shorter if
+  // more are sent at once, so that busy times do not count more in the receivers' averages.
   payload.rate = static_cast<unsigned>(kRateScale * count * size / kBytesPerRequest /
                                        std::max(kMinSeconds, unsent_seconds_));
   const auto bytes = encode_gossip(payload);
--- a/src/policy/load_estimator.hpp
+++ b/src/policy/load_estimator.hpp
@@ -17,8 +17,8 @@
 
 /// Reports older than this are ignored.
 inline constexpr Time kReportLifetime = std::chrono::milliseconds(2500);
-/// Number of newest reports that are stored. In a fleet with more engines, a selection compares these
-/// engines.
+/// Number of newest reports that are stored. In a fleet with more engines, a selection compares the engines
+/// of these reports.
 inline constexpr std::size_t kMaxRecentReports = 12;
 
 /// Whether reports have a field from which the threads running at an engine follow.
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -12,7 +12,8 @@
 
 constexpr double kFleetErrorWeight = 0.01;  // weight of one outcome in the fleet's error rate
 constexpr double kEjectionErrorRate = 0.4;  // two consecutive errors of kErrorWeight reach 0.44
-// Factor of the fleet's error rate, added to kEjectionErrorRate: errors common to all engines are no outlier.
+// Factor of the fleet's error rate, added to kEjectionErrorRate: an engine that fails no more often than all
+// others is no outlier.
 constexpr double kFleetErrorRateFactor = 4;
 constexpr double kMaxEjectionErrorRate = 0.95;
 constexpr Time kFirstEjectionDuration = 1s;
--- a/src/policy/overload_detector.hpp
+++ b/src/policy/overload_detector.hpp
@@ -23,8 +23,8 @@
   /// Factor, at most 1, on all limits in threads a core.
   [[nodiscard]] double limit_factor() const { return limit_factor_; }
 
-  /// Adapts the factor, once in each control period. A fleet that is slower than usual runs more threads than
-  /// give its peak throughput, whose position depends on the present mix of queries.
+  /// Adapts the factor, once in each control period. A fleet that is slower than usual runs too many threads
+  /// for its peak throughput; how many threads give the peak depends on the present mix of queries.
   void adapt();
 
  private:
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -45,7 +45,7 @@
   ClassTable& classes_;
   OrderingKeys& ordering_keys_;
   std::map<RequestId, Request> requests_;
-  std::set<std::pair<Time, RequestId>> by_answer_time_;  // open ones
+  std::set<std::pair<Time, RequestId>> by_answer_time_;  // open requests
 };
 
 }  // namespace bellstair::policy
--- a/src/policy/settings_check.cpp
+++ b/src/policy/settings_check.cpp
@@ -68,8 +68,8 @@
   check_settings(to);
   require_unchanged(from.classes.size() == to.classes.size(), "the number of classes");
   require_unchanged(from.kinds == to.kinds, "kinds");
-  require_unchanged(from.brokers == to.brokers && from.broker_index == to.broker_index, "balancers");
-  require_unchanged(from.zone == to.zone && from.zones == to.zones, "zones");
+  require_unchanged(from.brokers == to.brokers && from.broker_index == to.broker_index, "balancers or me");
+  require_unchanged(from.zone == to.zone && from.zones == to.zones, "zones or az");
   require_unchanged(from.min_call_interval == to.min_call_interval, "step");
   Settings expected = from;
   expected.tenants = to.tenants;
--- a/src/policy/slow_start_budget.hpp
+++ b/src/policy/slow_start_budget.hpp
@@ -27,7 +27,7 @@
 inline constexpr std::array<double, 6> kMaxPermitsPerSecond = {0, 0.02, 0.15, 0.5, 0.9, 1.4};
 
 /// The operators' rule: the most queries of mean work that may be sent within a window whose budget is `n` of
-/// them. Chance may add twice the square root of n and 2, or below 30 three times the root and 3.
+/// them. Chance may add twice the square root of n and 2 or, if n is below 30, three times the root and 3.
 [[nodiscard]] inline double max_queries_in_window(double n) {
   return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
 }
