--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -100,7 +100,8 @@
     return static_cast<int>(
         std::count_if(sent.begin(), sent.end(), [engine](auto& s) { return s.engine == engine; }));
   }
-  [[nodiscard]] int answer_count(RequestId id) { return rejected[id] + failed[id]; }
+  // Counts Reject and Fail actions; a request that an engine has served has none.
+  [[nodiscard]] int unserved_count(RequestId id) { return rejected[id] + failed[id]; }
 
   Scheduler scheduler;
   Time now{100s};
--- a/tests/control_simulation_test.cpp
+++ b/tests/control_simulation_test.cpp
@@ -84,13 +84,13 @@
     trace_ = std::getenv("BELLSTAIR_CONTROL_TRACE") != nullptr;
     operator_term_ = {1, node_name(random_below(kNodes))};
     for (std::size_t i = 0; i < kNodes; ++i) {
-      auto& m = hosts_[i];
-      m.clock_offset =
+      auto& node_host = hosts_[i];
+      node_host.clock_offset =
           Time(std::uniform_int_distribution<std::int64_t>(-1'000'000'000'000, 1'000'000'000'000)(random_));
-      m.options.fleet = "simulated";
-      m.options.name = node_name(i);
-      m.options.region = region(i);
-      m.options.term = operator_term_;
+      node_host.options.fleet = "simulated";
+      node_host.options.name = node_name(i);
+      node_host.options.region = region(i);
+      node_host.options.term = operator_term_;
       start_node(i);
     }
     for (std::size_t i = 0; i < brokers; ++i) {
@@ -240,9 +240,9 @@
       return;
     }
     const auto peer = end == 0 ? link->dialler_peer : link->node_peer;
-    auto& m = hosts_[process];
-    m.links.erase(peer);
-    if (m.leader_link == link) m.leader_link.reset();
+    auto& node_host = hosts_[process];
+    node_host.links.erase(peer);
+    if (node_host.leader_link == link) node_host.leader_link.reset();
     with_node(process, [&](Node& n, Time now, NodeEffects& out) { n.on_closed(now, peer, out); });
   }
   // Closes this end; unless `silently`, the other end is notified after all data sent before.
@@ -261,14 +261,14 @@
   void dial(std::size_t from, std::size_t node, std::function<bool(const LinkPtr&)> on_result) {
     schedule(delay(from, node), [this, from, node, on_result = std::move(on_result)] {
       if (is_cut(from, node) || is_cut(node, from) || hosts_[node].unreachable) return;
-      auto& m = hosts_[node];
+      auto& node_host = hosts_[node];
       LinkPtr link;
-      if (m.node) {
+      if (node_host.node) {
         link = std::make_shared<Link>();
         link->dialler = from;
         link->node = node;
-        link->node_peer = m.next_peer++;
-        m.links[link->node_peer] = link;
+        link->node_peer = node_host.next_peer++;
+        node_host.links[link->node_peer] = link;
         links_.push_back(link);
         with_node(node,
                   [&](Node& n, Time now, NodeEffects& out) { n.on_accepted(now, link->node_peer, out); });
@@ -282,58 +282,61 @@
   // ---- nodes
 
   void start_node(std::size_t i) {
-    auto& m = hosts_[i];
-    ++m.incarnation;
-    m.unreachable = m.dialling = false;
-    m.next_dial = now_;
-    m.node = std::make_unique<Node>(m.options, m.disk);
+    auto& node_host = hosts_[i];
+    ++node_host.incarnation;
+    node_host.unreachable = node_host.dialling = false;
+    node_host.next_dial = now_;
+    node_host.node = std::make_unique<Node>(node_host.options, node_host.disk);
   }
   void crash(std::size_t i, bool silently) {
-    auto& m = hosts_[i];
-    if (!m.node) return;
+    auto& node_host = hosts_[i];
+    if (!node_host.node) return;
     trace("crash of " + node_name(i) + (silently ? ", silently" : ""));
     ++counts["nodes crashed"];
-    ++m.incarnation;
-    ++m.dial_attempt;
-    m.node.reset();
-    m.unreachable = silently;
-    m.leader_link.reset();
-    m.tools.clear();
-    for (auto& [peer, link] : std::exchange(m.links, {})) close_end(link, link->node == i ? 1 : 0, silently);
+    ++node_host.incarnation;
+    ++node_host.dial_attempt;
+    node_host.node.reset();
+    node_host.unreachable = silently;
+    node_host.leader_link.reset();
+    node_host.tools.clear();
+    for (auto& [peer, link] : std::exchange(node_host.links, {}))
+      close_end(link, link->node == i ? 1 : 0, silently);
   }
   template <class Work>
   void with_node(std::size_t i, Work work) {
-    auto& m = hosts_[i];
-    if (!m.node || !violation_.empty()) return;
+    auto& node_host = hosts_[i];
+    if (!node_host.node || !violation_.empty()) return;
     NodeEffects out;
-    work(*m.node, now_ + m.clock_offset, out);
+    work(*node_host.node, now_ + node_host.clock_offset, out);
     for (auto& effect : out) std::visit([&](auto& e) { run_node_effect(i, e); }, effect);
   }
   void run_node_effect(std::size_t i, const LogLine& e) { trace(node_name(i) + " | " + e.text); }
   void run_node_effect(std::size_t i, const Send& e) {
-    auto& m = hosts_[i];
+    auto& node_host = hosts_[i];
     // A node sends only versions and terms that are on its own disk.
-    if (e.body.starts_with(kUpdatePrefix) && e.body != m.disk_update && e.body != m.previous_disk_update)
+    if (e.body.starts_with(kUpdatePrefix) && e.body != node_host.disk_update &&
+        e.body != node_host.previous_disk_update)
       fail(node_name(i) + " sends a version that is not on its disk");
     if (e.body.starts_with(R"({"kind":"pong")") || e.body.find(R"("kind":"welcome")") != std::string::npos) {
       constexpr std::string_view kEpoch = R"("reign":{"epoch":)";
-      if (std::stoull(e.body.substr(e.body.find(kEpoch) + kEpoch.size())) > m.disk.term.epoch)
+      if (std::stoull(e.body.substr(e.body.find(kEpoch) + kEpoch.size())) > node_host.disk.term.epoch)
         fail(node_name(i) + " sends a leader term that is not on its disk: " + e.body);
     }
-    if (m.tools.contains(e.peer)) {
+    if (node_host.tools.contains(e.peer)) {
       const auto response = decode(e.body);
       if (const auto* published = std::get_if<Published>(&response)) {
         ++counts["documents published"];
-        if (!m.disk.committed || m.disk.committed->id != published->id)
+        if (!node_host.disk.committed || node_host.disk.committed->id != published->id)
           fail(node_name(i) + " reports a version as published that is not on its disk");
-        if (healed_ && m.disk.committed->text == final_text_) final_version_ = m.disk.committed->id;
+        if (healed_ && node_host.disk.committed->text == final_text_)
+          final_version_ = node_host.disk.committed->id;
       } else if (std::holds_alternative<PublishRejected>(response)) {
         ++counts["documents rejected"];
       }
       return;
     }
-    const auto found = m.links.find(e.peer);
-    if (found == m.links.end()) return;
+    const auto found = node_host.links.find(e.peer);
+    if (found == node_host.links.end()) return;
     const LinkPtr link = found->second;
     const int way = link->node == i && link->node_peer == e.peer ? 1 : 0;
     if (!link->open[way]) return;
@@ -342,25 +345,25 @@
     send(link, way, e.body);
   }
   void run_node_effect(std::size_t i, const Close& e) {
-    auto& m = hosts_[i];
-    const auto found = m.links.find(e.peer);
-    if (found == m.links.end()) return;
+    auto& node_host = hosts_[i];
+    const auto found = node_host.links.find(e.peer);
+    if (found == node_host.links.end()) return;
     const LinkPtr link = found->second;
-    m.links.erase(found);
-    if (m.leader_link == link) m.leader_link.reset();
+    node_host.links.erase(found);
+    if (node_host.leader_link == link) node_host.leader_link.reset();
     close_end(link, link->node == i && link->node_peer == e.peer ? 1 : 0);
   }
   void run_node_effect(std::size_t i, const PersistVersion& e) {
-    auto& m = hosts_[i];
-    const bool own = e.version.leader == node_name(i) && e.version.id.epoch == m.disk.term.epoch &&
-                     m.disk.term.leader == node_name(i);
+    auto& node_host = hosts_[i];
+    const bool own = e.version.leader == node_name(i) && e.version.id.epoch == node_host.disk.term.epoch &&
+                     node_host.disk.term.leader == node_name(i);
     if (!is_intact(e.version)) fail(node_name(i) + " persists a version whose digest does not match");
     if (!own) {
       const auto known = published_.find({e.version.id, e.version.leader});
       if (known == published_.end() || known->second != e.version)
         fail(node_name(i) + " persists a version that no leader has published");
     }
-    const auto incarnation = m.incarnation;
+    const auto incarnation = node_host.incarnation;
     schedule(random_duration(1ms, 20ms), [this, i, incarnation, own, version = e.version] {
       auto& host = hosts_[i];
       if (host.incarnation != incarnation) return;  // the write is lost with the process
@@ -389,15 +392,15 @@
   void run_node_effect(std::size_t i, const PersistTerm& e) {
     const auto incarnation = hosts_[i].incarnation;
     schedule(random_duration(1ms, 20ms), [this, i, incarnation, term = e.term] {
-      auto& m = hosts_[i];
-      if (m.incarnation != incarnation) return;
+      auto& node_host = hosts_[i];
+      if (node_host.incarnation != incarnation) return;
       std::optional<PersistError> error;
-      if (now_ < m.disk_full_until) {
+      if (now_ < node_host.disk_full_until) {
         error = kDiskFull;
       } else {
-        if (term.epoch <= m.disk.term.epoch)
+        if (term.epoch <= node_host.disk.term.epoch)
           fail(node_name(i) + " goes back to the older epoch " + std::to_string(term.epoch));
-        m.disk.term = term;
+        node_host.disk.term = term;
       }
       schedule(random_duration(0ms, 10ms) + 1ns, [this, i, incarnation, term, error] {
         if (hosts_[i].incarnation != incarnation) return;
@@ -408,15 +411,15 @@
   }
   // Keeps one connection to the leader, as the event loop of a node does.
   void connect_to_leader(std::size_t i) {
-    auto& m = hosts_[i];
-    const auto upstream = m.node->upstream();
-    if (!upstream || m.leader_link || now_ < m.next_dial) return;
-    if (m.dialling && now_ < m.dial_deadline) return;
-    m.dialling = true;
-    m.dial_deadline = now_ + 1s;
-    m.next_dial = now_ + random_duration(m.dial_backoff / 2, m.dial_backoff);
-    m.dial_backoff = std::min(2 * m.dial_backoff, Time(4s));
-    const auto incarnation = m.incarnation, attempt = ++m.dial_attempt;
+    auto& node_host = hosts_[i];
+    const auto upstream = node_host.node->upstream();
+    if (!upstream || node_host.leader_link || now_ < node_host.next_dial) return;
+    if (node_host.dialling && now_ < node_host.dial_deadline) return;
+    node_host.dialling = true;
+    node_host.dial_deadline = now_ + 1s;
+    node_host.next_dial = now_ + random_duration(node_host.dial_backoff / 2, node_host.dial_backoff);
+    node_host.dial_backoff = std::min(2 * node_host.dial_backoff, Time(4s));
+    const auto incarnation = node_host.incarnation, attempt = ++node_host.dial_attempt;
     const auto to = static_cast<std::size_t>(std::stoul(upstream->substr(1)) - 1);
     dial(i, to, [this, i, incarnation, attempt](const LinkPtr& link) {
       auto& host = hosts_[i];
@@ -515,7 +518,8 @@
   void apply(std::size_t i, const Version& version) {
     auto& b = brokers_[i];
     const std::string who = broker_name(i) + ": version " + to_text(version.id);
-    // It applies only published versions: never a mixture, and never one that is not on its leader's disk.
+    // A broker applies only published versions: never a mixture, and never one that is not on its leader's
+    // disk.
     const auto known = published_.find({version.id, version.leader});
     if (!is_intact(version) || known == published_.end() || known->second != version)
       fail(who + " was never published");
@@ -579,10 +583,10 @@
     return static_cast<std::size_t>(std::stoul(operator_term_.leader.substr(1)) - 1);
   }
   void publish(std::size_t node, const std::string& text) {
-    auto& m = hosts_[node];
-    if (!m.node) return;
-    const PeerId tool = m.next_peer++;
-    m.tools.insert(tool);
+    auto& node_host = hosts_[node];
+    if (!node_host.node) return;
+    const PeerId tool = node_host.next_peer++;
+    node_host.tools.insert(tool);
     with_node(node, [&](Node& n, Time now, NodeEffects& out) {
       n.on_accepted(now, tool, out);
       n.on_message(
@@ -613,10 +617,10 @@
     }
   }
   void change_operators_file(std::size_t i, const LeaderTerm& term) {
-    auto& m = hosts_[i];
-    if (m.options.term.epoch >= term.epoch) return;
-    m.options.term = term;
-    with_node(i, [&](Node& n, Time now, NodeEffects& out) { n.reconfigure(now, m.options, out); });
+    auto& node_host = hosts_[i];
+    if (node_host.options.term.epoch >= term.epoch) return;
+    node_host.options.term = term;
+    with_node(i, [&](Node& n, Time now, NodeEffects& out) { n.reconfigure(now, node_host.options, out); });
   }
   void restart_brokers(double share) {
     for (std::size_t i = 0; i < brokers_.size(); ++i) {
@@ -630,15 +634,15 @@
   }
   void crash_and_restart(std::size_t i, bool loses_disk) {
     crash(i, chance(0.4));
-    auto& m = hosts_[i];
+    auto& node_host = hosts_[i];
     if (loses_disk) {
       trace(node_name(i) + " has lost its disk");
       ++counts["disks lost"];
-      m.disk = {};
-      m.disk_update.clear();
-      m.previous_disk_update.clear();
+      node_host.disk = {};
+      node_host.disk_update.clear();
+      node_host.previous_disk_update.clear();
     }
-    schedule(random_duration(300ms, 9s), [this, i, incarnation = m.incarnation] {
+    schedule(random_duration(300ms, 9s), [this, i, incarnation = node_host.incarnation] {
       if (hosts_[i].incarnation == incarnation) start_node(i);
     });
   }
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -190,7 +190,7 @@
   EXPECT_NE(decode_error(cases.back().first), "none");
 }
 
-TEST(ControlMessage, OnlyTheNumberIsReadOfAnotherProtocolVersion) {
+TEST(ControlMessage, ReadsOnlyTheVersionNumberOfAnotherProtocolVersion) {
   const auto message = decode(R"({"kind":"hello","protocol":2,"fleet":[]})");
   EXPECT_EQ(std::get<Hello>(message).protocol, 2U);
   EXPECT_EQ(decode_error(R"({"kind":"hello","protocol":4294967296})").substr(0, 15), "hello.protocol:");
@@ -334,127 +334,132 @@
 }
 
 TEST(ControlNode, SendsAVersionOnlyOnceItIsPersisted) {
-  NodeHarness b;
-  EXPECT_TRUE(logs(b.out, "control node c1: is the leader, epoch 3"));
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
-  b.receive(kTool, Publish{"one"});
-  const auto persists = effects_of<PersistVersion>(b.out);
+  NodeHarness harness;
+  EXPECT_TRUE(logs(harness.out, "control node c1: is the leader, epoch 3"));
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1"));
+  harness.receive(kTool, Publish{"one"});
+  const auto persists = effects_of<PersistVersion>(harness.out);
   ASSERT_EQ(persists.size(), 1U);
   EXPECT_TRUE(is_intact(persists[0].version));
   EXPECT_EQ(persists[0].version.id, (VersionId{3, 1}));
-  EXPECT_TRUE(effects_of<Send>(b.out).empty());
-  EXPECT_FALSE(b.node->committed());
-  // A broker that connects before that is not sent the version either.
-  EXPECT_TRUE(sent<VersionUpdate>(b.accept_with_hello(kOther, b.hello(Role::broker, "b2")), kOther).empty());
-
-  b.finish_persist(persists[0].version);
-  ASSERT_EQ(sent<Published>(b.out, kTool).size(), 1U);
-  EXPECT_EQ(sent<VersionUpdate>(b.out, kBroker).size(), 1U);
-  EXPECT_EQ(sent<VersionUpdate>(b.out, kOther).size(), 1U);
-  EXPECT_TRUE(logs(b.out, "control node c1: version 3.1 committed"));
+  EXPECT_TRUE(effects_of<Send>(harness.out).empty());
+  EXPECT_FALSE(harness.node->committed());
+  // A broker that connects before the version is persisted is not sent it either.
+  EXPECT_TRUE(
+      sent<VersionUpdate>(harness.accept_with_hello(kOther, harness.hello(Role::broker, "b2")), kOther)
+          .empty());
+
+  harness.finish_persist(persists[0].version);
+  ASSERT_EQ(sent<Published>(harness.out, kTool).size(), 1U);
+  EXPECT_EQ(sent<VersionUpdate>(harness.out, kBroker).size(), 1U);
+  EXPECT_EQ(sent<VersionUpdate>(harness.out, kOther).size(), 1U);
+  EXPECT_TRUE(logs(harness.out, "control node c1: version 3.1 committed"));
 }
 
 TEST(ControlNode, FailedPersistKeepsTheOldVersion) {
-  NodeHarness b("c1", {3, "c1"}, {{3, "c1"}, version(3, 7)});
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 7}, version(3, 7).digest));
-  b.receive(kTool, Publish{"one"});
-  b.finish_persist(effects_of<PersistVersion>(b.out).at(0).version, kDiskFull);
-  EXPECT_EQ(sent<PublishRejected>(b.out, kTool).at(0).reason, "could not be persisted: disk full");
-  EXPECT_EQ(effects_of<Send>(b.out).size(), 1U);
-  EXPECT_EQ(b.node->committed()->id, (VersionId{3, 7}));
-  b.publish("two");
-  EXPECT_EQ(sent<Published>(b.out, kTool).at(0).id, (VersionId{3, 8}));
+  NodeHarness harness("c1", {3, "c1"}, {{3, "c1"}, version(3, 7)});
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.accept_with_hello(kBroker,
+                            harness.hello(Role::broker, "b1", {3, "c1"}, {3, 7}, version(3, 7).digest));
+  harness.receive(kTool, Publish{"one"});
+  harness.finish_persist(effects_of<PersistVersion>(harness.out).at(0).version, kDiskFull);
+  EXPECT_EQ(sent<PublishRejected>(harness.out, kTool).at(0).reason, "could not be persisted: disk full");
+  EXPECT_EQ(effects_of<Send>(harness.out).size(), 1U);
+  EXPECT_EQ(harness.node->committed()->id, (VersionId{3, 7}));
+  harness.publish("two");
+  EXPECT_EQ(sent<Published>(harness.out, kTool).at(0).id, (VersionId{3, 8}));
 }
 
 TEST(ControlNode, PublishesOneValidDocumentAtATime) {
-  NodeHarness b;
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.accept_with_hello(kOther, b.hello(Role::tool, "other"));
-  b.validation_errors = "doc:1:2: no\ndoc:2:1: neither";
-  EXPECT_EQ(sent<PublishRejected>(b.receive(kTool, Publish{"bad"}), kTool).at(0).reason, b.validation_errors);
-  EXPECT_TRUE(effects_of<PersistVersion>(b.out).empty());
-  b.validation_errors.clear();
-  b.receive(kTool, Publish{"one"});
-  const auto persist = effects_of<PersistVersion>(b.out).at(0);
-  EXPECT_EQ(sent<PublishRejected>(b.receive(kOther, Publish{"two"}), kOther).at(0).reason.substr(0, 4),
+  NodeHarness harness;
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.accept_with_hello(kOther, harness.hello(Role::tool, "other"));
+  harness.validation_errors = "doc:1:2: no\ndoc:2:1: neither";
+  EXPECT_EQ(sent<PublishRejected>(harness.receive(kTool, Publish{"bad"}), kTool).at(0).reason,
+            harness.validation_errors);
+  EXPECT_TRUE(effects_of<PersistVersion>(harness.out).empty());
+  harness.validation_errors.clear();
+  harness.receive(kTool, Publish{"one"});
+  const auto persist = effects_of<PersistVersion>(harness.out).at(0);
+  EXPECT_EQ(sent<PublishRejected>(harness.receive(kOther, Publish{"two"}), kOther).at(0).reason.substr(0, 4),
             "busy");
   // After its tool has disconnected, the version is still committed, and nothing is sent to the tool.
-  b.node->on_closed(b.now, kTool, b.out);
-  b.finish_persist(persist.version);
-  EXPECT_TRUE(effects_of<Send>(b.out).empty());
-  EXPECT_EQ(b.node->committed()->text, "one");
+  harness.node->on_closed(harness.now, kTool, harness.out);
+  harness.finish_persist(persist.version);
+  EXPECT_TRUE(effects_of<Send>(harness.out).empty());
+  EXPECT_EQ(harness.node->committed()->text, "one");
 }
 
 TEST(ControlNode, RejectsADocumentWhoseMessageIsTooLong) {
-  NodeHarness b;
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
+  NodeHarness harness;
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
   const Publish publish{std::string((kMaxMessageBytes - 40) / 6, '\x01')};  // six bytes per character in JSON
   ASSERT_LE(encode(publish).size(), kMaxMessageBytes);
-  const auto error_reason = sent<PublishRejected>(b.receive(kTool, publish), kTool).at(0).reason;
+  const auto error_reason = sent<PublishRejected>(harness.receive(kTool, publish), kTool).at(0).reason;
   EXPECT_EQ(error_reason, "the document takes more than 4194304 bytes on the wire");
-  EXPECT_TRUE(effects_of<PersistVersion>(b.out).empty());
+  EXPECT_TRUE(effects_of<PersistVersion>(harness.out).empty());
 }
 
 TEST(ControlNode, VersionNumbersContinueAcrossEpochs) {
-  NodeHarness b("c2", {4, "c2"}, {{3, "c1"}, version(3, 17)});
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  EXPECT_EQ(sent<Published>(b.publish("x"), kTool).at(0).id, (VersionId{4, 18}));
-  EXPECT_EQ(b.node->committed()->leader, "c2");
+  NodeHarness harness("c2", {4, "c2"}, {{3, "c1"}, version(3, 17)});
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  EXPECT_EQ(sent<Published>(harness.publish("x"), kTool).at(0).id, (VersionId{4, 18}));
+  EXPECT_EQ(harness.node->committed()->leader, "c2");
 }
 
 TEST(ControlNode, SendsOneUpdateAtATimeAndTheNewestNext) {
-  NodeHarness b;
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
-  EXPECT_EQ(sent<VersionUpdate>(b.publish("1"), kBroker).size(), 1U);
-  for (const auto* text : {"2", "3", "4"}) EXPECT_TRUE(sent<VersionUpdate>(b.publish(text), kBroker).empty());
-  b.out.clear();
-  b.node->on_drained(b.now, kBroker, b.out);
-  ASSERT_EQ(sent<VersionUpdate>(b.out, kBroker).size(), 1U);
-  EXPECT_EQ(sent<VersionUpdate>(b.out, kBroker)[0].version.text, "4");
-  b.out.clear();
-  b.node->on_drained(b.now, kBroker, b.out);
-  EXPECT_TRUE(b.out.empty());
+  NodeHarness harness;
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1"));
+  EXPECT_EQ(sent<VersionUpdate>(harness.publish("1"), kBroker).size(), 1U);
+  for (const auto* text : {"2", "3", "4"})
+    EXPECT_TRUE(sent<VersionUpdate>(harness.publish(text), kBroker).empty());
+  harness.out.clear();
+  harness.node->on_drained(harness.now, kBroker, harness.out);
+  ASSERT_EQ(sent<VersionUpdate>(harness.out, kBroker).size(), 1U);
+  EXPECT_EQ(sent<VersionUpdate>(harness.out, kBroker)[0].version.text, "4");
+  harness.out.clear();
+  harness.node->on_drained(harness.now, kBroker, harness.out);
+  EXPECT_TRUE(harness.out.empty());
 }
 
 TEST(ControlNode, FollowerPersistsAVersionBeforeServingIt) {
-  NodeHarness b("c2", {3, "c1"});
-  EXPECT_TRUE(logs(b.out, "control node c2: follows c1, epoch 3"));
-  EXPECT_EQ(b.node->upstream(), "c1");
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
-  b.out.clear();
-  b.node->on_leader_connected(b.now, kUpstream, b.out);
-  EXPECT_EQ(sent<Hello>(b.out, kUpstream).at(0).role, Role::node);
-  b.receive(kUpstream, Welcome{kProtocolVersion, "tunis", "c1", {3, "c1"}, {3, 5}});
-  b.receive(kUpstream, VersionUpdate{version(3, 5)});
-  EXPECT_EQ(effects_of<PersistVersion>(b.out).size(), 1U);
-  EXPECT_TRUE(effects_of<Send>(b.out).empty());
+  NodeHarness harness("c2", {3, "c1"});
+  EXPECT_TRUE(logs(harness.out, "control node c2: follows c1, epoch 3"));
+  EXPECT_EQ(harness.node->upstream(), "c1");
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1"));
+  harness.out.clear();
+  harness.node->on_leader_connected(harness.now, kUpstream, harness.out);
+  EXPECT_EQ(sent<Hello>(harness.out, kUpstream).at(0).role, Role::node);
+  harness.receive(kUpstream, Welcome{kProtocolVersion, "tunis", "c1", {3, "c1"}, {3, 5}});
+  harness.receive(kUpstream, VersionUpdate{version(3, 5)});
+  EXPECT_EQ(effects_of<PersistVersion>(harness.out).size(), 1U);
+  EXPECT_TRUE(effects_of<Send>(harness.out).empty());
   // Versions received during a persist wait; only the newest of them is persisted next.
-  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(3, 6)}).empty());
-  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(3, 7)}).empty());
-  b.finish_persist(version(3, 5));
-  EXPECT_EQ(sent<VersionUpdate>(b.out, kBroker).at(0).version, version(3, 5));
-  EXPECT_EQ(effects_of<PersistVersion>(b.out).at(0).version.id, (VersionId{3, 7}));
+  EXPECT_TRUE(harness.receive(kUpstream, VersionUpdate{version(3, 6)}).empty());
+  EXPECT_TRUE(harness.receive(kUpstream, VersionUpdate{version(3, 7)}).empty());
+  harness.finish_persist(version(3, 5));
+  EXPECT_EQ(sent<VersionUpdate>(harness.out, kBroker).at(0).version, version(3, 5));
+  EXPECT_EQ(effects_of<PersistVersion>(harness.out).at(0).version.id, (VersionId{3, 7}));
   // With a full disk, the committed version is still served, and the newer one is retried later.
-  b.finish_persist(version(3, 7), kDiskFull);
-  EXPECT_EQ(b.node->committed()->id, (VersionId{3, 5}));
-  EXPECT_TRUE(effects_of<PersistVersion>(b.tick(500ms)).empty());
-  EXPECT_EQ(effects_of<PersistVersion>(b.tick(600ms)).size(), 1U);
+  harness.finish_persist(version(3, 7), kDiskFull);
+  EXPECT_EQ(harness.node->committed()->id, (VersionId{3, 5}));
+  EXPECT_TRUE(effects_of<PersistVersion>(harness.tick(500ms)).empty());
+  EXPECT_EQ(effects_of<PersistVersion>(harness.tick(600ms)).size(), 1U);
   // Older versions are ignored.
-  b.finish_persist(version(3, 7));
-  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(3, 6)}).empty());
-  EXPECT_TRUE(b.receive(kUpstream, VersionUpdate{version(2, 99, "c9")}).empty());
+  harness.finish_persist(version(3, 7));
+  EXPECT_TRUE(harness.receive(kUpstream, VersionUpdate{version(3, 6)}).empty());
+  EXPECT_TRUE(harness.receive(kUpstream, VersionUpdate{version(2, 99, "c9")}).empty());
 }
 
 TEST(ControlNode, FollowerRejectsDamagedVersionsAndSecondLeaders) {
   const auto expect_rejected = [](Version invalid, const std::string& reason) {
-    NodeHarness b("c2", {3, "c1"}, {{3, "c1"}, version(3, 4)});
-    b.connect_to_leader(kUpstream, "c1", {3, "c1"});
-    b.receive(kUpstream, VersionUpdate{std::move(invalid)});
-    EXPECT_TRUE(rejects(b.out, kUpstream, reason)) << reason;
-    EXPECT_TRUE(effects_of<PersistVersion>(b.out).empty());
+    NodeHarness harness("c2", {3, "c1"}, {{3, "c1"}, version(3, 4)});
+    harness.connect_to_leader(kUpstream, "c1", {3, "c1"});
+    harness.receive(kUpstream, VersionUpdate{std::move(invalid)});
+    EXPECT_TRUE(rejects(harness.out, kUpstream, reason)) << reason;
+    EXPECT_TRUE(effects_of<PersistVersion>(harness.out).empty());
   };
   Version damaged = version(3, 5);
   damaged.text += " ";
@@ -464,70 +469,70 @@
 }
 
 TEST(ControlNode, AcceptsVersionsOnlyFromItsLeader) {
-  NodeHarness b("c2", {3, "c1"});
-  b.accept_with_hello(kOther, b.hello(Role::node, "c1"));
-  EXPECT_TRUE(rejects(b.receive(kOther, VersionUpdate{version(3, 5)}), kOther, "may not send"));
-  b.connect_to_leader(kUpstream, "c5", {3, "c1"});
-  EXPECT_TRUE(rejects(b.out, kUpstream, "the node at the leader's address is c5, not c1"));
-  b.out.clear();
-  b.node->on_leader_connected(b.now, kUpstream + 10, b.out);
-  EXPECT_TRUE(rejects(b.receive(kUpstream + 10, VersionUpdate{version(3, 5)}), kUpstream + 10,
+  NodeHarness harness("c2", {3, "c1"});
+  harness.accept_with_hello(kOther, harness.hello(Role::node, "c1"));
+  EXPECT_TRUE(rejects(harness.receive(kOther, VersionUpdate{version(3, 5)}), kOther, "may not send"));
+  harness.connect_to_leader(kUpstream, "c5", {3, "c1"});
+  EXPECT_TRUE(rejects(harness.out, kUpstream, "the node at the leader's address is c5, not c1"));
+  harness.out.clear();
+  harness.node->on_leader_connected(harness.now, kUpstream + 10, harness.out);
+  EXPECT_TRUE(rejects(harness.receive(kUpstream + 10, VersionUpdate{version(3, 5)}), kUpstream + 10,
                       "before the handshake"));
 }
 
 TEST(ControlNode, NewerTermStopsALeaderAtOnceAndIsSentOncePersisted) {
-  NodeHarness b;
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
-  b.accept_with_hello(kOther, b.hello(Role::broker, "b2", {4, "c2"}));
-  ASSERT_EQ(effects_of<PersistTerm>(b.out).size(), 1U);
+  NodeHarness harness;
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1"));
+  harness.accept_with_hello(kOther, harness.hello(Role::broker, "b2", {4, "c2"}));
+  ASSERT_EQ(effects_of<PersistTerm>(harness.out).size(), 1U);
   // A Welcome would contain an epoch that is not persisted yet, or an old one.
-  EXPECT_TRUE(sent<Welcome>(b.out, kOther).empty());
-  EXPECT_FALSE(b.node->is_leader());
-  EXPECT_EQ(b.node->upstream(), "c2");
-  EXPECT_EQ(sent<Pong>(b.receive(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{3, "c1"}));
-  EXPECT_NE(sent<PublishRejected>(b.receive(kTool, Publish{"x"}), kTool)
+  EXPECT_TRUE(sent<Welcome>(harness.out, kOther).empty());
+  EXPECT_FALSE(harness.node->is_leader());
+  EXPECT_EQ(harness.node->upstream(), "c2");
+  EXPECT_EQ(sent<Pong>(harness.receive(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{3, "c1"}));
+  EXPECT_NE(sent<PublishRejected>(harness.receive(kTool, Publish{"x"}), kTool)
                 .at(0)
                 .reason.find("the leader is c2, epoch 4"),
             std::string::npos);
-  b.out.clear();
-  b.node->on_term_persisted(b.now, {4, "c2"}, kDiskFull, b.out);
-  EXPECT_TRUE(effects_of<Send>(b.out).empty());
-  EXPECT_EQ(effects_of<PersistTerm>(b.tick(1s)).size(), 1U);
-  b.out.clear();
-  b.node->on_term_persisted(b.now, {4, "c2"}, {}, b.out);
-  EXPECT_EQ(sent<Welcome>(b.out, kOther).at(0).term, (LeaderTerm{4, "c2"}));
-  EXPECT_EQ(sent<Pong>(b.receive(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{4, "c2"}));
+  harness.out.clear();
+  harness.node->on_term_persisted(harness.now, {4, "c2"}, kDiskFull, harness.out);
+  EXPECT_TRUE(effects_of<Send>(harness.out).empty());
+  EXPECT_EQ(effects_of<PersistTerm>(harness.tick(1s)).size(), 1U);
+  harness.out.clear();
+  harness.node->on_term_persisted(harness.now, {4, "c2"}, {}, harness.out);
+  EXPECT_EQ(sent<Welcome>(harness.out, kOther).at(0).term, (LeaderTerm{4, "c2"}));
+  EXPECT_EQ(sent<Pong>(harness.receive(kBroker, Ping{}), kBroker).at(0).term, (LeaderTerm{4, "c2"}));
 }
 
 TEST(ControlNode, RestartedLeaderOfAnOlderEpochDoesNotLead) {
-  NodeHarness b("c1", {3, "c1"}, {{4, "c2"}, version(3, 9)});
-  EXPECT_FALSE(b.node->is_leader());
-  EXPECT_EQ(b.node->upstream(), "c2");
-  EXPECT_TRUE(logs(b.out, "the operator's file names epoch 3 of c1, but epoch 4 of c2 is known"));
-  EXPECT_TRUE(effects_of<PersistTerm>(b.out).empty());
+  NodeHarness harness("c1", {3, "c1"}, {{4, "c2"}, version(3, 9)});
+  EXPECT_FALSE(harness.node->is_leader());
+  EXPECT_EQ(harness.node->upstream(), "c2");
+  EXPECT_TRUE(logs(harness.out, "the operator's file names epoch 3 of c1, but epoch 4 of c2 is known"));
+  EXPECT_TRUE(effects_of<PersistTerm>(harness.out).empty());
 }
 
 TEST(ControlNode, LeadsOnlyIfItsOwnFileNamesIt) {
-  NodeHarness b("c2", {3, "c1"});
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {4, "c2"}));
-  b.persist_terms();
-  EXPECT_FALSE(b.node->is_leader());
-  auto options = b.options;
+  NodeHarness harness("c2", {3, "c1"});
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1", {4, "c2"}));
+  harness.persist_terms();
+  EXPECT_FALSE(harness.node->is_leader());
+  auto options = harness.options;
   options.term = {4, "c2"};
-  b.node->reconfigure(b.now, options, b.out);
-  EXPECT_TRUE(b.node->is_leader());
+  harness.node->reconfigure(harness.now, options, harness.out);
+  EXPECT_TRUE(harness.node->is_leader());
 }
 
 TEST(ControlNode, RejectsAndLogsASecondLeaderOfAnEpoch) {
-  NodeHarness b;
-  b.accept_with_hello(kOther, b.hello(Role::node, "c2", {3, "c2"}));
-  EXPECT_TRUE(rejects(b.out, kOther, "epoch 3 has two leaders: c1 at this node, c2 at the peer"));
-  EXPECT_TRUE(logs(b.out, "the leader of epoch 3 is c1; node c2 names c2"));
-  EXPECT_TRUE(b.node->is_leader());
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {3, "c2"}));
-  EXPECT_TRUE(rejects(b.out, kBroker, "two leaders"));
-  EXPECT_EQ(b.node->status(b.now).brokers.at(0).reason.substr(0, 7),
+  NodeHarness harness;
+  harness.accept_with_hello(kOther, harness.hello(Role::node, "c2", {3, "c2"}));
+  EXPECT_TRUE(rejects(harness.out, kOther, "epoch 3 has two leaders: c1 at this node, c2 at the peer"));
+  EXPECT_TRUE(logs(harness.out, "the leader of epoch 3 is c1; node c2 names c2"));
+  EXPECT_TRUE(harness.node->is_leader());
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1", {3, "c2"}));
+  EXPECT_TRUE(rejects(harness.out, kBroker, "two leaders"));
+  EXPECT_EQ(harness.node->status(harness.now).brokers.at(0).reason.substr(0, 7),
             "epoch 3");  // the status contains the reason
 
   NodeHarness follower("c3", {3, "c1"});
@@ -543,59 +548,61 @@
 }
 
 TEST(ControlNode, FollowerDisconnectsFromALeaderOfAnOlderEpoch) {
-  NodeHarness b("c3", {4, "c1"});
-  b.connect_to_leader(kUpstream, "c1", {3, "c1"});
-  EXPECT_TRUE(rejects(b.out, kUpstream, "epoch 3 is outdated"));
-  b.connect_to_leader(kUpstream + 10, "c1", {4, "c1"});
-  EXPECT_TRUE(effects_of<Close>(b.out).empty());
-  EXPECT_TRUE(rejects(b.receive(kUpstream + 10, Pong{{3, "c1"}}), kUpstream + 10, "epoch 3 is outdated"));
+  NodeHarness harness("c3", {4, "c1"});
+  harness.connect_to_leader(kUpstream, "c1", {3, "c1"});
+  EXPECT_TRUE(rejects(harness.out, kUpstream, "epoch 3 is outdated"));
+  harness.connect_to_leader(kUpstream + 10, "c1", {4, "c1"});
+  EXPECT_TRUE(effects_of<Close>(harness.out).empty());
+  EXPECT_TRUE(
+      rejects(harness.receive(kUpstream + 10, Pong{{3, "c1"}}), kUpstream + 10, "epoch 3 is outdated"));
 }
 
-TEST(ControlNode, OperatorsFileNamesAnotherLeader) {
-  NodeHarness b("c2", {3, "c1"}, {{3, "c1"}, version(3, 9)});
-  b.connect_to_leader(kUpstream, "c1", {3, "c1"});
-  auto options = b.options;
+TEST(ControlNode, OperatorsFileChangesTheLeaderOnlyWithANewerEpoch) {
+  NodeHarness harness("c2", {3, "c1"}, {{3, "c1"}, version(3, 9)});
+  harness.connect_to_leader(kUpstream, "c1", {3, "c1"});
+  auto options = harness.options;
   options.term = {2, "c2"};
-  b.out.clear();
-  b.node->reconfigure(b.now, options, b.out);
-  EXPECT_TRUE(logs(b.out, "names epoch 2 of c2, which is rejected"));
-  EXPECT_EQ(b.node->upstream(), "c1");
+  harness.out.clear();
+  harness.node->reconfigure(harness.now, options, harness.out);
+  EXPECT_TRUE(logs(harness.out, "names epoch 2 of c2, which is rejected"));
+  EXPECT_EQ(harness.node->upstream(), "c1");
   options.term = {4, "c2"};
-  b.out.clear();
-  b.node->reconfigure(b.now, options, b.out);
-  EXPECT_EQ(effects_of<Close>(b.out).at(0).peer, kUpstream);  // it no longer follows a leader
-  EXPECT_FALSE(b.node->is_leader());                          // before its epoch is persisted
-  b.persist_terms();
-  EXPECT_TRUE(b.node->is_leader());
-  EXPECT_TRUE(logs(b.out, "control node c2: is the leader, epoch 4"));
+  harness.out.clear();
+  harness.node->reconfigure(harness.now, options, harness.out);
+  EXPECT_EQ(effects_of<Close>(harness.out).at(0).peer, kUpstream);  // it no longer follows a leader
+  EXPECT_FALSE(harness.node->is_leader());                          // before its epoch is persisted
+  harness.persist_terms();
+  EXPECT_TRUE(harness.node->is_leader());
+  EXPECT_TRUE(logs(harness.out, "control node c2: is the leader, epoch 4"));
 }
 
 TEST(ControlNode, LeaderWhoseDiskWasLostStopsLeadingItsEpoch) {
-  NodeHarness b;
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1", {3, "c1"}, {3, 17}, version(3, 17).digest));
-  EXPECT_FALSE(b.node->is_leader());
-  EXPECT_NE(sent<PublishRejected>(b.receive(kTool, Publish{"x"}), kTool).at(0).reason.find("3.17"),
+  NodeHarness harness;
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.accept_with_hello(kBroker,
+                            harness.hello(Role::broker, "b1", {3, "c1"}, {3, 17}, version(3, 17).digest));
+  EXPECT_FALSE(harness.node->is_leader());
+  EXPECT_NE(sent<PublishRejected>(harness.receive(kTool, Publish{"x"}), kTool).at(0).reason.find("3.17"),
             std::string::npos);
 }
 
 TEST(ControlNode, RejectsInvalidPeersWithAReason) {
-  NodeHarness b;
+  NodeHarness harness;
   PeerId id = 10;
   const auto expect_rejected = [&](const std::string& body, const std::string& reason) {
-    b.out.clear();
-    b.node->on_accepted(b.now, ++id, b.out);
-    EXPECT_TRUE(rejects(b.receive_body(id, body), id, reason)) << body.substr(0, 100);
-    EXPECT_FALSE(effects_of<LogLine>(b.out).empty());
-    EXPECT_TRUE(b.receive_body(id, encode(Ping{})).empty());  // its session is removed
+    harness.out.clear();
+    harness.node->on_accepted(harness.now, ++id, harness.out);
+    EXPECT_TRUE(rejects(harness.receive_body(id, body), id, reason)) << body.substr(0, 100);
+    EXPECT_FALSE(effects_of<LogLine>(harness.out).empty());
+    EXPECT_TRUE(harness.receive_body(id, encode(Ping{})).empty());  // its session is removed
   };
-  Hello hello = b.hello(Role::broker, "b1");
+  Hello hello = harness.hello(Role::broker, "b1");
   hello.protocol = 2;
   expect_rejected(encode(hello), "protocol version 2 is not supported; expected version 1");
-  hello = b.hello(Role::broker, "b1");
+  hello = harness.hello(Role::broker, "b1");
   hello.fleet = "sfax";
   expect_rejected(encode(hello), "fleet sfax does not match the expected fleet tunis");
-  expect_rejected(encode(b.hello(Role::node, "c1")), "two nodes have the name c1");
+  expect_rejected(encode(harness.hello(Role::node, "c1")), "two nodes have the name c1");
   expect_rejected("noise", "message: ");
   expect_rejected(R"({"kind":"hello","protocol":1,"fleet":")" + std::string(200, 'x') + "\"}",
                   "hello.fleet: 200 bytes");
@@ -607,29 +614,29 @@
   const std::vector<Message> messages = sample_messages();
   for (const Role role : {Role::broker, Role::node, Role::tool}) {
     for (const auto& message : messages) {
-      NodeHarness b;
-      b.accept_with_hello(kOther, b.hello(role, "x"));
-      b.receive(kOther, message);
+      NodeHarness harness;
+      harness.accept_with_hello(kOther, harness.hello(role, "x"));
+      harness.receive(kOther, message);
       const bool allowed = std::holds_alternative<Ping>(message) || std::holds_alternative<GoAway>(message) ||
                            (role == Role::broker && std::holds_alternative<BrokerReport>(message)) ||
                            (role == Role::tool && (std::holds_alternative<Publish>(message) ||
                                                    std::holds_alternative<StatusRequest>(message)));
-      EXPECT_EQ(rejects(b.out, kOther, "may not send"), !allowed) << encode(message);
+      EXPECT_EQ(rejects(harness.out, kOther, "may not send"), !allowed) << encode(message);
     }
   }
 }
 
 TEST(ControlNode, ClosesTimedOutPeersAndThoseWithoutHello) {
-  NodeHarness b;
-  b.node->on_accepted(b.now, kOther, b.out);
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "b1"));
-  EXPECT_TRUE(effects_of<Close>(b.tick(Node::kHandshakeTimeout - 1ms)).empty());
-  EXPECT_EQ(effects_of<Close>(b.tick(1ms)).at(0).peer, kOther);
-  EXPECT_EQ(sent<Pong>(b.receive(kBroker, Ping{}), kBroker).size(), 1U);
-  EXPECT_TRUE(effects_of<Close>(b.tick(Node::kPeerTimeout - 1ms)).empty());
-  EXPECT_EQ(effects_of<Close>(b.tick(1ms)).at(0).peer, kBroker);
-  EXPECT_FALSE(b.node->status(b.now).brokers.at(0).connected);
-  EXPECT_EQ(b.node->status(b.now).brokers.at(0).age, Node::kPeerTimeout);
+  NodeHarness harness;
+  harness.node->on_accepted(harness.now, kOther, harness.out);
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1"));
+  EXPECT_TRUE(effects_of<Close>(harness.tick(Node::kHandshakeTimeout - 1ms)).empty());
+  EXPECT_EQ(effects_of<Close>(harness.tick(1ms)).at(0).peer, kOther);
+  EXPECT_EQ(sent<Pong>(harness.receive(kBroker, Ping{}), kBroker).size(), 1U);
+  EXPECT_TRUE(effects_of<Close>(harness.tick(Node::kPeerTimeout - 1ms)).empty());
+  EXPECT_EQ(effects_of<Close>(harness.tick(1ms)).at(0).peer, kBroker);
+  EXPECT_FALSE(harness.node->status(harness.now).brokers.at(0).connected);
+  EXPECT_EQ(harness.node->status(harness.now).brokers.at(0).age, Node::kPeerTimeout);
 
   NodeHarness follower("c2", {3, "c1"});
   follower.connect_to_leader(kUpstream, "c1", {3, "c1"});
@@ -639,16 +646,16 @@
 }
 
 TEST(ControlNode, RegistryOfBrokersIsBounded) {
-  NodeHarness b;
-  Hello hello = b.hello(Role::broker, "");
-  b.accept_with_hello(kBroker, b.hello(Role::broker, "connected"));
+  NodeHarness harness;
+  Hello hello = harness.hello(Role::broker, "");
+  harness.accept_with_hello(kBroker, harness.hello(Role::broker, "connected"));
   for (std::size_t i = 0; i < BrokerRegistry::kMaxBrokers + 50; ++i) {
-    b.now += 1ms;
+    harness.now += 1ms;
     hello.name = "b" + std::to_string(i);
-    b.accept_with_hello(100 + i, hello);
-    b.node->on_closed(b.now, 100 + i, b.out);
+    harness.accept_with_hello(100 + i, hello);
+    harness.node->on_closed(harness.now, 100 + i, harness.out);
   }
-  const auto status = b.node->status(b.now);
+  const auto status = harness.node->status(harness.now);
   EXPECT_EQ(status.brokers.size(), BrokerRegistry::kMaxBrokers);
   std::set<std::string> names;
   for (const auto& broker : status.brokers) names.insert(broker.name);
@@ -658,26 +665,28 @@
 }
 
 TEST(ControlNode, NumberOfConnectionsIsBounded) {
-  NodeHarness b;
-  for (PeerId id = 100; id < 100 + Node::kMaxPeers; ++id) b.node->on_accepted(b.now, id, b.out);
-  b.out.clear();
-  b.node->on_accepted(b.now, 50, b.out);
-  EXPECT_TRUE(rejects(b.out, 50, "the connection limit is reached"));
-  b.node->on_closed(b.now, 100, b.out);
-  EXPECT_EQ(sent<Welcome>(b.accept_with_hello(50, b.hello(Role::broker, "b1")), 50).size(), 1U);
+  NodeHarness harness;
+  for (PeerId id = 100; id < 100 + Node::kMaxPeers; ++id)
+    harness.node->on_accepted(harness.now, id, harness.out);
+  harness.out.clear();
+  harness.node->on_accepted(harness.now, 50, harness.out);
+  EXPECT_TRUE(rejects(harness.out, 50, "the connection limit is reached"));
+  harness.node->on_closed(harness.now, 100, harness.out);
+  EXPECT_EQ(sent<Welcome>(harness.accept_with_hello(50, harness.hello(Role::broker, "b1")), 50).size(), 1U);
 }
 
 TEST(ControlNode, StatusOfThousandsWithLongReasonsFitsAMessage) {
-  NodeHarness b;
+  NodeHarness harness;
   for (std::size_t i = 0; i < 4000; ++i) {
     const PeerId id = 100 + i;
-    b.accept_with_hello(id, b.hello(Role::broker, std::string(100, 'b') + std::to_string(i)));
-    b.receive(id, BrokerReport{{3, 1}, std::string(64, 'a'), {3, 2}, std::string(kMaxReasonBytes, '"')});
-    b.node->on_closed(b.now, id, b.out);
+    harness.accept_with_hello(id, harness.hello(Role::broker, std::string(100, 'b') + std::to_string(i)));
+    harness.receive(id,
+                    BrokerReport{{3, 1}, std::string(64, 'a'), {3, 2}, std::string(kMaxReasonBytes, '"')});
+    harness.node->on_closed(harness.now, id, harness.out);
   }
-  b.accept_with_hello(kTool, b.hello(Role::tool, "tool"));
-  b.receive(kTool, StatusRequest{});
-  const auto sends = effects_of<Send>(b.out);
+  harness.accept_with_hello(kTool, harness.hello(Role::tool, "tool"));
+  harness.receive(kTool, StatusRequest{});
+  const auto sends = effects_of<Send>(harness.out);
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_LE(sends[0].body.size(), kMaxMessageBytes);
   const auto status = std::get<NodeStatus>(decode(sends[0].body));
@@ -740,16 +749,16 @@
 };
 
 TEST(ControlSubscriber, PrefersItsOwnRegionAndSpreadsOverItsNodes) {
-  SubscriberHarness b;
+  SubscriberHarness harness;
   std::map<std::size_t, int> first_choices;
   int moved = 0;
   for (int i = 0; i < 700; ++i) {
-    b.options.name = "broker-" + std::to_string(i);
-    const auto order = Subscriber(b.options, {}).order();
+    harness.options.name = "broker-" + std::to_string(i);
+    const auto order = Subscriber(harness.options, {}).order();
     EXPECT_LT(order[0], 2U);
     EXPECT_LT(order[1], 2U);
     ++first_choices[order[0]];
-    auto extended = b.options;
+    auto extended = harness.options;
     extended.nodes.push_back({"c9", "", "north"});
     const auto new_first = Subscriber(extended, {}).order()[0];
     if (new_first != order[0]) {
@@ -762,16 +771,16 @@
 }
 
 TEST(ControlSubscriber, AppliesItsLastVersionWithoutAnyConnection) {
-  SubscriberHarness b(version(3, 17));
-  ASSERT_EQ(effects_of<ApplyVersion>(b.out).size(), 1U);
-  const auto start_effects = b.out;
-  b.finish_apply(version(3, 17));
-  EXPECT_EQ(b.subscriber->active_version(), (VersionId{3, 17}));
-  b.out = start_effects;
-  const auto hello = sent<Hello>(b.connect()).at(0);
+  SubscriberHarness harness(version(3, 17));
+  ASSERT_EQ(effects_of<ApplyVersion>(harness.out).size(), 1U);
+  const auto start_effects = harness.out;
+  harness.finish_apply(version(3, 17));
+  EXPECT_EQ(harness.subscriber->active_version(), (VersionId{3, 17}));
+  harness.out = start_effects;
+  const auto hello = sent<Hello>(harness.connect()).at(0);
   EXPECT_EQ(hello.current, (VersionId{3, 17}));
   EXPECT_EQ(hello.term, (LeaderTerm{3, "c1"}));
-  EXPECT_TRUE(effects_of<ApplyVersion>(b.receive(VersionUpdate{version(3, 16)})).empty());
+  EXPECT_TRUE(effects_of<ApplyVersion>(harness.receive(VersionUpdate{version(3, 16)})).empty());
 
   Version damaged_version = version(3, 17);
   damaged_version.text += "x";
@@ -782,35 +791,35 @@
 }
 
 TEST(ControlSubscriber, AppliesVersionsInAscendingOrderAndReportsThem) {
-  SubscriberHarness b;
-  EXPECT_TRUE(logs(b.connect(), "control: connected to c"));
-  EXPECT_EQ(effects_of<ApplyVersion>(b.receive(VersionUpdate{version(3, 5)})).size(), 1U);
-  b.finish_apply(version(3, 5));
-  EXPECT_TRUE(logs(b.out, "control: version 3.5 is active"));
-  EXPECT_EQ(sent<BrokerReport>(b.out).at(0).active_version, (VersionId{3, 5}));
-  EXPECT_EQ(sent<BrokerReport>(b.out).at(0).digest, version(3, 5).digest);
+  SubscriberHarness harness;
+  EXPECT_TRUE(logs(harness.connect(), "control: connected to c"));
+  EXPECT_EQ(effects_of<ApplyVersion>(harness.receive(VersionUpdate{version(3, 5)})).size(), 1U);
+  harness.finish_apply(version(3, 5));
+  EXPECT_TRUE(logs(harness.out, "control: version 3.5 is active"));
+  EXPECT_EQ(sent<BrokerReport>(harness.out).at(0).active_version, (VersionId{3, 5}));
+  EXPECT_EQ(sent<BrokerReport>(harness.out).at(0).digest, version(3, 5).digest);
   for (const auto& old : {version(3, 5), version(3, 4), version(2, 99, "c9")})
-    EXPECT_TRUE(b.receive(VersionUpdate{old}).empty()) << to_text(old.id);
-  EXPECT_EQ(effects_of<ApplyVersion>(b.receive(VersionUpdate{version(3, 6)})).size(), 1U);
+    EXPECT_TRUE(harness.receive(VersionUpdate{old}).empty()) << to_text(old.id);
+  EXPECT_EQ(effects_of<ApplyVersion>(harness.receive(VersionUpdate{version(3, 6)})).size(), 1U);
   // While one version is being applied, the newest one received waits.
-  EXPECT_TRUE(b.receive(VersionUpdate{version(3, 8)}).empty());
-  EXPECT_TRUE(b.receive(VersionUpdate{version(3, 7)}).empty());
-  b.finish_apply(version(3, 6));
-  EXPECT_EQ(effects_of<ApplyVersion>(b.out).at(0).version.id, (VersionId{3, 8}));
+  EXPECT_TRUE(harness.receive(VersionUpdate{version(3, 8)}).empty());
+  EXPECT_TRUE(harness.receive(VersionUpdate{version(3, 7)}).empty());
+  harness.finish_apply(version(3, 6));
+  EXPECT_EQ(effects_of<ApplyVersion>(harness.out).at(0).version.id, (VersionId{3, 8}));
 }
 
 TEST(ControlSubscriber, RejectsDamagedVersionsOldEpochsAndSecondLeaders) {
   const auto expect_rejected = [](Version invalid, const std::string& reason) {
-    SubscriberHarness b(version(3, 4));
-    const auto start_effects = b.out;
-    b.finish_apply(version(3, 4));
-    b.out = start_effects;
-    const auto first_node = b.dialled_node();
-    b.connect();
-    b.receive(VersionUpdate{std::move(invalid)});
-    EXPECT_TRUE(effects_of<ApplyVersion>(b.out).empty()) << reason;
-    EXPECT_TRUE(logs(b.out, reason)) << reason;
-    EXPECT_NE(b.dialled_node(), first_node);  // it tries another node
+    SubscriberHarness harness(version(3, 4));
+    const auto start_effects = harness.out;
+    harness.finish_apply(version(3, 4));
+    harness.out = start_effects;
+    const auto first_node = harness.dialled_node();
+    harness.connect();
+    harness.receive(VersionUpdate{std::move(invalid)});
+    EXPECT_TRUE(effects_of<ApplyVersion>(harness.out).empty()) << reason;
+    EXPECT_TRUE(logs(harness.out, reason)) << reason;
+    EXPECT_NE(harness.dialled_node(), first_node);  // it tries another node
   };
   Version damaged = version(3, 5);
   damaged.text = "share = 2\n";
@@ -818,128 +827,129 @@
   expect_rejected(version(3, 5, "c9"), "second leader");
   expect_rejected(version(4, 5, "c9"), "newer epoch than the node");
 
-  SubscriberHarness b(version(3, 4));
-  EXPECT_TRUE(logs(b.connect({2, "c1"}), "is at the outdated epoch 2; epoch 3 is known"));
-  EXPECT_TRUE(logs(b.connect({3, "c2"}), "the leader of epoch 3 is c1, not c2"));
-  b.connect({5, "c3"});
-  EXPECT_EQ(b.subscriber->term(), (LeaderTerm{5, "c3"}));
-  EXPECT_TRUE(logs(b.receive(Pong{{4, "c1"}}), "is at the outdated epoch 4"));
+  SubscriberHarness harness(version(3, 4));
+  EXPECT_TRUE(logs(harness.connect({2, "c1"}), "is at the outdated epoch 2; epoch 3 is known"));
+  EXPECT_TRUE(logs(harness.connect({3, "c2"}), "the leader of epoch 3 is c1, not c2"));
+  harness.connect({5, "c3"});
+  EXPECT_EQ(harness.subscriber->term(), (LeaderTerm{5, "c3"}));
+  EXPECT_TRUE(logs(harness.receive(Pong{{4, "c1"}}), "is at the outdated epoch 4"));
 }
 
 TEST(ControlSubscriber, ReportsARejectedVersionUntilANewerOneIsActive) {
-  SubscriberHarness b;
-  b.connect();
-  b.receive(VersionUpdate{version(3, 5)});
-  b.finish_apply(version(3, 5), "doc:3:4: no such class");
-  EXPECT_TRUE(logs(b.out, "control: version 3.5 rejected: doc:3:4: no such class"));
-  EXPECT_EQ(sent<BrokerReport>(b.out).at(0).rejected_version, (VersionId{3, 5}));
-  b.now += 10s;
-  b.out.clear();
-  b.subscriber->on_closed(b.now, b.out);
-  EXPECT_TRUE(logs(b.out, "control: lost the connection to c"));
-  b.tick(200ms);
-  const auto report = sent<BrokerReport>(b.connect()).at(0);
+  SubscriberHarness harness;
+  harness.connect();
+  harness.receive(VersionUpdate{version(3, 5)});
+  harness.finish_apply(version(3, 5), "doc:3:4: no such class");
+  EXPECT_TRUE(logs(harness.out, "control: version 3.5 rejected: doc:3:4: no such class"));
+  EXPECT_EQ(sent<BrokerReport>(harness.out).at(0).rejected_version, (VersionId{3, 5}));
+  harness.now += 10s;
+  harness.out.clear();
+  harness.subscriber->on_closed(harness.now, harness.out);
+  EXPECT_TRUE(logs(harness.out, "control: lost the connection to c"));
+  harness.tick(200ms);
+  const auto report = sent<BrokerReport>(harness.connect()).at(0);
   EXPECT_EQ(report.rejected_version, (VersionId{3, 5}));
   EXPECT_EQ(report.reason, "doc:3:4: no such class");
-  EXPECT_TRUE(b.receive(VersionUpdate{version(3, 5)}).empty());  // not applied again
-  b.receive(VersionUpdate{version(3, 6)});
-  b.finish_apply(version(3, 6));
-  EXPECT_EQ(sent<BrokerReport>(b.out).at(0).rejected_version, VersionId{});
+  EXPECT_TRUE(harness.receive(VersionUpdate{version(3, 5)}).empty());  // not applied again
+  harness.receive(VersionUpdate{version(3, 6)});
+  harness.finish_apply(version(3, 6));
+  EXPECT_EQ(sent<BrokerReport>(harness.out).at(0).rejected_version, VersionId{});
 }
 
 TEST(ControlSubscriber, TriesTheNextNodeAfterATimeoutAndBacksOffBetweenRounds) {
-  SubscriberHarness b;
-  std::vector<std::string> tried{b.dialled_node()};
+  SubscriberHarness harness;
+  std::vector<std::string> tried{harness.dialled_node()};
   for (int i = 0; i < 3; ++i) {
-    EXPECT_TRUE(b.tick(Subscriber::kConnectTimeout - 1ms).empty());
-    b.tick(1ms);
-    tried.push_back(b.dialled_node());
+    EXPECT_TRUE(harness.tick(Subscriber::kConnectTimeout - 1ms).empty());
+    harness.tick(1ms);
+    tried.push_back(harness.dialled_node());
   }
   EXPECT_EQ(std::set<std::string>(tried.begin(), tried.end()).size(), 4U);
   Time backoff = Subscriber::kMinBackoff;
   std::set<Time> waits;
   for (int round = 0; round < 8; ++round) {
-    b.out.clear();
-    b.subscriber->on_closed(b.now, b.out);
-    while (b.out.empty() || !b.dialled_node().empty()) {  // the other nodes of the round fail immediately
-      if (b.dialled_node().empty()) break;
-      b.out.clear();
-      b.subscriber->on_closed(b.now, b.out);
+    harness.out.clear();
+    harness.subscriber->on_closed(harness.now, harness.out);
+    while (harness.out.empty() ||
+           !harness.dialled_node().empty()) {  // the other nodes of the round fail immediately
+      if (harness.dialled_node().empty()) break;
+      harness.out.clear();
+      harness.subscriber->on_closed(harness.now, harness.out);
     }
     Time waited{};
-    while (b.tick(1ms).empty()) waited += 1ms;
+    while (harness.tick(1ms).empty()) waited += 1ms;
     EXPECT_GE(waited + 1ms, backoff / 2);
     EXPECT_LE(waited, backoff);
     waits.insert(waited);
     backoff = std::min(2 * backoff, Subscriber::kMaxBackoff);
   }
   EXPECT_GE(waits.size(), 7U);  // random, not fixed
-  b.connect();
-  const auto node = b.subscriber->node();
+  harness.connect();
+  const auto node = harness.subscriber->node();
   ASSERT_TRUE(node);
-  EXPECT_EQ(sent<Ping>(b.tick(Subscriber::kHeartbeatInterval)).size(), 1U);
-  EXPECT_TRUE(logs(b.tick(Subscriber::kNodeTimeout - Subscriber::kHeartbeatInterval),
+  EXPECT_EQ(sent<Ping>(harness.tick(Subscriber::kHeartbeatInterval)).size(), 1U);
+  EXPECT_TRUE(logs(harness.tick(Subscriber::kNodeTimeout - Subscriber::kHeartbeatInterval),
                    ": no message was received in time"));
-  EXPECT_EQ(effects_of<Disconnect>(b.out).size(), 1U);
-  b.tick(Subscriber::kMinBackoff);
-  EXPECT_NE(b.dialled_node(), b.options.nodes[*node].name);
+  EXPECT_EQ(effects_of<Disconnect>(harness.out).size(), 1U);
+  harness.tick(Subscriber::kMinBackoff);
+  EXPECT_NE(harness.dialled_node(), harness.options.nodes[*node].name);
 }
 
 TEST(ControlSubscriber, LogsAGoAwayOnce) {
-  SubscriberHarness b;
+  SubscriberHarness harness;
   int logged = 0;
   for (int i = 0; i < 40; ++i) {
-    if (!b.dialled_node().empty()) {
-      b.out.clear();
-      b.subscriber->on_connected(b.now, b.out);
-      b.receive(GoAway{"fleet tunis does not match the expected fleet sfax"});
-      logged += logs(b.out, "rejects this broker: fleet tunis") ? 1 : 0;
+    if (!harness.dialled_node().empty()) {
+      harness.out.clear();
+      harness.subscriber->on_connected(harness.now, harness.out);
+      harness.receive(GoAway{"fleet tunis does not match the expected fleet sfax"});
+      logged += logs(harness.out, "rejects this broker: fleet tunis") ? 1 : 0;
     }
-    if (b.dialled_node().empty()) b.tick(4s);
+    if (harness.dialled_node().empty()) harness.tick(4s);
   }
   EXPECT_EQ(logged, 4);  // once per node
 }
 
 TEST(ControlSubscriber, LossSoonAfterWelcomeDoesNotResetTheBackoff) {
-  SubscriberHarness b;
+  SubscriberHarness harness;
   int connects = 0;
-  const Time until = b.now + 60s;
-  while (b.now < until) {
-    if (!b.dialled_node().empty()) {
+  const Time until = harness.now + 60s;
+  while (harness.now < until) {
+    if (!harness.dialled_node().empty()) {
       ++connects;
-      b.connect();
-      b.out.clear();
-      b.subscriber->on_closed(b.now, b.out);
+      harness.connect();
+      harness.out.clear();
+      harness.subscriber->on_closed(harness.now, harness.out);
     } else {
-      b.tick(10ms);
+      harness.tick(10ms);
     }
   }
   EXPECT_LT(connects, 120);  // four per round, in 60 s of delays that grow to 4 s
 }
 
 TEST(ControlSubscriber, FailsBackToItsPreferredNodeAfterARandomTime) {
-  SubscriberHarness b;
-  const auto preferred = b.dialled_node();
-  b.out.clear();
-  b.subscriber->on_closed(b.now, b.out);
-  EXPECT_NE(b.dialled_node(), preferred);
-  b.connect();
-  const Time since = b.now;
-  while (b.tick(1s).empty() || b.dialled_node().empty()) b.receive(Pong{{3, "c1"}});
-  EXPECT_GE(b.now - since, Subscriber::kFailBackInterval / 2);
-  EXPECT_LE(b.now - since, Subscriber::kFailBackInterval + Subscriber::kFailBackInterval / 2 + 1s);
-  EXPECT_EQ(b.dialled_node(), preferred);
+  SubscriberHarness harness;
+  const auto preferred = harness.dialled_node();
+  harness.out.clear();
+  harness.subscriber->on_closed(harness.now, harness.out);
+  EXPECT_NE(harness.dialled_node(), preferred);
+  harness.connect();
+  const Time since = harness.now;
+  while (harness.tick(1s).empty() || harness.dialled_node().empty()) harness.receive(Pong{{3, "c1"}});
+  EXPECT_GE(harness.now - since, Subscriber::kFailBackInterval / 2);
+  EXPECT_LE(harness.now - since, Subscriber::kFailBackInterval + Subscriber::kFailBackInterval / 2 + 1s);
+  EXPECT_EQ(harness.dialled_node(), preferred);
 }
 
 TEST(ControlSubscriber, RejectsInvalidMessagesOfNodes) {
   const auto expect_rejected = [](const std::string& body, const std::string& reason) {
-    SubscriberHarness b;
-    b.out.clear();
-    b.subscriber->on_connected(b.now, b.out);
-    b.out.clear();
-    b.subscriber->on_message(b.now, body, b.out);
-    EXPECT_TRUE(logs(b.out, reason)) << reason;
-    EXPECT_FALSE(b.subscriber->node());
+    SubscriberHarness harness;
+    harness.out.clear();
+    harness.subscriber->on_connected(harness.now, harness.out);
+    harness.out.clear();
+    harness.subscriber->on_message(harness.now, body, harness.out);
+    EXPECT_TRUE(logs(harness.out, reason)) << reason;
+    EXPECT_FALSE(harness.subscriber->node());
   };
   expect_rejected("noise", "message: ");
   expect_rejected(R"({"kind":"welcome","protocol":9})",
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -58,7 +58,7 @@
                              AttemptResult::cancelled);
     harness.run_until(harness.now + 6s);
     EXPECT_EQ(harness.attempts_of(50), 2);
-    EXPECT_EQ(harness.answer_count(50), 0) << "the client has its answer";
+    EXPECT_EQ(harness.unserved_count(50), 0) << "the client has its answer";
   }
 }
 
@@ -74,11 +74,11 @@
     harness.run_until(harness.now + 500ms);
     ASSERT_EQ(harness.attempts_of(50), 2);
     harness.complete_attempt(50, 1, engine_of(harness, 50, 1), result);
-    EXPECT_EQ(harness.answer_count(50), 0);
+    EXPECT_EQ(harness.unserved_count(50), 0);
     EXPECT_EQ(harness.scheduler.class_status(0).queued, 0U);
     EXPECT_EQ(harness.scheduler.class_status(0).running, 1U);
     harness.complete_attempt(50, 0, engine_of(harness, 50, 0), AttemptResult::error);
-    EXPECT_EQ(harness.answer_count(50), 1) << "no attempt is left";
+    EXPECT_EQ(harness.unserved_count(50), 1) << "no attempt is left";
   }
 }
 
@@ -167,12 +167,12 @@
   };
   run_queries(1, 1);
   harness.handle(harness.now, {arrival_with_estimate(500, 400ms)});
-  EXPECT_EQ(harness.answer_count(500), 0) << "no overload";
+  EXPECT_EQ(harness.unserved_count(500), 0) << "no overload";
   harness.complete_attempt(500, 0, engine_of(harness, 500, 0), AttemptResult::served);
   run_queries(101, 5.5);
   harness.handle(harness.now, {arrival_with_estimate(501, 400ms), arrival_with_estimate(502, 100ms)});
-  EXPECT_EQ(harness.answer_count(501), 1);
-  EXPECT_EQ(harness.answer_count(502), 0);
+  EXPECT_EQ(harness.unserved_count(501), 1);
+  EXPECT_EQ(harness.unserved_count(502), 0);
 }
 
 TEST(LoadShedder, RejectsRequestThatTakesLongerThanItsTimeout) {
@@ -186,7 +186,8 @@
   EXPECT_EQ(harness.rejected[50], 1);
 }
 
-// An engine that is warming up is overloaded by work, and one query may have many times the usual work.
+// Whether an engine that is warming up is overloaded depends on the work sent to it, not on the number of
+// queries: one query may have many times the usual work.
 TEST(SlowStart, ChargesLargeQueryItsOwnWork) {
   for (const Time work : {100ms, 2000ms}) {
     Settings s = basic_settings();
@@ -256,7 +257,7 @@
     harness.set_endpoints({});
     harness.handle(harness.now, {arrival_with_estimate(70, work)});
     harness.run_until(harness.now + 700ms);
-    EXPECT_EQ(harness.answer_count(70), work == 100ms ? 1 : 0);
+    EXPECT_EQ(harness.unserved_count(70), work == 100ms ? 1 : 0);
   }
 }
 
@@ -284,7 +285,7 @@
       harness.run_until(harness.now + 200ms);
     }
     for (int n = 0; n < 20; ++n) run_query(1, slow ? 400ms : 100ms);
-    EXPECT_EQ(harness.answer_count(id), slow ? 1 : 0);
+    EXPECT_EQ(harness.unserved_count(id), slow ? 1 : 0);
   }
 }
 
@@ -301,7 +302,7 @@
 
 // Queries whose answers were lost counted as running until their deadlines. The load level rose at all
 // brokers, and hedging stopped when it was needed.
-TEST(HedgingPolicy, MovesOverdueAttemptUnderOverloadWithoutHedge) {
+TEST(HedgingPolicy, RetriesAttemptWithoutProgressInsteadOfHedgingUnderOverload) {
   for (const bool has_progress : {false, true}) {  // an attempt with progress events is running
     Settings s = hedging_settings();
     s.progress_interval = 10s;
@@ -384,7 +385,7 @@
 }
 
 // The need of queries without an estimate was divided by an estimate of 0, which gave an unlimited grant.
-TEST(AttemptTerms, QueriesWithoutMemoryEstimateCorrectNone) {
+TEST(AttemptTerms, QueriesWithoutMemoryEstimateDoNotCorrectEstimates) {
   Settings s = basic_settings();
   s.memory_grants = true;
   s.memory_shortage = MemoryShortage::overcommit;
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -43,7 +43,7 @@
       harness.complete_attempt(id, static_cast<AttemptIndex>(n), harness.sent.back().engine,
                                AttemptResult::error);
     EXPECT_EQ(harness.attempts_of(id), 2);
-    EXPECT_EQ(harness.answer_count(id), 1);
+    EXPECT_EQ(harness.unserved_count(id), 1);
     harness.run_until(harness.now + 20ms);
   }
   for (RequestId id = 101; id <= 103; ++id) harness.submit(id, 0, 5s, 0, id);
@@ -74,7 +74,7 @@
   EXPECT_GT(harness.attempts_to(8) - before, 20);
 }
 
-TEST(AttemptMonitor, WithdrawsAttemptsFromSilentEngineAndAvoidsIt) {
+TEST(AttemptMonitor, CancelsAttemptsAtSilentEngineAndAvoidsIt) {
   Settings s = basic_settings();
   s.progress_interval = 500ms;
   SchedulerHarness harness(s);
@@ -166,7 +166,7 @@
   }
   for (RequestId id = 1; id <= 8; ++id) harness.submit(id, 0);
   EXPECT_LT(harness.attempts_to(8), 8);
-  EXPECT_GE(harness.attempts_to(8), 2) << "but more than the others";
+  EXPECT_GE(harness.attempts_to(8), 2) << "an idle engine still receives some of them";
 }
 
 // With queries spread evenly, no engine had a group's data cached; and of two engines with equal load, all
@@ -371,7 +371,7 @@
   }
 }
 
-// Another program used most of one engine of five: although 5 times slower, it was sent as much as the
+// Another program used most of one engine of five. The engine was 5 times slower, but was sent as much as the
 // others.
 TEST(LatencyMonitor, SlowEngineGetsFewerQueriesAndLoads) {
   Settings s = basic_settings();
@@ -531,7 +531,7 @@
     if (sent_before_break) send(2);
     harness.complete_attempt(1, 0, 7, AttemptResult::reset);
     const auto count_at_break = harness.sent.size();
-    // Sends until slow start permits a query there.
+    // Sends until slow start permits a query at the engine.
     for (RequestId id = 3; !sent_before_break && harness.sent.size() == count_at_break && id < 900; ++id)
       send(id);
     ASSERT_EQ(harness.sent.size() > count_at_break, !sent_before_break);
@@ -615,7 +615,7 @@
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 40; ++id) engines.push_back(engine(id));
   harness.set_endpoints(engines);
-  for (EngineId id = 1; id <= 40; ++id) {  // all overloaded, except one that reports to be idle
+  for (EngineId id = 1; id <= 40; ++id) {  // 12 engines report: 11 are overloaded, one is idle
     HealthCheckResult check;
     check.engine = id;
     check.load = {id == 5 ? 0.0 : 20.0};
@@ -627,7 +627,7 @@
   EXPECT_EQ(harness.sent.back().engine, 5U);
 }
 
-TEST(Gossip, CostOfAQueryDoesNotGrowWithFleet) {
+TEST(Gossip, ChecksAndBytesPerQueryDoNotGrowWithFleet) {
   for (const unsigned size : {20U, 200U}) {
     Settings s = basic_settings();
     s.brokers = 4 * size;
@@ -809,7 +809,7 @@
     harness.run_until(harness.now + 100ms);
   }
   harness.run_until(start + 10s);
-  for (RequestId id = 10; id <= 40; id += 10) EXPECT_EQ(harness.answer_count(id), 1);
+  for (RequestId id = 10; id <= 40; id += 10) EXPECT_EQ(harness.unserved_count(id), 1);
 }
 
 TEST(AttemptMonitor, IgnoresOwnStallButFinishesOverdueRequest) {
@@ -826,7 +826,7 @@
   harness.handle(harness.now, {TimerFired{}, late});
   EXPECT_TRUE(harness.cancelled.empty());
   harness.run_until(harness.now + 40ms);
-  EXPECT_EQ(harness.answer_count(3), 1);
+  EXPECT_EQ(harness.unserved_count(3), 1);
   harness.run_until(harness.now + 2s);
   EXPECT_EQ(harness.cancelled.size(), 2U) << "silence without a stall is still detected";
 }
@@ -843,7 +843,7 @@
   recent.request = 3;
   recent.time_left = 4900ms;
   harness.handle(harness.now, {overdue, recent});
-  EXPECT_EQ(harness.answer_count(2), 1);
+  EXPECT_EQ(harness.unserved_count(2), 1);
   EXPECT_EQ(harness.attempts_of(2), 0);
   EXPECT_EQ(harness.attempts_of(3), 1);
   harness.run_until(harness.now + 100ms);
@@ -929,7 +929,7 @@
   usual.tenant = 1;
   usual.time_left = 5s;
   harness.handle(harness.now, {usual});
-  EXPECT_EQ(harness.answer_count(5000), 0);
+  EXPECT_EQ(harness.unserved_count(5000), 0);
 }
 
 TEST(TenantQuotas, RejectsOnlyFloodingTenantOnceQueriesWait) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -103,7 +103,7 @@
     }
   }
   EXPECT_EQ(checks, 0U);
-  EXPECT_EQ(sent_at_once, 6U * kBrokers) << "each at once";
+  EXPECT_EQ(sent_at_once, 6U * kBrokers) << "each query is sent at once";
 }
 
 // Simulates a fleet that runs queries, and delivers the gossip between its brokers.
@@ -214,8 +214,8 @@
   simulation.gossip_blocked = true;
   for (int n = 0; n < 100; ++n) simulation.step(arrival_chances, 2s);  // engines slow down
   const auto [estimated, truth] = mean_levels();
-  EXPECT_GT(truth, 1.5) << "the fleet has filled";
-  EXPECT_GT(estimated, 0.3 * truth) << "the fleet has only begun to fill";
+  EXPECT_GT(truth, 1.5) << "the fleet is overloaded";
+  EXPECT_GT(estimated, 0.3 * truth) << "the estimate may lag while the load rises";
   EXPECT_LT(estimated, 2 * truth);
   for (int n = 0; n < 300; ++n) simulation.step(arrival_chances, 2s);
   const auto [later_estimate, later_truth] = mean_levels();
@@ -252,8 +252,8 @@
   s.hedging = false;
   Fleet fleet(s);
   LoadSimulation simulation(fleet);
-  // Each broker receives 5 queries a second, of 5.1 in all quotas. The fleet runs 1.67 threads a core and
-  // thus counts as overloaded.
+  // Each broker receives 5 queries a second, and its share of all quotas is 5.1 a second. The fleet runs 1.67
+  // threads a core and thus counts as overloaded.
   simulation.cls = 0;
   const std::vector<double> arrival_chances(kBrokers, 0.1);
   for (int n = 0; n < 600; ++n) simulation.step(arrival_chances, 800ms);
@@ -261,8 +261,8 @@
 }
 
 // Six in ten engines restart within seconds. The work that all brokers together send must not overload an
-// engine that is warming up, not even at a peak of load, but such engines must be used. With half as many
-// permits again, an engine received 3.2 times its capacity here.
+// engine that is warming up, not even at a peak of load, but such engines must be used. With 1.5 times the
+// permits, an engine received 3.2 times its capacity here.
 TEST(Fleet, UsesEnginesInSlowStartWithoutOverloadingThem) {
   Settings s = fleet_settings();
   s.hedging = false;
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -206,7 +206,8 @@
   EXPECT_EQ(harness.transmitted_statements().size(), 1U)
       << "a request received before the shutdown is served";
   harness.serve(0);
-  // The platform kills the program no sooner than the longest deadline plus kKillGrace after its request.
+  // The platform kills the program no sooner than the longest deadline plus kKillGrace after it requests the
+  // shutdown.
   harness.tick_for(2s + Lifecycle::kKillGrace - 1s);
   ASSERT_EQ(harness.all<Answer>().size(), 2U);
   EXPECT_EQ(harness.all<Answer>()[1].kind, AnswerKind::rejected);
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -1,5 +1,5 @@
-// A running broker applies a whole new configuration in one event: the overlay of a version on the settings,
-// the scheduler, the reducer and the hooks.
+// Tests that a running broker applies a whole new configuration in one event. There is one section for each
+// of the overlay of a version on the settings, the scheduler, the reducer and the hooks.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -376,7 +376,7 @@
   fresh.request = 2;
   fresh.time_left = 2s;
   harness.handle(harness.now + 3s, {fresh});  // after a stall
-  EXPECT_EQ(harness.answer_count(2), 0);
+  EXPECT_EQ(harness.unserved_count(2), 0);
   EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -18,7 +18,7 @@
   harness.run_until(harness.now + 900ms);
   EXPECT_EQ(harness.rejected[1], 1);
   harness.run_until(harness.now + 6s);
-  EXPECT_EQ(harness.answer_count(1), 1);
+  EXPECT_EQ(harness.unserved_count(1), 1);
 }
 
 TEST(Scheduler, RejectsUnsentRequestBeforeShortDeadline) {
@@ -40,7 +40,7 @@
   EXPECT_EQ(harness.rejected[1], 0);
   harness.complete_attempt(1, 0, 7, AttemptResult::cancelled);
   harness.run_until(harness.now + 3s);
-  EXPECT_EQ(harness.answer_count(1), 1);
+  EXPECT_EQ(harness.unserved_count(1), 1);
   EXPECT_EQ(harness.attempts_of(1), 1);
 }
 
@@ -54,7 +54,7 @@
   harness.complete_attempt(1, 0, 7, AttemptResult::error);
   harness.complete_attempt(1, 0, 7, AttemptResult::error);
   EXPECT_EQ(harness.scheduler.class_status(kQuick).running, 0U);
-  EXPECT_EQ(harness.answer_count(1), 0);
+  EXPECT_EQ(harness.unserved_count(1), 0);
   EXPECT_EQ(harness.attempts_of(1), 1);
 }
 
@@ -91,7 +91,7 @@
                                            std::pair{AttemptResult::reset, false},
                                            std::pair{AttemptResult::cancelled, false}));
 
-TEST(RetryRules, RetriesKeyedRequestThatMayHaveRunInItsZoneOnly) {
+TEST(RetryRules, RetriesKeyedRequestOnlyInItsZoneIfItMayHaveRun) {
   SchedulerHarness harness(basic_settings());
   harness.set_endpoints({engine(7, 0)});
   harness.submit(1, kKeyed);
@@ -322,7 +322,7 @@
       const Time ended_at = harness.now;
       harness.handle(harness.now, {o});
       EXPECT_EQ(harness.attempts_of(1), hedging ? 2 : 1);
-      EXPECT_EQ(harness.answer_count(1), hedging || long_objective ? 0 : 1)
+      EXPECT_EQ(harness.unserved_count(1), hedging || long_objective ? 0 : 1)
           << "a request that can't wait is rejected at once";
       harness.submit(3, kQuick, 60s);
       EXPECT_EQ(harness.attempts_of(3), 1) << "requests queued behind it do not wait";
@@ -347,7 +347,7 @@
   EXPECT_EQ(harness.attempts_of(2), 1);
 }
 
-TEST(SendRules, AppliesPlacementToRetriesAndWithoutAllowedEngines) {
+TEST(SendRules, AppliesPlacementToRetriesAndIfNoEngineIsAllowed) {
   Settings s = basic_settings();
   s.classes[kQuick].zones = {{1}};
   s.classes[kQuick].kinds = {{1}};
@@ -362,7 +362,7 @@
   harness.submit(2, kQuick);
   harness.run_until(harness.now + 2s);
   EXPECT_EQ(harness.attempts_of(2), 0);
-  EXPECT_EQ(harness.answer_count(2), 1);
+  EXPECT_EQ(harness.unserved_count(2), 1);
 }
 
 TEST(RetryBudgetLimiter, CountsRetriesAgainstRequestsInWindow) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -112,7 +112,7 @@
 TEST(Scale, MemoryDoesNotGrowBetweenEqualPeriods) {
   constexpr unsigned kDatabases = 24;
   auto fleet = fleet_of(12, kDatabases, 50);
-  std::vector<std::optional<core::EngineId>> current_id(kDatabases);  // by place; none: as at the start
+  std::vector<std::optional<core::EngineId>> current_id(kDatabases);  // by database; none: its first id
   core::EngineId last_id = 100'000;
   const auto period = [&] {
     for (unsigned n = 0; n < kDatabases; ++n) {
