--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -36,7 +36,7 @@
   sighup_.start(SIGHUP);
   sigusr1_.start(SIGUSR1);
   unblock_signals({SIGHUP, SIGTERM, SIGINT, SIGUSR1});
-  tick_due_ = true;  // gives all components the time before the first socket is read
+  tick_due_ = true;  // so that all components have the current time before the first socket is read
   tick_timer_.start(0, seconds(core::Reducer::kTick));
   prepare_.start();
   check_.start();
@@ -123,8 +123,8 @@
   return again;
 }
 
-// Gives the components the current time, so that durations that begin with the input read next do not begin
-// at the last tick.
+// Sets the clocks of the components to the current time. Otherwise a duration that starts with the input read
+// next would be counted from the last tick before the stall.
 void Broker::resume_after_stall() {
   const auto stalled = stall_detector_.take_stall();
   if (!stalled) return;
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -41,8 +41,8 @@
 
 class Broker {
  public:
-  // Reads both files again on SIGHUP; `fronts_file` is the operator's file and may be empty. `loaded`: the
-  // hooks of `fronts`. Throws StartError.
+  // `file`: path of the platform's configuration; `fronts_file`: path of the operator's file, or empty. Both
+  // files are read again on SIGHUP. `loaded`: the hooks of `fronts`. Throws StartError.
   Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::Loaded loaded,
          std::string file, std::string fronts_file);
   // Runs until the broker has shut down after SIGTERM or SIGINT.
--- a/src/app/config_publish.cpp
+++ b/src/app/config_publish.cpp
@@ -17,7 +17,7 @@
 constexpr Time kFindLeaderTimeout = 4s;
 constexpr Time kCommitTimeout = 10s;  // includes the write to the leader's disk
 
-// Replaces the node's name for the document by the file's name, which is not sent to the node.
+// Puts the file's name in place of kDocumentName, since a node does not receive the file's name.
 std::string with_file_name(const std::string& errors, const std::string& file) {
   const std::string prefix = std::string(kDocumentName) + ':';
   std::string out;
--- a/src/app/config_report.cpp
+++ b/src/app/config_report.cpp
@@ -23,8 +23,8 @@
     }
     ++connected;
     const auto& active_version = status.active_version;
-    const bool contains_it = active_version == id ? status.digest == digest : active_version > id;
-    if (contains_it && active_version.epoch == id.epoch) {
+    const bool is_reached = active_version == id ? status.digest == digest : active_version > id;
+    if (is_reached && active_version.epoch == id.epoch) {
       ++active;
     } else if (status.rejected_version >= id && id != control::VersionId{}) {
       rejecting.push_back(&broker);
--- a/src/app/configuration_reload.hpp
+++ b/src/app/configuration_reload.hpp
@@ -1,4 +1,5 @@
-// Reloads the broker's configuration files while it runs. Loading hooks is slow; meant for a worker thread.
+// Reloads the broker's configuration files while it runs. Loading hooks is slow, so that this should run on a
+// worker thread.
 #pragma once
 
 #include <memory>
--- a/src/app/hook_case_runner.hpp
+++ b/src/app/hook_case_runner.hpp
@@ -1,4 +1,4 @@
-// Runs the hooks of the requests of test cases in JSON, one after another, as the broker would call them.
+// Runs hooks on the requests of test cases in JSON, one case after another, as the broker would call them.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 namespace bellstair::app {
 
 // Uses the broker's own hooks::HookScheduler; the machines run on the calling thread. The clock advances only
-// by the "after" of each case and, while the budget of CPU time is spent, until more is available.
+// by the "after" of each case and, when the budget of CPU time is used up, until more is available.
 class HookCaseRunner {
  public:
   HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names);
--- a/src/app/last_version_writer.cpp
+++ b/src/app/last_version_writer.cpp
@@ -57,7 +57,7 @@
   if (logged_failure_ == id) return;
   logged_failure_ = id;
   write_log_("control: version " + control::to_text(id) +
-             " is not persisted for a restart: " + error->what());
+             " could not be persisted for a restart; the write is retried: " + error->what());
 }
 
 }  // namespace bellstair::app
--- a/src/app/node_poller.cpp
+++ b/src/app/node_poller.cpp
@@ -124,7 +124,8 @@
 
 void NodePoller::handle(Node& node, const control::Welcome& message) {
   if (message.protocol != control::kProtocolVersion)
-    return disconnect(node, "uses protocol " + std::to_string(message.protocol));
+    return disconnect(node, "uses a control protocol version that this tool does not support: " +
+                                std::to_string(message.protocol));
   if (message.name != node.config.name) return disconnect(node, "answers as node " + message.name);
   node.welcomed = true;
   node.error.clear();
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -22,7 +22,8 @@
 struct Names {
   std::map<std::string, std::uint16_t, std::less<>> classes, zones, kinds;
   std::map<std::string, std::uint32_t, std::less<>> tenants;
-  std::uint32_t no_tenant = 0;  // for requests that name none: the platform's first, or one beyond the list
+  // For requests that name no tenant: the index of the platform's first, or an index beyond the list.
+  std::uint32_t no_tenant = 0;
   std::vector<std::string> class_names;
   std::vector<std::string> load_fields;
 };
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -20,8 +20,9 @@
 constexpr hcl::Durations kTimeouts{0ns, 24h};  // a longer one could overflow the clock when added to it
 constexpr hcl::Range<double> kWeights{0, 1e9};
 
-// Settings of the platform's file, of the operator's file, and of a class there. A document that has one is
-// rejected with an error of its own, not as if the name were misspelt.
+// Settings that belong to the platform's file, to the operator's file, or to a class in the platform's file.
+// A document that has one is rejected because it needs a restart or a reload, not as if the name were
+// misspelt.
 constexpr std::array kFixedSettings{
     "name",    "listen", "peer_listen", "peers",     "peers_all",     "limits",          "settings",
     "seed",    "mysql",  "user",        "directory", "mysql_engines", "control",         "balancers",
@@ -94,8 +95,8 @@
   return out;
 }
 
-// Goes through the active slots, and removes the tenants that keep theirs from `unplaced`. Returns the slots
-// that are free for other tenants, the highest first.
+// Puts the tenants that already have an active slot into that slot, and removes them from `unplaced`. Returns
+// the slots that are free for other tenants, the highest first.
 std::vector<Slot> reuse_slots(const Overlay& start, const Overlay& active, bool has_tenants,
                               const std::function<bool(std::uint32_t)>& is_referenced,
                               TenantsByName& unplaced, Overlay& out) {
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -55,14 +55,15 @@
 // too ("slots"), since requests, hooks and the policy module refer to tenants by slot: a tenant that the
 // document does not name stays in its slot with share and quota 0, and its name is unknown; if a later
 // version names it again, it gets that slot. Slots of the platform's own tenants are never given to others.
-// Any other slot is, once its tenant is named neither in `active` nor in the document and `is_referenced` is
-// false for it. So there are never more slots than the platform's, those of two consecutive versions, and
-// those still referenced.
+// Any other slot is free for a new tenant once its tenant is named neither in `active` nor in the document
+// and `is_referenced` is false for the slot. So there are never more slots than the platform's, those of two
+// consecutive versions, and those still referenced.
 [[nodiscard]] Overlay overlay(const Overlay& start, const Overlay& active, const Document& document,
                               const std::function<bool(std::uint32_t slot)>& is_referenced);
 
-// `file`: its name in errors. `classes`: the names that a class may have. Rejects settings that cannot change
-// in a running broker (listeners, names, threads, hooks, ...) by name. Throws hcl::Invalid with all errors.
+// `file`: the name of the document in errors. `classes`: the names that a class may have. Rejects settings
+// that cannot change in a running broker (listeners, names, threads, hooks, ...) with an error that says so.
+// Throws hcl::Invalid with all errors.
 [[nodiscard]] Document parse_document(std::string_view text, const std::string& file,
                                       const std::vector<std::string>& classes);
 
--- a/src/config/fronts.hpp
+++ b/src/config/fronts.hpp
@@ -1,5 +1,5 @@
-// Parses the operator's file in HCL, `deploy/bellstair.hcl` in this repository: features that are off on the
-// platform.
+// Parses the operator's file in HCL, `deploy/bellstair.hcl` in this repository: features that are off unless
+// this file configures them.
 #pragma once
 
 #include <optional>
--- a/src/directory/ldap_directory.cpp
+++ b/src/directory/ldap_directory.cpp
@@ -1,6 +1,7 @@
 #include "directory/ldap_directory.hpp"
 
-// libldap is given a socket that is opened here (openldap.h), so that it never blocks to connect or to wait.
+// libldap is given a socket that is opened here (openldap.h), so that it never blocks while it connects or
+// waits for a response.
 #include <ldap.h>
 #include <openldap.h>
 #include <openssl/evp.h>
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -252,9 +252,9 @@
   for (const auto& handler : handlers) handler(nullptr);
 }
 
-// The timeout runs from the waiter's checkout, however many connects were started since and for which waiter.
-// An engine from which data or a new connection was received since then has not failed, so that its waiters
-// get a longer timeout.
+// The timeout runs from the waiter's checkout, no matter how many connects have been started since, or for
+// which waiters. An engine that has sent data or completed a connect since then has not failed, so that its
+// waiters get a longer timeout.
 void ConnectionPool::fail_waiters_past_connect_timeout(Engine& engine) {
   fail_waiters(engine, [&](const Waiter& waiter) {
     const bool received_since = engine.last_received_at > waiter.since;
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -68,7 +68,7 @@
   void remove_endpoint(std::uint32_t engine);
 
   // Returns a ticket, never 0. The handler is not called from within acquire(). If there is no connection in
-  // time, it is called with nullptr at most two seconds after `timeout`.
+  // time, the handler is called with nullptr at most two seconds after `timeout`.
   std::uint64_t acquire(std::uint32_t engine, CheckoutHandler handler, Time timeout = Time::max());
   void cancel_acquire(std::uint32_t engine, std::uint64_t ticket);
   // Returns a connection that can be used for another call.
@@ -112,7 +112,7 @@
   void finish_connect(Connection& connection, bool succeeded);
   void schedule_reconnects();
   void report_lost(Connection& connection, bool clean);
-  // Calls the handler of each waiter for which `expired(waiter)` holds with nullptr.
+  // Calls the handler with nullptr for each waiter for which `expired(waiter)` is true.
   template <class Expired>
   static void fail_waiters(Engine& engine, Expired expired);
   void fail_waiters_past_connect_timeout(Engine& engine);
--- a/src/net/lingerer.hpp
+++ b/src/net/lingerer.hpp
@@ -28,8 +28,8 @@
   void reject(Fd fd, std::string_view message);
   // Closes the oldest connections at once until at most `max_lingering` are left, to free descriptors.
   void trim(std::size_t max_lingering);
-  // Like trim(), for a server with `open` connections and a limit of `capacity`: the connections of both
-  // kinds exceed the limit by at most kMaxBeyondCapacity. No-op after lift_limit().
+  // Like trim(), for a server with `open` connections and a limit of `capacity`: open and lingering
+  // connections together exceed the limit by at most kMaxBeyondCapacity. No-op after lift_limit().
   void trim_to_capacity(std::size_t open, std::size_t capacity);
   // For the shutdown, when no new connections need descriptors.
   void lift_limit() { limited_ = false; }
--- a/src/platform/change_log_client.hpp
+++ b/src/platform/change_log_client.hpp
@@ -18,6 +18,8 @@
 namespace bellstair::platform {
 
 // Emits an EndpointUpdate for each change of the endpoint list, and an EndpointListPolled after each answer.
+// Before the first answer, also emits an EndpointListPolled on failures, once there were several or the wait
+// was long.
 class ChangeLogClient : public net::LoopComponent {
  public:
   // Polls for the events after number `last_seq`. `seed` randomizes the backoff between retries.
--- a/src/platform/http_engine_client.cpp
+++ b/src/platform/http_engine_client.cpp
@@ -383,7 +383,8 @@
 
 // ---- the end of an attempt
 
-// Data that was written may have reached the engine until its connection was closed, but not later.
+// Closing a connection discards what it has not sent, so that the engine receives nothing later than
+// max_transit_time_ after the last contact.
 void HttpEngineClient::end_possibly_running(AttemptId id, AttemptEnd reason) {
   auto& attempt = attempts_.at(id);
   const auto ends_by = attempt.last_contact_by + max_transit_time_ + kUnpolledQueryLifetime;
--- a/src/platform/jsonrpc.hpp
+++ b/src/platform/jsonrpc.hpp
@@ -24,7 +24,7 @@
 struct RpcHealth {
   std::uint64_t id = 0;
 };
-// The error with which to answer any other message.
+// A message that is none of the above. Holds the error to answer it with.
 struct RpcError {
   std::optional<std::uint64_t> id;
   int code = 0;
--- a/src/platform/jsonrpc_connection.cpp
+++ b/src/platform/jsonrpc_connection.cpp
@@ -4,7 +4,7 @@
 
 namespace bellstair::platform {
 namespace {
-constexpr int kMaxCandidates = 8;  // checked per use, since each check costs a system call
+constexpr int kMaxCandidates = 8;  // checked per ConnectionUse, since each check costs a system call
 }  // namespace
 
 void EvictionOrder::add(JsonRpcConnection& connection) {
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -11,8 +11,8 @@
 constexpr core::Time kLineTimeout = 2s;
 constexpr core::Time kUnreadInputRecheck =
     20ms;  // until a line that timed out is checked again, if unread input may complete it
-// A connection that has waited to be accepted since at most this long after a stall may have arrived during
-// the stall.
+// A connection may have arrived during a stall if its wait to be accepted began at most this long after the
+// stall.
 constexpr core::Time kStallRecovery = 50ms;
 constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
 constexpr std::size_t kMaxPartialLineBytes = std::size_t{4} << 20;  // of all connections together
@@ -259,7 +259,7 @@
   // Unread input may be the rest of the line.
   if (connection.stream.unread() == net::Stream::Unread::bytes)
     return arm_timer(connection, now_ + kUnreadInputRecheck);
-  close_with_error(connection, "no whole request came");
+  close_with_error(connection, "no complete request was received in time");
 }
 
 // A reset after a half-close is not detected by reading.
--- a/src/platform/jsonrpc_server.hpp
+++ b/src/platform/jsonrpc_server.hpp
@@ -47,7 +47,7 @@
 
   void accept(net::Fd fd, core::Time waited);
   [[nodiscard]] net::Stream::Handlers handlers_of(Connection& connection);
-  // The earliest time at which a connection may have arrived that waited this long to be accepted.
+  // The earliest time at which a connection that waited this long to be accepted may have arrived.
   [[nodiscard]] core::Time earliest_arrival(core::Time waited) const;
   bool ensure_capacity();  // closes connections if needed; false: the server stays full
   bool free_descriptor();  // at once; false: none can be freed
--- a/tests/control_client_test.cpp
+++ b/tests/control_client_test.cpp
@@ -187,7 +187,9 @@
   await([&] { return reports.size() == 1; }, "a report");
   await([&] { return client->unpersisted() == newest.id; }, "a report that it is not persisted");
   const auto log = testing::internal::GetCapturedStderr();
-  EXPECT_NE(log.find("control: version 1.1 is not persisted for a restart: "), std::string::npos) << log;
+  EXPECT_NE(log.find("control: version 1.1 could not be persisted for a restart; the write is retried: "),
+            std::string::npos)
+      << log;
   EXPECT_NE(log.find("control: version 1.1 is active"), std::string::npos) << log;
   EXPECT_EQ(reports[0].active_version, newest.id);
 }
--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -23,7 +23,8 @@
   return failed;
 }
 
-// The listener treated a transient ENFILE as its own descriptor limit and closed the connection unread.
+// Guards against taking a transient ENFILE for the descriptor limit of the process: the listener would close
+// the connection unread.
 TEST(AcceptFaults, TransientFailuresLoseNoConnection) {
   Faults faults;
   BrokerWithEngine fixture(faults);
@@ -70,8 +71,8 @@
   EXPECT_LT(calls, 100U);
 }
 
-// At its own descriptor limit the listener frees a reserve descriptor to accept and close connections. When
-// the reserve could not be reopened, the event loop spun forever.
+// At the descriptor limit of the process the listener frees a reserve descriptor to accept and close
+// connections. Guards against an event loop that spins forever if the reserve cannot be reopened.
 TEST(AcceptFaults, ReopensReserveDescriptorWithoutSpinning) {
   Faults faults;
   BrokerWithEngine fixture(faults);
--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -87,7 +87,8 @@
   return new_engine.posts();
 }
 
-// After a step forward a new engine had no slow start, and after a step back it received nothing for an hour.
+// Guards against slow start by the wall clock: after a step forward a new engine would have no slow start,
+// and after a step back it would receive nothing for an hour.
 TEST_P(WallClock, SlowStartOfNewEngineIgnoresWallClockSteps) {
   const auto calls_after_step = calls_at_new_engine(0s, step());
   const auto calls_with_offset = calls_at_new_engine(step(), 0s);
--- a/tests/faults/connect_test.cpp
+++ b/tests/faults/connect_test.cpp
@@ -38,7 +38,8 @@
   Broker broker;
 };
 
-// A local error of connect() ejected the engine, which was then treated as warming up.
+// Guards against ejecting an engine, and putting it into slow start afterwards, because of a local error of
+// connect().
 TEST(ConnectFaults, LocalErrorsEjectNoEngine) {
   Faults faults;
   BrokerWithTwoEngines fixture(faults);
--- a/tests/faults/last_version_test.cpp
+++ b/tests/faults/last_version_test.cpp
@@ -31,8 +31,8 @@
   return false;
 }
 
-// The file was renamed without a sync: after a power failure it could be empty, and the previous complete
-// version was lost.
+// Guards against renaming the file without a sync: after a power failure it could be empty, and the previous
+// complete version would be lost.
 TEST(LastVersion, SyncsFileAndDirectory) {
   Faults faults;
   Fleet fleet(options_with_file(faults));
@@ -45,7 +45,8 @@
   EXPECT_GE(faults.calls(FaultyCall::sync), 2U) << "the file and its directory";
 }
 
-// A failed write was logged once and not retried: a restart much later went back to the previous version.
+// Guards against logging a failed write without a retry: a restart much later would go back to the previous
+// version.
 TEST(LastVersion, RetriesFailedWriteAndKeepsPreviousVersion) {
   const std::vector<std::pair<FaultyCall, int>> failures{
       {FaultyCall::write_file, ENOSPC}, {FaultyCall::sync, EIO}, {FaultyCall::rename, EIO}};
@@ -59,7 +60,7 @@
     const auto before = content(fleet);
     faults.fail(call, 1, {error});
     EXPECT_EQ(fleet.publish(tenant("gamma")).code, 0);
-    fleet.broker(0).wait_for_log("is not persisted for a restart");
+    fleet.broker(0).wait_for_log("could not be persisted for a restart; the write is retried");
     EXPECT_EQ(content(fleet), before);
     EXPECT_EQ(fleet.ask(0, "gamma"), "") << "the version is active although it is not persisted";
     faults.stop(call);
--- a/tests/faults/log_test.cpp
+++ b/tests/faults/log_test.cpp
@@ -15,7 +15,7 @@
   }
 }
 
-// Log lines were written by the event loop's thread, which blocked once the pipe was full.
+// Guards against writing log lines on the event loop's thread, which would block once the pipe is full.
 TEST(Log, UnreadLogDoesNotBlockRequestsOrShutdown) {
   HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -7,7 +7,7 @@
 namespace bellstair::test {
 namespace {
 
-// The program exited at the first failure of socket(), so that a restart during a shortage left no broker
+// Guards against exiting at the first failure of socket(): a restart during a shortage would leave no broker
 // running.
 TEST(StartFaults, ListensDespiteTransientSocketErrors) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
--- a/tests/faults/store_test.cpp
+++ b/tests/faults/store_test.cpp
@@ -1,4 +1,5 @@
-// Tests the store of a control node on a disk that fails: what a publication reports remains true.
+// Tests the store of a control node on a disk that fails: exactly the versions that a publish has reported as
+// committed are committed.
 #include <gtest/gtest.h>
 
 #include "../processes/fleet.hpp"
@@ -10,7 +11,7 @@
 std::string document_of(int n) { return tenant("t" + std::to_string(n)); }
 
 // A commit may report an error after its version has been written, for example when the directory cannot be
-// synced. The version is then in the file and its number is taken.
+// synced. The next version has the same number and must replace the one in the file.
 TEST(StoreFaults, LeaderContinuesAfterTransientDiskFailures) {
   Faults faults(3);
   FleetOptions options;
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -1,6 +1,6 @@
 // Tests of connections, requests and processes that end at the same time as something else happens, as listed
-// in docs/design/endings.md. Where the order of events in the kernel matters, the program is stopped
-// (SIGSTOP) while both are sent.
+// in docs/design/endings.md. Where the program must find both events in the kernel at once, it is stopped
+// (SIGSTOP) while the test causes them.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -197,7 +197,8 @@
     EXPECT_EQ(answer["error"]["code"], -32066);
     EXPECT_EQ(read_end(late), 0);
   }
-  // A connection that sends no request is closed for the next one or gets an error after a timeout.
+  // A connection without a request is closed when the next one needs its place, or gets an error after a
+  // timeout.
   Client first(address), second(address);
   run_loop();
   EXPECT_EQ(read_end(first), 0);
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -33,7 +33,7 @@
     }
     throw std::runtime_error("timed out waiting for an event");
   }
-  // Runs the loop until the engine has received a call that is_match.
+  // Runs the loop until the engine has received a call for which `is_match` returns true.
   void wait_for_call(HttpEngine& engine, const std::function<bool(const Call&)>& is_match) {
     const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
     while (engine.calls.count(is_match) == 0) {
@@ -128,9 +128,9 @@
   EXPECT_EQ(engine.calls.count(is_delete), 1U);
 }
 
-// Guards against a use after free, which crashed the program (zone+brink). An attempt that is cancelled
-// before its engine's first response keeps its connection; the connection breaks and is freed, and the
-// attempt uses it once its DELETE on another connection has ended.
+// Guards against a use after free, which crashed the program. An attempt that is cancelled before its
+// engine's first response keeps its connection; the connection breaks and is freed, and the attempt uses it
+// once its DELETE on another connection has ended.
 TEST(HttpEngineClient, DropsConnectionThatBreaksDuringDelete) {
   std::promise<void> response, reset, answer;
   Log<std::string> seen;
@@ -167,8 +167,8 @@
   EXPECT_EQ(harness.wait_for<core::AttemptEnded>().end, AttemptEnd::cancelled);
 }
 
-// Guards against sending a load while an earlier one of its ordering key still runs: a draining engine
-// refuses the connection for the DELETE, which must not count as done.
+// Guards against sending a request while an earlier one of its ordering key still runs: a draining engine
+// refuses the connection for the DELETE, and the earlier query must not count as cancelled then.
 TEST(HttpEngineClient, SendsDeleteOnOwnConnectionIfEngineRefusesNewOnes) {
   std::promise<void> polled;
   std::atomic<bool> first = true;
@@ -205,8 +205,8 @@
   EXPECT_LE(ended.may_run_for, kUnpolledQueryLifetime + kConnectTimeout);
 }
 
-// Guards against sending the next load of an ordering key 2.05 s after the last poll of an engine that is cut
-// off, while the earlier load may still run there.
+// Guards against sending the next request of an ordering key 2.05 s after the last poll of an engine that is
+// cut off, while the earlier request may still run there.
 TEST(HttpEngineClient, QueryOfSilentEngineMayRunOnAfterLastPollTimedOut) {
   std::promise<void> release;
   HttpEngine engine([&, wait = release.get_future().share()](const Call& call) {
@@ -243,7 +243,7 @@
   release.set_value();
 }
 
-TEST(HttpEngineClient, RejectedDeleteIsNotDone) {
+TEST(HttpEngineClient, QueryMayRunOnAfterRejectedDelete) {
   HttpEngine engine([](const Call& call) { return http(is_delete(call) ? 503 : 202); });
   DriverHarness harness(engine);
   const auto ended = harness.cancel_while_polling(engine);
@@ -494,8 +494,8 @@
   }
 }
 
-// Guards against longer delays between retries, which delayed the moment from which a broker serves without a
-// change log to 1.1 s.
+// Guards against longer delays between retries: with them, a broker served only after 1.1 s if it could not
+// reach the change log.
 TEST(ChangeLogClient, ReportsListPolledSoonIfServerRefuses) {
   std::string address;
   {
--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -205,7 +205,7 @@
   EXPECT_EQ(body(client.answer()), "1\t1\t1\n");
 }
 
-TEST(Platform, SighupChangesNothingIfFileIsInvalidOrWhileDraining) {
+TEST(Platform, SighupWithInvalidFileOrWhileDrainingKeepsRequests) {
   std::atomic<bool> done = false;
   HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
@@ -266,7 +266,7 @@
   active.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(active.answer()), "x\ty\tz\n");
   incomplete.socket.send(R"({"jsonrpc":"2.0","id":1,"meth)");
-  EXPECT_EQ(incomplete.answer()["error"]["message"], "no whole request came");
+  EXPECT_EQ(incomplete.answer()["error"]["message"], "no complete request was received in time");
   EXPECT_TRUE(incomplete.socket.ended());
   EXPECT_TRUE(silent.socket.ended());
   std::vector<Client> others;
--- a/tests/net/stall_test.cpp
+++ b/tests/net/stall_test.cpp
@@ -52,7 +52,8 @@
   EXPECT_EQ(body(client.answer()), kRow);
 }
 
-// The end of the client arrives during the stall, like its request, and is read together with it.
+// The client's close, reset or cancel arrives during the stall, like its request, and is read together with
+// it.
 TEST_F(StalledBroker, SendsNothingForClientThatLeftDuringStall) {
   enum class ClientEnd { closes, resets, cancels };
   Client first(broker_.address);  // leaves an open connection to the engine for the next request
@@ -154,8 +155,8 @@
   }
 }
 
-// The platform kills the program a fixed time after SIGTERM, even if the program handles the signal
-// later: 3.7 s for deadlines of 3 s and more.
+// The platform kills the program a fixed time after it sends SIGTERM, even if the program handles the signal
+// late. That time is 3.7 s if the longest deadline is 3 s or more.
 TEST(ProcessStall, ShutdownDeadlineCountsFromArrivalOfSigterm) {
   HttpEngine engine([](const Call& call) { return http(call.method == "DELETE" ? 204 : 202); });
   Broker broker({{"s-00000001", engine.server.address()}});
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -77,8 +77,8 @@
   }
 }
 
-// A version is active nowhere or everywhere in the end, whenever the leader is killed, and is never lost once
-// the leader has confirmed it.
+// Whenever the leader is killed, a version becomes active at all brokers or at none, and it is never lost
+// once the leader has confirmed it.
 TEST(Faults, LeaderKilledDuringPublishLosesNoConfirmedVersion) {
   FleetOptions options;
   options.last = true;
@@ -280,8 +280,9 @@
   EXPECT_EQ(fleet.status().code, 0);
 }
 
-// The leader is cut off from all nodes and brokers, and the operator names another one. The old leader does
-// not receive that and still commits documents, but they must not become active at any broker.
+// The leader is cut off from all nodes and brokers, and the operator names another node as leader. The old
+// leader does not know of the new epoch and still commits documents, but they must not become active at any
+// broker.
 TEST(Faults, OldLeaderThatReturnsIsRejectedByAll) {
   Fleet fleet;
   fleet.await_all_connected();
@@ -314,7 +315,8 @@
     EXPECT_NE(fleet.ask(i, "stale"), "");
   }
   fleet.network.heal();
-  // It has persisted the new epoch: after a restart with its old operator's file it does not lead.
+  // The old leader has persisted the new epoch: after a restart with its old operator's file it does not
+  // lead.
   fleet.restart("c1");
   fleet.node("c1").wait_for_log("follows c2, epoch 2");
   EXPECT_EQ(fleet.publish(tenant("three")).code, 0);
--- a/tests/processes/fleet.hpp
+++ b/tests/processes/fleet.hpp
@@ -301,7 +301,7 @@
 
  public:
   control::LeaderTerm term{1, "c1"};        // in the files that are written at the start
-  std::set<VersionId> committed_elsewhere;  // by a server of the test in a node's place
+  std::set<VersionId> committed_elsewhere;  // sent by a fake node, which writes no log
   Network network;
   HttpEngine engine;
   ChangeLog changes;
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -20,7 +20,7 @@
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     auto at = net::parse_address("127.0.0.1:0").value();
     if (::bind(fd_.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0)
-      throw std::runtime_error("no port");
+      throw std::runtime_error("cannot reserve a port");
     address = net::local_address(fd_.get());
   }
   std::string address;
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -12,7 +12,8 @@
   options.brokers = 5;
   Fleet fleet(options);
   fleet.await_all_connected();
-  // Each broker has tried a node of its own region first, and no other if it stayed connected to that one.
+  // Each broker has tried a node of its own region first. One that is still connected to its own region has
+  // tried no node of the other region.
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     const bool north = fleet.region_of(i) == "north";
     std::uint64_t own_region = 0, other_region = 0;
@@ -57,7 +58,7 @@
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     pids.push_back(fleet.broker(i).pid());
     EXPECT_EQ(fleet.ask(i, "acme"), "");
-    EXPECT_NE(fleet.ask(i, "new").find("team is in no settings"), std::string::npos);
+    EXPECT_NE(fleet.ask(i, "new").find("team is not a tenant of the settings"), std::string::npos);
   }
   ASSERT_EQ(fleet.publish(tenant("acme") + tenant("new")).code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
@@ -66,14 +67,14 @@
   }
   ASSERT_EQ(fleet.publish(tenant("new")).code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
-    EXPECT_NE(fleet.ask(i, "acme").find("team is in no settings"), std::string::npos);
+    EXPECT_NE(fleet.ask(i, "acme").find("team is not a tenant of the settings"), std::string::npos);
     EXPECT_EQ(fleet.ask(i, "new"), "");
   }
   // Settings that a document does not name are those of the platform's configuration.
   ASSERT_EQ(fleet.publish("class \"lookup\" {\n  worth = 2\n}\n").code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     EXPECT_EQ(fleet.ask(i, "acme"), "");
-    EXPECT_NE(fleet.ask(i, "new").find("team is in no settings"), std::string::npos);
+    EXPECT_NE(fleet.ask(i, "new").find("team is not a tenant of the settings"), std::string::npos);
     EXPECT_EQ(fleet.broker(i).pid(), pids[i]);
   }
 }
--- a/tests/soak/records.hpp
+++ b/tests/soak/records.hpp
@@ -45,7 +45,7 @@
 //   request TICKET CLASS KEY LIMIT_MS BROKER FIRST_ON_CONNECTION TIME
 //   left TICKET TIME
 //   half_closed TICKET TIME
-//   answer TICKET KIND BODY_IS_ITS_OWN TIME
+//   answer TICKET KIND BODY TIME             (BODY: own, or foreign if it belongs to another request)
 //   unexpected_answer JSON TIME
 //   unanswered TICKET TIME
 int run_engine(const std::string& name, const std::string& address, std::uint64_t seed);
--- a/tests/stall_detector_test.cpp
+++ b/tests/stall_detector_test.cpp
@@ -1,4 +1,4 @@
-// Tests when a stall is detected, and which arrival time the input read after it gets.
+// Tests when a stall is detected, and which arrival time is assumed for input that is read after it.
 #include "app/stall_detector.hpp"
 
 #include <gtest/gtest.h>
