--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -43,7 +43,7 @@
  public:
   // The files are read again on SIGHUP; `fronts_file` may be empty. `loaded`: the hooks of `fronts`. Throws
   // StartError.
-  Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::Loaded loaded,
+  Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::LoadResult loaded,
          std::string file, std::string fronts_file);
   // Returns once the broker has stopped, after SIGTERM or SIGINT.
   void run();
@@ -53,7 +53,7 @@
   [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engine_driver();
   [[nodiscard]] std::unique_ptr<net::ClientServer> make_jsonrpc_server(std::size_t max_connections);
   [[nodiscard]] std::unique_ptr<net::ClientServer> make_mysql_server(std::size_t max_connections);
-  void make_servers(hooks::Loaded& loaded);
+  void make_servers(hooks::LoadResult& loaded);
   void set_watchers();
 
   // Turns of the loop, in the order in which libev calls them.
@@ -82,7 +82,7 @@
 
   void apply_version(const control::Version& version);
   [[nodiscard]] core::SettingsOffered parse_version(const control::Version& version) const;
-  void on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
+  void on_configuration_read(core::ConfigurationRead read, hooks::LoadResult& loaded,
                              std::uint64_t versions_applied_before);
 
   void run(const core::Answer& effect);
--- a/src/app/broker_configuration.cpp
+++ b/src/app/broker_configuration.cpp
@@ -59,7 +59,7 @@
 // Scripts are loaded and tried in a thread beside the loop, which sees copies: versions of the settings may
 // come into force meanwhile.
 void Broker::run(const core::ReadConfiguration&) {
-  ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.words()};
+  ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.names()};
   // The platform's own tenants keep their positions, also while a version leaves them out.
   source.names.tenants.insert(start_.names.tenants.begin(), start_.names.tenants.end());
   const net::Worker::Work work = [this, source = std::move(source), applied_before = versions_applied_] {
@@ -72,7 +72,7 @@
   runner_.run_in_background(work);
 }
 
-void Broker::on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
+void Broker::on_configuration_read(core::ConfigurationRead read, hooks::LoadResult& loaded,
                                    std::uint64_t versions_applied_before) {
   // Another tenant may have taken the place of one that a hook names.
   if (versions_applied_before != versions_applied_) return post(core::ReloadRequested{});
--- a/src/app/broker_wiring.cpp
+++ b/src/app/broker_wiring.cpp
@@ -37,8 +37,8 @@
 }
 }  // namespace
 
-Broker::Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts, hooks::Loaded loaded,
-               std::string file, std::string fronts_file)
+Broker::Broker(ev::loop_ref loop, config::Config config, config::OperatorConfig fronts,
+               hooks::LoadResult loaded, std::string file, std::string fronts_file)
     : loop_(loop),
       file_(std::move(file)),
       fronts_file_(std::move(fronts_file)),
@@ -98,7 +98,7 @@
 }
 
 // Servers share the connections that clients may have.
-void Broker::make_servers(hooks::Loaded& loaded) {
+void Broker::make_servers(hooks::LoadResult& loaded) {
   const auto max_connections = max_client_connections(config_.sockets);
   const auto max_per_server = fronts_.mysql ? max_connections / 2 : max_connections;
   servers_.push_back(make_jsonrpc_server(max_per_server));
--- a/src/app/config_report.cpp
+++ b/src/app/config_report.cpp
@@ -53,7 +53,7 @@
 }
 
 std::string show_milliseconds(Time time) {
-  return hcl::show_duration(std::chrono::ceil<std::chrono::milliseconds>(time));
+  return hcl::format_duration(std::chrono::ceil<std::chrono::milliseconds>(time));
 }
 
 void print_rejecting(const std::vector<const Broker*>& brokers) {
--- a/src/app/config_status.cpp
+++ b/src/app/config_status.cpp
@@ -123,7 +123,7 @@
 
 std::string show_gone(const Broker& broker) {
   return broker.status.name + " (" + show_version(broker.status.active_version) + ", heard " +
-         hcl::show_duration(std::chrono::floor<std::chrono::seconds>(broker.status.age)) + " ago)";
+         hcl::format_duration(std::chrono::floor<std::chrono::seconds>(broker.status.age)) + " ago)";
 }
 
 void print_table(const config::Control& config, const NodePoller& poller, const Brokers& brokers,
--- a/src/app/configuration_reload.hpp
+++ b/src/app/configuration_reload.hpp
@@ -23,7 +23,7 @@
 
 struct ReloadedConfiguration {
   core::ConfigurationRead read;  // with the problem, if there is one: then nothing is of use
-  hooks::Loaded hooks;
+  hooks::LoadResult hooks;
 };
 
 // As strict as at the start. Never throws for what the files hold.
--- a/src/app/hook_case_runner.cpp
+++ b/src/app/hook_case_runner.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-HookCaseRunner::HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names)
+HookCaseRunner::HookCaseRunner(hooks::LoadResult loaded, hooks::SettingNames names)
     : control_(loaded.set), names_(std::move(names)) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
--- a/src/app/hook_case_runner.hpp
+++ b/src/app/hook_case_runner.hpp
@@ -18,7 +18,7 @@
 // the cases' "after" and where the budget of CPU time is spent.
 class HookCaseRunner {
  public:
-  HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names);
+  HookCaseRunner(hooks::LoadResult loaded, hooks::SettingNames names);
 
   // The outcome, with all calls under "calls". Throws std::runtime_error or a JSON error at a bad case.
   [[nodiscard]] nlohmann::json run(const nlohmann::json& test_case);
--- a/src/app/hook_tool.cpp
+++ b/src/app/hook_tool.cpp
@@ -77,7 +77,7 @@
   }
 }
 
-void print_loaded(const hooks::Loaded& loaded) {
+void print_loaded(const hooks::LoadResult& loaded) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i)
     std::printf("hook \"%s\" is fine: %zu bytes of memory once loaded\n", loaded.set.hooks[i].name.c_str(),
                 loaded.machines[i]->memory());
--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -28,7 +28,7 @@
                       const std::optional<std::string>& fallback = std::nullopt) {
   const bool given = in.has(field);
   auto out = in.text(field, fallback);
-  if (const auto error = name_error(out); given && error) in.wrong(field, *error);
+  if (const auto error = name_error(out); given && error) in.add_problem(field, *error);
   return out;
 }
 
@@ -37,18 +37,18 @@
   const bool given = in.has(field);
   const auto out = in.text(field, "");
   if (given && (out.empty() || out.ends_with('/') || out.find('\0') != std::string::npos))
-    in.wrong(field, "is not the path of a file");
+    in.add_problem(field, "is not the path of a file");
   return out.empty() ? out : (std::filesystem::path(file).parent_path() / out).string();
 }
 
 ControlNode read_node(Reader& in, const std::string& name, const std::string& file) {
   ControlNode out;
   out.name = name;
-  if (const auto error = name_error(name)) in.wrong("", "its name " + *error);
+  if (const auto error = name_error(name)) in.add_problem("", "its name " + *error);
   out.address = in.text("address");
   const auto parsed = net::parse_address(out.address);
   if (!out.address.empty() && (!parsed || parsed->sin_port == 0))
-    in.wrong("address", "is not an address with a port");
+    in.add_problem("address", "is not an address with a port");
   out.region = read_name(in, "region", "");
   out.store = read_path(in, "store", file);
   in.finish();
@@ -57,8 +57,8 @@
 
 std::uint64_t read_epoch(Reader& in) {
   const bool given = in.has("epoch");
-  const auto out = in.whole("epoch", 1, {1, std::numeric_limits<std::int64_t>::max()});
-  if (!given) in.wrong("epoch", "is missing");
+  const auto out = in.integer("epoch", 1, {1, std::numeric_limits<std::int64_t>::max()});
+  if (!given) in.add_problem("epoch", "is missing");
   return static_cast<std::uint64_t>(out);
 }
 
@@ -66,8 +66,8 @@
   auto out = in.texts("classes");
   std::set<std::string> seen;
   for (const auto& name : out) {
-    if (const auto error = name_error(name)) in.wrong("classes", "'" + name + "' " + *error);
-    if (!seen.insert(name).second) in.wrong("classes", "'" + name + "' stands twice");
+    if (const auto error = name_error(name)) in.add_problem("classes", "'" + name + "' " + *error);
+    if (!seen.insert(name).second) in.add_problem("classes", "'" + name + "' stands twice");
   }
   return out;
 }
@@ -80,12 +80,12 @@
   std::map<std::string, std::string> names_by_address;
   for (auto& block : in.blocks("node", 1)) {
     auto node = read_node(block.reader, block.labels[0], file);
-    if (!names.insert(node.name).second) block.reader.wrong("", "stands a second time");
+    if (!names.insert(node.name).second) block.reader.add_problem("", "stands a second time");
     const auto [other, is_new] = names_by_address.try_emplace(node.address, node.name);
     if (!is_new && !node.address.empty())
-      block.reader.wrong("address", node.address + " is that of node \"" + other->second + "\" too");
+      block.reader.add_problem("address", node.address + " is that of node \"" + other->second + "\" too");
     if (reader == node.name && node.store.empty() && !block.reader.has("store"))
-      block.reader.wrong("store", "is missing: a node keeps its versions there");
+      block.reader.add_problem("store", "is missing: a node keeps its versions there");
     out.push_back(std::move(node));
   }
   return out;
@@ -93,19 +93,19 @@
 
 // With the name that was most likely meant.
 std::string unknown_node(const std::string& name, const std::set<std::string>& known) {
-  const auto meant = hcl::nearest(name, known);
+  const auto meant = hcl::nearest_name(name, known);
   return "no node '" + name + "' stands here" + (meant ? ": did you mean '" + *meant + "'?" : "");
 }
 
 void check_nodes(Reader& in, const Control& control, const std::optional<std::string>& reader) {
   std::set<std::string> names;
   for (const auto& node : control.nodes) names.insert(node.name);
-  if (control.nodes.empty()) in.wrong("", "names no node");
+  if (control.nodes.empty()) in.add_problem("", "names no node");
   if (control.nodes.size() > kMaxControlNodes)
-    in.wrong("node", "there are more than " + std::to_string(kMaxControlNodes));
+    in.add_problem("node", "there are more than " + std::to_string(kMaxControlNodes));
   if (!control.leader.empty() && !control.nodes.empty() && !names.contains(control.leader))
-    in.wrong("writer", unknown_node(control.leader, names));
-  if (reader && !names.contains(*reader)) in.wrong("", unknown_node(*reader, names));
+    in.add_problem("writer", unknown_node(control.leader, names));
+  if (reader && !names.contains(*reader)) in.add_problem("", unknown_node(*reader, names));
 }
 
 }  // namespace
@@ -122,7 +122,7 @@
   check_nodes(in, out, node);
   // Without classes, a node would reject every document that names one.
   if (node && out.classes.empty())
-    in.wrong("classes", "names none: a node checks by them what documents may name");
+    in.add_problem("classes", "names none: a node checks by them what documents may name");
   in.finish();
   return out;
 }
@@ -135,7 +135,7 @@
   if (auto control = top.block("control")) {
     out = parse_control(control->reader, file, node);
   } else if (problems.empty()) {
-    top.wrong("control", "the block is missing");
+    top.add_problem("control", "the block is missing");
   }
   if (!problems.empty()) throw hcl::Invalid(file, std::move(problems));
   return out;
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -34,14 +34,15 @@
 
 void reject_settings(Reader& in, const auto& names, const char* reason) {
   for (const char* name : names) {
-    if (in.has(name)) in.wrong(name, reason);
+    if (in.has(name)) in.add_problem(name, reason);
   }
 }
 
 void check_class_name(Reader& in, const std::string& name, const std::vector<std::string>& classes) {
   if (std::ranges::find(classes, name) != classes.end()) return;
-  const auto meant = hcl::nearest(name, {classes.begin(), classes.end()});
-  in.wrong("", "is no class of the settings" + (meant ? ": did you mean '" + *meant + "'?" : std::string()));
+  const auto meant = hcl::nearest_name(name, {classes.begin(), classes.end()});
+  in.add_problem(
+      "", "is no class of the settings" + (meant ? ": did you mean '" + *meant + "'?" : std::string()));
 }
 
 Document::Class parse_class(Reader& in, const std::string& name, const std::vector<std::string>& classes) {
@@ -61,11 +62,11 @@
 Document::Tenant parse_tenant(Reader& in, const std::string& name) {
   const auto control = [](unsigned char c) { return c < 0x20 || c == 0x7f; };
   if (name.empty() || name.size() > kMaxTenantName || std::ranges::any_of(name, control))
-    in.wrong("", "a tenant's name has 1 to 256 bytes, no control characters among them");
+    in.add_problem("", "a tenant's name has 1 to 256 bytes, no control characters among them");
   Document::Tenant out;
   out.name = name;
   // Left out, it would starve the tenant without a word.
-  if (!in.has("share")) in.wrong("share", "is missing");
+  if (!in.has("share")) in.add_problem("share", "is missing");
   out.quota_fraction = in.number("share", 0, kWeights);
   out.quota_per_s = in.number("quota", 0, kWeights);
   in.finish();
@@ -153,18 +154,18 @@
   if (top.has("changelog")) {
     out.changelog = top.text("changelog");
     if (problems.empty() && !net::parse_address(*out.changelog))
-      top.wrong("changelog", "is not an address with a port");
+      top.add_problem("changelog", "is not an address with a port");
   }
   std::set<std::string> seen;
   for (auto& section : top.blocks("class", 1)) {
     const auto& name = section.labels[0];
-    if (!seen.insert(name).second) section.reader.wrong("", "stands a second time");
+    if (!seen.insert(name).second) section.reader.add_problem("", "stands a second time");
     out.classes.push_back(parse_class(section.reader, name, classes));
   }
   seen.clear();
   for (auto& section : top.blocks("tenant", 1)) {
     const auto& name = section.labels[0];
-    if (!seen.insert(name).second) section.reader.wrong("", "stands a second time");
+    if (!seen.insert(name).second) section.reader.add_problem("", "stands a second time");
     if (!out.tenants) out.tenants.emplace();
     out.tenants->push_back(parse_tenant(section.reader, name));
   }
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -21,13 +21,13 @@
   const auto variable = in.text(name);
   const char* value = std::getenv(variable.c_str());
   if (value == nullptr && !variable.empty())
-    in.wrong(name, "names an environment variable that is not set: '" + variable + "'");
+    in.add_problem(name, "names an environment variable that is not set: '" + variable + "'");
   return value == nullptr ? "" : value;
 }
 
 std::string address(Reader& in, const char* name) {
   auto out = in.text(name);
-  if (!out.empty() && !net::parse_address(out)) in.wrong(name, "is not an address with a port");
+  if (!out.empty() && !net::parse_address(out)) in.add_problem(name, "is not an address with a port");
   return out;
 }
 
@@ -38,9 +38,9 @@
   if (const auto found = names.find(value); found != names.end()) return found->second;
   std::set<std::string> known;
   for (const auto& [name, index] : names) known.insert(name);
-  const auto meant = hcl::nearest(value, known);
-  in.wrong(field, "'" + value + "' is no " + what + " of the settings" +
-                      (meant ? ": did you mean '" + *meant + "'?" : ""));
+  const auto meant = hcl::nearest_name(value, known);
+  in.add_problem(field, "'" + value + "' is no " + what + " of the settings" +
+                            (meant ? ": did you mean '" + *meant + "'?" : ""));
   return std::nullopt;
 }
 
@@ -49,7 +49,7 @@
   out.listen = address(in, "listen");
   // A directory takes passwords as they are, and there is no TLS here to hide them.
   if (directory && !out.listen.empty() && !out.listen.starts_with("127."))
-    in.wrong("listen", "must be a loopback address beside a directory");
+    in.add_problem("listen", "must be a loopback address beside a directory");
   const auto add = [&](Reader& user, std::string name) {
     out.users.push_back({std::move(name), secret(user, "password_env"), user.text("tenant")});
     (void)position(user, "tenant", out.users.back().tenant, names.tenants, "tenant");
@@ -60,7 +60,7 @@
     auto name = user.reader.text("name");
     add(user.reader, std::move(name));
   }
-  if (out.users.empty() && !directory) in.wrong("", "names no user, and there is no directory");
+  if (out.users.empty() && !directory) in.add_problem("", "names no user, and there is no directory");
   in.finish();
   return out;
 }
@@ -87,11 +87,11 @@
   out.max_turn_cpu = in.duration("turn", out.max_turn_cpu, {50us, 10ms});
   if (auto breaker = in.block("breaker")) {
     auto& b = breaker->reader;
-    out.failure_threshold = static_cast<unsigned>(b.whole("failures", out.failure_threshold, {1, 1000}));
+    out.failure_threshold = static_cast<unsigned>(b.integer("failures", out.failure_threshold, {1, 1000}));
     out.open_duration = b.duration("pause", out.open_duration, {10ms, 1h});
     out.max_open_duration = b.duration("most_pause", out.max_open_duration, {10ms, 24h});
-    out.success_threshold = static_cast<unsigned>(b.whole("trials", out.success_threshold, {1, 1000}));
-    if (out.max_open_duration < out.open_duration) b.wrong("most_pause", "is less than pause");
+    out.success_threshold = static_cast<unsigned>(b.integer("trials", out.success_threshold, {1, 1000}));
+    if (out.max_open_duration < out.open_duration) b.add_problem("most_pause", "is less than pause");
     b.finish();
   }
   in.finish();
@@ -108,7 +108,7 @@
   }
   if (in.has("front")) out.front = static_cast<std::uint8_t>(in.choice("front", kFrontNames, 0));
   out.contains = in.text("statement_contains", "");
-  if (out.contains.size() > 256) in.wrong("statement_contains", "is longer than 256 bytes");
+  if (out.contains.size() > 256) in.add_problem("statement_contains", "is longer than 256 bytes");
   in.finish();
   return out;
 }
@@ -118,7 +118,7 @@
     return std::isalnum(c) != 0 || c == '_' || c == '-' || c == '.';
   };
   if (name.empty() || name.size() > kMaxHookName || !std::ranges::all_of(name, allowed))
-    in.wrong("", "a hook's name has 1 to 64 letters, digits, '-', '_' or '.'");
+    in.add_problem("", "a hook's name has 1 to 64 letters, digits, '-', '_' or '.'");
 }
 
 void parse_phases(Reader& in, hooks::Spec& out) {
@@ -127,12 +127,12 @@
   for (const auto& phase : phases) {
     const auto found = std::ranges::find(hooks::kPhaseNames, phase);
     if (found == hooks::kPhaseNames.end()) {
-      in.wrong("phases", "'" + phase + R"(' is no phase: expected "request", "answer" or "timer")");
+      in.add_problem("phases", "'" + phase + R"(' is no phase: expected "request", "answer" or "timer")");
     } else {
       out.phases[static_cast<std::size_t>(found - hooks::kPhaseNames.begin())] = true;
     }
   }
-  if (phases.empty()) in.wrong("phases", "names no phase");
+  if (phases.empty()) in.add_problem("phases", "names no phase");
 }
 
 void parse_hook_limits(Reader& in, hooks::Spec& out) {
@@ -140,10 +140,10 @@
   out.wait_timeout = in.duration("wait", std::max(out.wait_timeout, out.cpu_limit), {1ms, 10s});
   out.slice = in.duration("slice", out.slice, {20us, 2ms});
   out.timer_interval = in.duration("every", out.timer_interval, {10ms, 24h});
-  out.instruction_limit = static_cast<std::uint64_t>(in.whole("instructions", 1'000'000, {1000, kGiga}));
+  out.instruction_limit = static_cast<std::uint64_t>(in.integer("instructions", 1'000'000, {1000, kGiga}));
   out.memory_limit = in.size("memory", out.memory_limit, {64 << 10, 64 << 20}, "memory_kb");
   out.store_limit = in.size("state", out.store_limit, {0, 64 << 20});
-  out.max_concurrent_calls = static_cast<std::size_t>(in.whole("at_once", 8, {1, 256}));
+  out.max_concurrent_calls = static_cast<std::size_t>(in.integer("at_once", 8, {1, 256}));
 }
 
 hooks::Spec parse_hook(Reader& in, const std::string& name, const Names& names, const std::string& file) {
@@ -153,13 +153,13 @@
   const auto script = in.text("script");
   out.path = (std::filesystem::path(file).parent_path() / script).string();
   parse_phases(in, out);
-  out.order = in.whole("order", 0, {-kGiga, kGiga});
+  out.order = in.integer("order", 0, {-kGiga, kGiga});
   parse_hook_limits(in, out);
   out.reject_on_failure = in.choice("on_failure", {"pass", "refuse"}, 0) == 1;
   out.retry_after = in.duration("later", out.retry_after, {1ms, 1h});
   if (auto match = in.block("match")) out.match = parse_match(match->reader, names);
   if (in.has("every") && !out.phases[static_cast<std::size_t>(hooks::Phase::timer)])
-    in.wrong("every", "is for phase \"timer\" only");
+    in.add_problem("every", "is for phase \"timer\" only");
   in.finish();
   return out;
 }
@@ -170,14 +170,14 @@
   for (auto& hook : top.blocks("hook", 1)) {
     auto spec = parse_hook(hook.reader, hook.labels[0], names, file);
     if (std::ranges::find(out.hooks, spec.name, &hooks::Spec::name) != out.hooks.end())
-      hook.reader.wrong("", "stands a second time");
+      hook.reader.add_problem("", "stands a second time");
     out.hooks.push_back(std::move(spec));
   }
   // The one script of older files.
   if (auto plugin = top.block("plugin"))
     out.hooks.push_back(parse_hook(plugin->reader, "plugin", names, file));
   if (out.hooks.size() > hooks::kMaxHooks)
-    top.wrong("hook", "there are more than " + std::to_string(hooks::kMaxHooks));
+    top.add_problem("hook", "there are more than " + std::to_string(hooks::kMaxHooks));
   return out;
 }
 
--- a/src/hcl/reader.cpp
+++ b/src/hcl/reader.cpp
@@ -71,7 +71,7 @@
   return static_cast<std::uint64_t>(std::llround(part->first));
 }
 
-std::string show_duration(Time time) {
+std::string format_duration(Time time) {
   for (const auto& unit : {kTimeUnits[3], kTimeUnits[4], kTimeUnits[5]}) {
     if (static_cast<double>(time.count()) >= unit.factor)
       return show_number(static_cast<double>(time.count()) / unit.factor) + std::string(unit.name);
@@ -88,7 +88,7 @@
 }
 
 // The optimal string alignment distance: Levenshtein's, where a transposition of neighbours counts once.
-std::optional<std::string> nearest(std::string_view name, const std::set<std::string>& known) {
+std::optional<std::string> nearest_name(std::string_view name, const std::set<std::string>& known) {
   std::optional<std::string> out;
   auto best = std::max<std::size_t>(name.size() / 3, 1) + 1;  // farther away is another word
   for (const auto& candidate : known) {
@@ -127,14 +127,14 @@
   return found == body_->attributes.end() ? body_->at : found->value.at;
 }
 
-void Reader::wrong(const std::string& name, const std::string& text) {
+void Reader::add_problem(const std::string& name, const std::string& text) {
   const auto whole = name.empty() ? what_ : what_.empty() ? name : what_ + '.' + name;
   problems_->push_back({at(name), whole + ": " + text});
 }
 
 const Value* Reader::need(const std::string& name, bool required) {
   const auto* value = find(name);
-  if (value == nullptr && required) wrong(name, "is missing");
+  if (value == nullptr && required) add_problem(name, "is missing");
   return value;
 }
 
@@ -142,7 +142,7 @@
   const auto* value = need(name, !fallback);
   if (value == nullptr) return fallback.value_or("");
   if (const auto* text = value->as<std::string>()) return *text;
-  wrong(name, std::string("expected a text, not ") + kind_of(*value));
+  add_problem(name, std::string("expected a text, not ") + kind_of(*value));
   return fallback.value_or("");
 }
 
@@ -150,7 +150,7 @@
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   if (const auto* is = value->as<bool>()) return *is;
-  wrong(name, std::string("expected true or false, not ") + kind_of(*value));
+  add_problem(name, std::string("expected true or false, not ") + kind_of(*value));
   return fallback;
 }
 
@@ -158,15 +158,16 @@
 T Reader::within(const std::string& name, std::optional<T> value, T fallback, Range<T> range,
                  const char* expected, std::string (*show)(T)) {
   if (!value) {
-    wrong(name, expected);
+    add_problem(name, expected);
     return fallback;
   }
   if (*value >= range.least && *value <= range.most) return *value;
-  wrong(name, show(*value) + " is out of range: expected " + show(range.least) + " to " + show(range.most));
+  add_problem(name,
+              show(*value) + " is out of range: expected " + show(range.least) + " to " + show(range.most));
   return fallback;
 }
 
-std::int64_t Reader::whole(const std::string& name, std::int64_t fallback, Range<std::int64_t> range) {
+std::int64_t Reader::integer(const std::string& name, std::int64_t fallback, Range<std::int64_t> range) {
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   const auto* number = value->as<std::int64_t>();
@@ -187,20 +188,20 @@
                       Time unit) {
   if (old_name != nullptr && find(old_name) != nullptr && find(name) == nullptr) {
     const auto most = range.most / unit;
-    return unit * whole(old_name, 0, {std::min<std::int64_t>(1, most), most});
+    return unit * integer(old_name, 0, {std::min<std::int64_t>(1, most), most});
   }
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
   return within<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), fallback, range,
-                      R"(expected a duration, as "2ms" or "1m30s")", show_duration);
+                      R"(expected a duration, as "2ms" or "1m30s")", format_duration);
 }
 
 std::uint64_t Reader::size(const std::string& name, std::uint64_t fallback, Sizes range, const char* old_name,
                            std::uint64_t unit) {
   if (old_name != nullptr && find(old_name) != nullptr && find(name) == nullptr)
-    return unit *
-           static_cast<std::uint64_t>(whole(old_name, 0, {1, static_cast<std::int64_t>(range.most / unit)}));
+    return unit * static_cast<std::uint64_t>(
+                      integer(old_name, 0, {1, static_cast<std::int64_t>(range.most / unit)}));
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
@@ -215,7 +216,7 @@
   if (const auto* alone = value->as<std::string>()) return {*alone};
   const auto* list = value->as<std::vector<Value>>();
   if (list == nullptr) {
-    wrong(name, std::string("expected a list of texts, not ") + kind_of(*value));
+    add_problem(name, std::string("expected a list of texts, not ") + kind_of(*value));
     return out;
   }
   for (const auto& item : *list) {
@@ -237,7 +238,7 @@
   if (found != words.end()) return static_cast<std::size_t>(found - words.begin());
   std::string expected;
   for (const auto& word : words) expected += (expected.empty() ? "expected \"" : " or \"") + word + '"';
-  wrong(name, expected);
+  add_problem(name, expected);
   return fallback;
 }
 
@@ -291,14 +292,14 @@
 std::optional<Reader::Section> Reader::block(const std::string& type) {
   auto all = blocks(type);
   if (all.empty()) return std::nullopt;
-  for (std::size_t i = 1; i < all.size(); ++i) all[i].reader.wrong("", "stands a second time");
+  for (std::size_t i = 1; i < all.size(); ++i) all[i].reader.add_problem("", "stands a second time");
   return std::move(all.front());
 }
 
 void Reader::finish() {
   const auto unknown = [&](Position at, const std::string& name, const char* what) {
     auto text = (what_.empty() ? std::string() : what_ + ": ") + "unknown " + what + " '" + name + "'";
-    if (const auto meant = nearest(name, known_)) text += ": did you mean '" + *meant + "'?";
+    if (const auto meant = nearest_name(name, known_)) text += ": did you mean '" + *meant + "'?";
     problems_->push_back({at, std::move(text)});
   };
   for (const auto& attribute : body_->attributes) {
--- a/src/hcl/reader.hpp
+++ b/src/hcl/reader.hpp
@@ -24,7 +24,8 @@
 // "64KB", "1.5MB": a number with a unit; B KB MB GB, also as KiB MiB GiB. A KB is 1,024 bytes.
 [[nodiscard]] std::optional<std::uint64_t> parse_size(std::string_view text);
 // The name of `known` that `name` was most likely meant to be by the fewest slips, or none.
-[[nodiscard]] std::optional<std::string> nearest(std::string_view name, const std::set<std::string>& known);
+[[nodiscard]] std::optional<std::string> nearest_name(std::string_view name,
+                                                      const std::set<std::string>& known);
 
 template <class T>
 struct Range {
@@ -45,7 +46,7 @@
   // one.
   std::string text(const std::string& name, const std::optional<std::string>& fallback = std::nullopt);
   bool flag(const std::string& name, bool fallback);
-  std::int64_t whole(const std::string& name, std::int64_t fallback, Range<std::int64_t> range);
+  std::int64_t integer(const std::string& name, std::int64_t fallback, Range<std::int64_t> range);
   double number(const std::string& name, double fallback, Range<double> range);
   // `old_name`: an older name of the same, whose value is a number in units of `unit`.
   Time duration(const std::string& name, Time fallback, Durations range, const char* old_name = nullptr,
@@ -60,8 +61,8 @@
   std::vector<Section> blocks(const std::string& type, std::size_t labels = 0);
   std::optional<Section> block(const std::string& type);  // at most one
 
-  void wrong(const std::string& name, const std::string& text);  // at the attribute, or at the body
-  void finish();                                                 // what is left is unknown
+  void add_problem(const std::string& name, const std::string& text);  // at the attribute, or at the body
+  void finish();                                                       // what is left is unknown
 
   [[nodiscard]] Position at(const std::string& name) const;
   [[nodiscard]] Position at() const { return body_->at; }
@@ -90,7 +91,7 @@
   Reader reader;
 };
 
-[[nodiscard]] std::string show_duration(Time time);  // "1.5ms"
+[[nodiscard]] std::string format_duration(Time time);  // "1.5ms"
 [[nodiscard]] std::string show_size(std::uint64_t bytes);
 
 }  // namespace bellstair::hcl
--- a/src/hooks/load.cpp
+++ b/src/hooks/load.cpp
@@ -20,9 +20,9 @@
   return out;
 }
 
-Loaded load(Set set, const SettingNames& words) {
+LoadResult load(Set set, const SettingNames& words) {
   static std::atomic<HookId> last = 0;
-  Loaded out;
+  LoadResult out;
   for (auto& spec : set.hooks) {
     spec.id = ++last;
     const auto wrong = [&](const std::string& what) {
--- a/src/hooks/runner.cpp
+++ b/src/hooks/runner.cpp
@@ -7,7 +7,7 @@
 Runner::Runner(ev::loop_ref loop, SettingNames names, Post post)
     : names_(std::make_shared<const SettingNames>(std::move(names))), post_(std::move(post)), worker_(loop) {}
 
-void Runner::install(Loaded& loaded) {
+void Runner::install(LoadResult& loaded) {
   for (std::size_t i = 0; i < loaded.machines.size(); ++i) {
     const auto& spec = loaded.set.hooks[i];
     auto& store = stores_.try_emplace(spec.name, spec.store_limit).first->second;
--- a/src/hooks/runner.hpp
+++ b/src/hooks/runner.hpp
@@ -23,10 +23,10 @@
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
 
-  [[nodiscard]] std::shared_ptr<const SettingNames> words() const { return names_; }
+  [[nodiscard]] std::shared_ptr<const SettingNames> names() const { return names_; }
   void set_names(SettingNames names);  // for all machines, from now on
   // Takes the machines over; the caller gives the set to the core.
-  void install(Loaded& loaded);
+  void install(LoadResult& loaded);
   // See net::Worker.
   void run_in_background(net::Worker::Work work) { worker_.later(std::move(work)); }
 
