--- a/src/hcl/grammar.hpp
+++ b/src/hcl/grammar.hpp
@@ -1,4 +1,4 @@
-// The grammar of HCL's native syntax and of its JSON form, as rules of PEGTL.
+// The grammar of HCL's native syntax and of its JSON form, written as PEGTL rules.
 #pragma once
 
 #include <algorithm>
@@ -37,7 +37,7 @@
 struct TextBody : peg::seq<peg::star<peg::sor<Escape, PlainTemplate, TemplateBegin, PlainByte>>, TextEnd> {};
 struct Text : peg::if_must<TextBegin, TextBody> {};
 
-// <<WORD or <<-WORD, lines, and a line that holds the word alone.
+// A heredoc: <<WORD or <<-WORD, then lines of text, then a line with only the word.
 struct HeredocDelimiter : Identifier {};
 struct HeredocIndented : peg::string<'<', '<', '-'> {};
 struct HeredocPlain : peg::string<'<', '<'> {};
@@ -78,7 +78,7 @@
 struct LiteralFalse : peg::seq<peg::string<'f', 'a', 'l', 's', 'e'>, WordEnd> {};
 struct LiteralNull : peg::seq<peg::string<'n', 'u', 'l', 'l'>, WordEnd> {};
 
-// What HCL allows and this program does not.
+// HCL syntax that this program rejects. The rules exist to report it by name.
 struct FunctionCall : peg::seq<Identifier, InlineSpace, peg::one<'('>> {};
 struct ForExpression : peg::seq<peg::one<'[', '{'>, Space, peg::string<'f', 'o', 'r'>, WordEnd, peg::blank> {
 };
@@ -114,7 +114,7 @@
 struct ValueRule : peg::sor<ForExpression, Text, Heredoc, Number, LiteralTrue, LiteralFalse, LiteralNull,
                             List, Object, FunctionCall, Reference, Operation> {};
 
-// A body: attributes and blocks, each ended by its line's end or by the end of the block around it.
+// A body consists of attributes and blocks. Each ends at the end of its line or of the enclosing block.
 struct ItemEnd : peg::sor<peg::at<peg::one<'}'>>, peg::seq<peg::opt<LineComment>, peg::eolf>> {};
 struct TrailingOperation : Operation {};
 struct WithoutOperation : peg::opt<TrailingOperation> {};
--- a/src/hcl/heredoc.cpp
+++ b/src/hcl/heredoc.cpp
@@ -8,7 +8,7 @@
 namespace bellstair::hcl {
 namespace {
 
-// The position of text[offset].
+// Returns the position of text[offset] in the file.
 Position position_in(const std::string& text, std::size_t offset, Position delimiter_at) {
   const auto end = text.begin() + static_cast<std::ptrdiff_t>(offset);
   auto at = delimiter_at;
@@ -18,7 +18,7 @@
   return at;
 }
 
-// Calls `visit` for each line, its end included.
+// Calls `visit` for each line, including its line end.
 template <class Visit>
 void for_each_line(std::string_view text, Visit visit) {
   for (std::size_t at = 0; at < text.size();) {
@@ -36,7 +36,7 @@
     if (sign != '$' && sign != '%') continue;
     if (brace < 2 || text[brace - 2] != sign) {
       throw ParseFailure{{position_in(text, brace, at), std::string("templates are not supported: '") + sign +
-                                                            "{' (as text: '" + sign + sign + "{')"}};
+                                                            "{' (as literal text: '" + sign + sign + "{')"}};
     }
     text.erase(brace - 1, 1);
     --brace;
--- a/src/hcl/parse.cpp
+++ b/src/hcl/parse.cpp
@@ -28,7 +28,7 @@
     if (state.json) {
       grammar::peg::parse<grammar::JsonFile, grammar::Action, grammar::Control>(in, state);
       Body out;
-      out.attributes = std::move(std::get<std::vector<Member>>(state.values.at(0).is));
+      out.attributes = std::move(std::get<std::vector<Member>>(state.values.at(0).content));
       return out;
     }
     grammar::peg::parse<grammar::NativeFile, grammar::Action, grammar::Control>(in, state);
--- a/src/hcl/parse_errors.hpp
+++ b/src/hcl/parse_errors.hpp
@@ -1,4 +1,4 @@
-// What the parser says where a rule must match and does not.
+// The parser's error messages, reported where a rule must match and does not.
 #pragma once
 
 #include <tao/pegtl.hpp>
@@ -8,7 +8,7 @@
 
 namespace bellstair::hcl::grammar {
 
-// `in`: the input of PEGTL, or the part of it that an action is for.
+// `in` is the PEGTL input, or the part of it that an action is called for.
 template <class Input>
 Position position_of(const Input& in) {
   const auto at = in.position();
@@ -30,15 +30,15 @@
 template <>
 inline constexpr const char* kExpected<TextBody> = "the text does not end in its line: expected '\"'";
 template <>
-inline constexpr const char* kExpected<HeredocDelimiter> = "expected the word that ends the text";
+inline constexpr const char* kExpected<HeredocDelimiter> = "expected the delimiter of the heredoc";
 template <>
 inline constexpr const char* kExpected<peg::eol> = "expected the end of the line";
 template <>
 inline constexpr const char* kExpected<HeredocEnd> =
-    "the text does not end: expected a line with its word alone";
+    "the heredoc does not end: expected a line with only its delimiter";
 template <>
 inline constexpr const char* kExpected<NumberEnd> =
-    "a number goes on with letters: expected a unit to be in a text, as in \"2ms\"";
+    "a number is followed by letters: a value with a unit must be a text, as in \"2ms\"";
 template <>
 inline constexpr const char* kExpected<Element> = "expected a value or ']'";
 template <>
@@ -86,7 +86,7 @@
 struct Control : peg::normal<Rule> {
   template <class Input, class... States>
   [[noreturn]] static void raise(const Input& in, States&&...) {
-    static_assert(kExpected<Rule> != nullptr, "every rule that must match says what was expected");
+    static_assert(kExpected<Rule> != nullptr, "every rule that must match needs a message in kExpected");
     throw ParseFailure{{position_of(in), kExpected<Rule>}};
   }
 };
--- a/src/hcl/parse_state.hpp
+++ b/src/hcl/parse_state.hpp
@@ -1,4 +1,4 @@
-// What the parser builds while it reads: finished values and names on stacks, and the open blocks.
+// The state of the parser: stacks of the finished values and names, and the open blocks.
 #pragma once
 
 #include <cstddef>
@@ -11,32 +11,33 @@
 
 namespace bellstair::hcl {
 
-// Ends the parse; parse() turns it into Invalid, which names the file too.
+// Aborts the parse. parse() converts it to Invalid, which also names the file.
 struct ParseFailure {
   Problem problem;
 };
 
 struct ParseState {
-  // Sizes of the stacks where a list or an object began.
+  // Sizes of the stacks at the start of a list or an object.
   struct NestedStart {
     std::size_t values, names;
   };
 
   bool json = false;
-  std::vector<Block> open_blocks;  // the file's own body first, in a block without a type
+  std::vector<Block> open_blocks;  // the first has no type and contains the body of the file
   std::vector<Member> names;
   std::vector<Value> values;
-  std::vector<NestedStart> nested;  // the lists and objects that are open
+  std::vector<NestedStart> nested;  // one for each open list or object
   Position text_at;
   std::string text;
   std::string heredoc_delimiter;
 
-  // Throws ParseFailure at a depth over kMaxDepth.
+  // Throws ParseFailure if the depth exceeds kMaxDepth.
   void enter_nested(Position at) {
     if (open_blocks.size() + nested.size() > kMaxDepth)
-      throw ParseFailure{{at, "is nested more than " + std::to_string(kMaxDepth) + " deep"}};
+      throw ParseFailure{
+          {at, "lists, objects and blocks are nested more than " + std::to_string(kMaxDepth) + " deep"}};
   }
-  void push(Position at, decltype(Value::is) value) { values.push_back({at, std::move(value)}); }
+  void push(Position at, decltype(Value::content) value) { values.push_back({at, std::move(value)}); }
 };
 
 }  // namespace bellstair::hcl
--- a/src/hcl/reader.cpp
+++ b/src/hcl/reader.cpp
@@ -26,10 +26,11 @@
                                           {"KiB", 1024},
                                           {"B", 1}}};
 
-// Takes a number and its unit off the front. Returns the amount and the unit's position in the list.
+// Parses a number and its unit and removes them from the front of `text`. Returns the amount in the smallest
+// unit and the position of the unit in the list.
 template <std::size_t N>
-std::optional<std::pair<double, std::size_t>> take_amount(std::string_view& text,
-                                                          const std::array<Unit, N>& units) {
+std::optional<std::pair<double, std::size_t>> parse_amount(std::string_view& text,
+                                                           const std::array<Unit, N>& units) {
   double value = 0;
   if (text.empty() || text[0] < '0' || text[0] > '9') return std::nullopt;
   const auto [end, error] =
@@ -43,8 +44,8 @@
   return std::pair(value * found->factor, static_cast<std::size_t>(found - units.begin()));
 }
 
-std::string show_whole(std::int64_t value) { return std::to_string(value); }
-std::string show_number(double value) {
+std::string format_integer(std::int64_t value) { return std::to_string(value); }
+std::string format_number(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%g", value);
   return out;
@@ -56,7 +57,7 @@
   double sum = 0;
   std::size_t last = 0;
   for (bool first = true; first || !text.empty(); first = false) {
-    const auto part = take_amount(text, kTimeUnits);
+    const auto part = parse_amount(text, kTimeUnits);
     if (!part || (!first && part->second <= last)) return std::nullopt;
     last = part->second;
     sum += part->first;
@@ -66,7 +67,7 @@
 }
 
 std::optional<std::uint64_t> parse_size(std::string_view text) {
-  const auto part = take_amount(text, kSizeUnits);
+  const auto part = parse_amount(text, kSizeUnits);
   if (!part || !text.empty() || !(part->first <= 9e18)) return std::nullopt;
   return static_cast<std::uint64_t>(std::llround(part->first));
 }
@@ -74,33 +75,35 @@
 std::string format_duration(Time time) {
   for (const auto& unit : {kTimeUnits[3], kTimeUnits[4], kTimeUnits[5]}) {
     if (static_cast<double>(time.count()) >= unit.factor)
-      return show_number(static_cast<double>(time.count()) / unit.factor) + std::string(unit.name);
+      return format_number(static_cast<double>(time.count()) / unit.factor) + std::string(unit.name);
   }
   return std::to_string(time.count()) + "ns";
 }
 
-std::string show_size(std::uint64_t bytes) {
+std::string format_size(std::uint64_t bytes) {
   for (const auto& unit : {kSizeUnits[0], kSizeUnits[2], kSizeUnits[4]}) {
     if (static_cast<double>(bytes) >= unit.factor)
-      return show_number(static_cast<double>(bytes) / unit.factor) + std::string(unit.name);
+      return format_number(static_cast<double>(bytes) / unit.factor) + std::string(unit.name);
   }
   return std::to_string(bytes) + "B";
 }
 
-// The optimal string alignment distance: Levenshtein's, where a transposition of neighbours counts once.
+// Uses the optimal string alignment distance: the Levenshtein distance, but a transposition of neighbours
+// counts once.
 std::optional<std::string> nearest_name(std::string_view name, const std::set<std::string>& known) {
   std::optional<std::string> out;
-  auto best = std::max<std::size_t>(name.size() / 3, 1) + 1;  // farther away is another word
+  auto best = std::max<std::size_t>(name.size() / 3, 1) + 1;  // names at a greater distance are not suggested
   for (const auto& candidate : known) {
-    std::vector<std::size_t> before, last, row(candidate.size() + 1);
+    std::vector<std::size_t> second_last_row, last_row, row(candidate.size() + 1);
     std::iota(row.begin(), row.end(), std::size_t{0});
     for (std::size_t i = 0; i < name.size(); ++i) {
-      before = std::exchange(last, row);
+      second_last_row = std::exchange(last_row, row);
       row[0] = i + 1;
       for (std::size_t j = 0; j < candidate.size(); ++j) {
-        row[j + 1] = std::min({last[j] + (name[i] == candidate[j] ? 0 : 1), last[j + 1] + 1, row[j] + 1});
+        row[j + 1] =
+            std::min({last_row[j] + (name[i] == candidate[j] ? 0 : 1), last_row[j + 1] + 1, row[j] + 1});
         if (i > 0 && j > 0 && name[i] == candidate[j - 1] && name[i - 1] == candidate[j])
-          row[j + 1] = std::min(row[j + 1], before[j - 1] + 1);
+          row[j + 1] = std::min(row[j + 1], second_last_row[j - 1] + 1);
       }
     }
     if (row.back() < best) {
@@ -128,18 +131,20 @@
 }
 
 void Reader::add_problem(const std::string& name, const std::string& text) {
-  const auto whole = name.empty() ? what_ : what_.empty() ? name : what_ + '.' + name;
-  problems_->push_back({at(name), whole + ": " + text});
+  const auto full_name = name.empty()           ? description_
+                         : description_.empty() ? name
+                                                : description_ + '.' + name;
+  problems_->push_back({at(name), full_name + ": " + text});
 }
 
-const Value* Reader::need(const std::string& name, bool required) {
+const Value* Reader::find_attribute(const std::string& name, bool required) {
   const auto* value = find(name);
   if (value == nullptr && required) add_problem(name, "is missing");
   return value;
 }
 
 std::string Reader::text(const std::string& name, const std::optional<std::string>& fallback) {
-  const auto* value = need(name, !fallback);
+  const auto* value = find_attribute(name, !fallback);
   if (value == nullptr) return fallback.value_or("");
   if (const auto* text = value->as<std::string>()) return *text;
   add_problem(name, std::string("expected a text, not ") + kind_of(*value));
@@ -149,21 +154,21 @@
 bool Reader::flag(const std::string& name, bool fallback) {
   const auto* value = find(name);
   if (value == nullptr) return fallback;
-  if (const auto* is = value->as<bool>()) return *is;
+  if (const auto* boolean = value->as<bool>()) return *boolean;
   add_problem(name, std::string("expected true or false, not ") + kind_of(*value));
   return fallback;
 }
 
 template <class T>
-T Reader::within(const std::string& name, std::optional<T> value, T fallback, Range<T> range,
-                 const char* expected, std::string (*show)(T)) {
+T Reader::check_range(const std::string& name, std::optional<T> value, T fallback, Range<T> range,
+                      const char* expected, std::string (*format)(T)) {
   if (!value) {
     add_problem(name, expected);
     return fallback;
   }
   if (*value >= range.least && *value <= range.most) return *value;
-  add_problem(name,
-              show(*value) + " is out of range: expected " + show(range.least) + " to " + show(range.most));
+  add_problem(name, format(*value) + " is out of range: expected " + format(range.least) + " to " +
+                        format(range.most));
   return fallback;
 }
 
@@ -171,8 +176,8 @@
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   const auto* number = value->as<std::int64_t>();
-  return within<std::int64_t>(name, number == nullptr ? std::nullopt : std::optional(*number), fallback,
-                              range, "expected a whole number", show_whole);
+  return check_range<std::int64_t>(name, number == nullptr ? std::nullopt : std::optional(*number), fallback,
+                                   range, "expected a whole number", format_integer);
 }
 
 double Reader::number(const std::string& name, double fallback, Range<double> range) {
@@ -181,7 +186,7 @@
   std::optional<double> number;
   if (const auto* whole = value->as<std::int64_t>()) number = static_cast<double>(*whole);
   if (const auto* real = value->as<double>()) number = *real;
-  return within<double>(name, number, fallback, range, "expected a number", show_number);
+  return check_range<double>(name, number, fallback, range, "expected a number", format_number);
 }
 
 Time Reader::duration(const std::string& name, Time fallback, Durations range, const char* old_name,
@@ -193,8 +198,8 @@
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
-  return within<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), fallback, range,
-                      R"(expected a duration, as "2ms" or "1m30s")", format_duration);
+  return check_range<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), fallback, range,
+                           R"(expected a duration, as "2ms" or "1m30s")", format_duration);
 }
 
 std::uint64_t Reader::size(const std::string& name, std::uint64_t fallback, Sizes range, const char* old_name,
@@ -205,15 +210,15 @@
   const auto* value = find(name);
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
-  return within<std::uint64_t>(name, text == nullptr ? std::nullopt : parse_size(*text), fallback, range,
-                               R"(expected a size, as "64KB" or "1MB")", show_size);
+  return check_range<std::uint64_t>(name, text == nullptr ? std::nullopt : parse_size(*text), fallback, range,
+                                    R"(expected a size, as "64KB" or "1MB")", format_size);
 }
 
 std::vector<std::string> Reader::texts(const std::string& name) {
   std::vector<std::string> out;
   const auto* value = find(name);
   if (value == nullptr) return out;
-  if (const auto* alone = value->as<std::string>()) return {*alone};
+  if (const auto* single = value->as<std::string>()) return {*single};
   const auto* list = value->as<std::vector<Value>>();
   if (list == nullptr) {
     add_problem(name, std::string("expected a list of texts, not ") + kind_of(*value));
@@ -223,7 +228,7 @@
     if (const auto* text = item.as<std::string>()) {
       out.push_back(*text);
     } else {
-      problems_->push_back({item.at, what_ + '.' + name + ": expected a text, not " + kind_of(item)});
+      problems_->push_back({item.at, description_ + '.' + name + ": expected a text, not " + kind_of(item)});
     }
   }
   return out;
@@ -242,8 +247,9 @@
   return fallback;
 }
 
-std::string Reader::section_name(const std::string& type, const std::vector<std::string>& labels) const {
-  auto name = what_.empty() ? type : what_ + '.' + type;
+std::string Reader::section_description(const std::string& type,
+                                        const std::vector<std::string>& labels) const {
+  auto name = description_.empty() ? type : description_ + '.' + type;
   for (const auto& label : labels) name += " \"" + label + '"';
   return name;
 }
@@ -253,7 +259,7 @@
   std::vector<Section> out;
   for (const auto& block : body_->blocks) {
     if (block.type != type) continue;
-    const auto name = section_name(type, block.labels);
+    const auto name = section_description(type, block.labels);
     if (block.labels.size() == labels) {
       out.push_back({block.labels, Reader(block.body, name, *problems_)});
     } else {
@@ -261,44 +267,47 @@
                                           std::to_string(block.labels.size())});
     }
   }
-  if (const auto* value = find(type)) sections_of(*value, type, labels, {}, out);
+  if (const auto* value = find(type)) collect_sections(*value, type, labels, {}, out);
   return out;
 }
 
-// A list holds sections; an object is one, or holds them by their next label.
-void Reader::sections_of(const Value& value, const std::string& type, std::size_t labels,
-                         const std::vector<std::string>& given, std::vector<Section>& out) {
+// A list contains sections. An object is a section, or contains sections by their next label.
+void Reader::collect_sections(const Value& value, const std::string& type, std::size_t labels,
+                              const std::vector<std::string>& outer_labels, std::vector<Section>& out) {
   if (const auto* list = value.as<std::vector<Value>>()) {
-    for (const auto& item : *list) sections_of(item, type, labels, given, out);
+    for (const auto& item : *list) collect_sections(item, type, labels, outer_labels, out);
     return;
   }
   const auto* object = value.as<std::vector<Member>>();
   if (object == nullptr) {
-    problems_->push_back({value.at, section_name(type, given) + ": expected a block, not " + kind_of(value)});
+    problems_->push_back(
+        {value.at, section_description(type, outer_labels) + ": expected a block, not " + kind_of(value)});
     return;
   }
-  if (given.size() < labels) {
+  if (outer_labels.size() < labels) {
     for (const auto& member : *object) {
-      auto more = given;
-      more.push_back(member.name);
-      sections_of(member.value, type, labels, more, out);
+      auto extended_labels = outer_labels;
+      extended_labels.push_back(member.name);
+      collect_sections(member.value, type, labels, extended_labels, out);
     }
     return;
   }
   object_bodies_.push_back(std::make_shared<const Body>(Body{value.at, *object, {}}));
-  out.push_back({given, Reader(*object_bodies_.back(), section_name(type, given), *problems_)});
+  out.push_back(
+      {outer_labels, Reader(*object_bodies_.back(), section_description(type, outer_labels), *problems_)});
 }
 
 std::optional<Reader::Section> Reader::block(const std::string& type) {
   auto all = blocks(type);
   if (all.empty()) return std::nullopt;
-  for (std::size_t i = 1; i < all.size(); ++i) all[i].reader.add_problem("", "stands a second time");
+  for (std::size_t i = 1; i < all.size(); ++i) all[i].reader.add_problem("", "is defined more than once");
   return std::move(all.front());
 }
 
 void Reader::finish() {
   const auto unknown = [&](Position at, const std::string& name, const char* what) {
-    auto text = (what_.empty() ? std::string() : what_ + ": ") + "unknown " + what + " '" + name + "'";
+    auto text =
+        (description_.empty() ? std::string() : description_ + ": ") + "unknown " + what + " '" + name + "'";
     if (const auto meant = nearest_name(name, known_)) text += ": did you mean '" + *meant + "'?";
     problems_->push_back({at, std::move(text)});
   };
--- a/src/hcl/scalar_actions.hpp
+++ b/src/hcl/scalar_actions.hpp
@@ -1,5 +1,6 @@
-// Actions of the grammar that build texts, numbers, true, false and null, and those that refuse what is not
-// supported. No rule with an action is tried where it may be taken back.
+// Grammar actions that build texts, numbers, true, false and null, and actions that reject unsupported
+// syntax. The parser never backtracks over a rule that has an action, since its effect on the state could not
+// be undone.
 #pragma once
 
 #include <charconv>
@@ -44,8 +45,8 @@
 struct Action<TemplateBegin> {
   template <class Input>
   static void apply(const Input& in, ParseState&) {
-    fail(in, "templates are not supported: '" + in.string() + "' (as text: '" + in.string()[0] + in.string() +
-                 "')");
+    fail(in, "templates are not supported: '" + in.string() + "' (as literal text: '" + in.string()[0] +
+                 in.string() + "')");
   }
 };
 template <>
@@ -70,9 +71,9 @@
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
     try {
-      peg::unescape::unescape_j::apply(in, state.text);  // pairs of surrogates too
+      peg::unescape::unescape_j::apply(in, state.text);  // surrogate pairs too
     } catch (const peg::parse_error&) {
-      fail(in, "is no Unicode code point");
+      fail(in, "the escape is not a Unicode code point");
     }
   }
 };
@@ -83,7 +84,7 @@
     try {
       peg::unescape::unescape_u::apply(in, state.text);
     } catch (const peg::parse_error&) {
-      fail(in, "is no Unicode code point");
+      fail(in, "the escape is not a Unicode code point");
     }
   }
 };
@@ -114,7 +115,7 @@
   static void apply(const Input& in, ParseState& state) {
     std::int64_t value = 0;
     const auto [end, error] = std::from_chars(in.begin(), in.end(), value);
-    if (error != std::errc()) fail(in, "is a number out of range");
+    if (error != std::errc()) fail(in, "the number is out of range");
     state.push(position_of(in), value);
   }
 };
@@ -124,7 +125,7 @@
   static void apply(const Input& in, ParseState& state) {
     double value = 0;
     const auto [end, error] = std::from_chars(in.begin(), in.end(), value);
-    if (error != std::errc()) fail(in, "is a number out of range");
+    if (error != std::errc()) fail(in, "the number is out of range");
     state.push(position_of(in), value);
   }
 };
@@ -150,7 +151,7 @@
   }
 };
 
-// ---- not supported
+// ---- unsupported syntax
 
 template <>
 struct Action<FunctionCall> {
@@ -170,7 +171,7 @@
 struct Action<Reference> {
   template <class Input>
   static void apply(const Input& in, ParseState&) {
-    fail(in, "references are not supported: '" + in.string() + "' (a text stands in quotes)");
+    fail(in, "references are not supported: '" + in.string() + "' (a text must be in quotes)");
   }
 };
 template <>
--- a/src/hcl/structure_actions.hpp
+++ b/src/hcl/structure_actions.hpp
@@ -1,4 +1,4 @@
-// Actions of the grammar that build lists, objects, attributes and blocks.
+// Grammar actions that build lists, objects, attributes and blocks.
 #pragma once
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 
 namespace bellstair::hcl::grammar {
 
-// `what`: "the name" or "the attribute". Throws ParseFailure if there is one of that name.
+// Adds the member. Throws ParseFailure if the name is already used. `what` is "the name" or "the attribute".
 inline void add_member(std::vector<Member>& members, Member member, const char* what) {
   const auto first = std::ranges::find(members, member.name, &Member::name);
   if (first != members.end()) {
     throw ParseFailure{{member.at, std::string(what) + " '" + member.name +
-                                       "' stands a second time; first in line " +
+                                       "' is defined more than once; first in line " +
                                        std::to_string(first->at.line)}};
   }
   members.push_back(std::move(member));
@@ -80,11 +80,11 @@
 template <>
 struct Action<Attribute> {
   static void apply0(ParseState& state) {
-    auto made = std::move(state.names.back());
+    auto attribute = std::move(state.names.back());
     state.names.pop_back();
-    made.value = std::move(state.values.back());
+    attribute.value = std::move(state.values.back());
     state.values.pop_back();
-    add_member(state.open_blocks.back().body.attributes, std::move(made), "the attribute");
+    add_member(state.open_blocks.back().body.attributes, std::move(attribute), "the attribute");
   }
 };
 template <>
@@ -95,24 +95,24 @@
 struct Action<BlockBegin> {
   template <class Input>
   static void apply(const Input& in, ParseState& state) {
-    // Outside of values, all names that are open are this block's type and labels.
+    // Outside of values, the stack of names contains only the type and labels of this block.
     state.enter_nested(position_of(in));
-    Block made;
-    made.at = state.names.front().at;
-    made.type = std::move(state.names.front().name);
+    Block block;
+    block.at = state.names.front().at;
+    block.type = std::move(state.names.front().name);
     for (std::size_t i = 1; i < state.names.size(); ++i)
-      made.labels.push_back(std::move(state.names[i].name));
-    made.body.at = made.at;
+      block.labels.push_back(std::move(state.names[i].name));
+    block.body.at = block.at;
     state.names.clear();
-    state.open_blocks.push_back(std::move(made));
+    state.open_blocks.push_back(std::move(block));
   }
 };
 template <>
 struct Action<BlockEnd> {
   static void apply0(ParseState& state) {
-    auto made = std::move(state.open_blocks.back());
+    auto block = std::move(state.open_blocks.back());
     state.open_blocks.pop_back();
-    state.open_blocks.back().body.blocks.push_back(std::move(made));
+    state.open_blocks.back().body.blocks.push_back(std::move(block));
   }
 };
 
--- a/src/hcl/value.cpp
+++ b/src/hcl/value.cpp
@@ -6,11 +6,11 @@
 namespace bellstair::hcl {
 namespace {
 
-// By the index of the type in Value::is.
+// Indexed by the type of Value::content.
 constexpr std::array<const char*, 7> kKindNames{"null",   "true or false", "a whole number", "a number",
                                                 "a text", "a list",        "an object"};
 
-std::string text_of(const std::string& file, const std::vector<Problem>& problems) {
+std::string format_problems(const std::string& file, const std::vector<Problem>& problems) {
   std::string out;
   for (const auto& problem : problems) {
     if (!out.empty()) out += '\n';
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-const char* kind_of(const Value& value) { return kKindNames[value.is.index()]; }
+const char* kind_of(const Value& value) { return kKindNames[value.content.index()]; }
 
 Invalid::Invalid(const std::string& file, std::vector<Problem> found)
-    : std::runtime_error(text_of(file, found)), problems(std::move(found)) {}
+    : std::runtime_error(format_problems(file, found)), problems(std::move(found)) {}
 
 }  // namespace bellstair::hcl
--- a/src/hcl/value.hpp
+++ b/src/hcl/value.hpp
@@ -1,5 +1,5 @@
-// What a settings file in HCL holds, as plain values that know where they stand.
-// After the HCL native syntax specification (attributes, labelled blocks, lists, objects); no expressions.
+// The contents of an HCL file as plain values with their positions in the file. Follows the HCL native syntax
+// specification (attributes, labelled blocks, lists, objects) without expressions.
 #pragma once
 
 #include <cstddef>
@@ -17,10 +17,10 @@
 
 struct Problem {
   Position at;
-  std::string text;  // what was found, and what was expected
+  std::string text;  // the problem, and what was expected
 };
 
-// The text is one line a problem, each `file:line:column: what`.
+// The message has one line for each problem, in the form `file:line:column: problem`.
 struct Invalid : std::runtime_error {
   Invalid(const std::string& file, std::vector<Problem> found);
   std::vector<Problem> problems;
@@ -31,10 +31,10 @@
   Position at;
   std::variant<std::nullptr_t, bool, std::int64_t, double, std::string, std::vector<Value>,
                std::vector<Member>>
-      is;
+      content;
   template <class T>
   [[nodiscard]] const T* as() const {
-    return std::get_if<T>(&is);
+    return std::get_if<T>(&content);
   }
 };
 struct Member {  // of an object
