--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -80,7 +80,7 @@
   std::map<std::string, std::string> names_by_address;
   for (auto& block : in.blocks("node", 1)) {
     auto node = read_node(block.reader, block.labels[0], file);
-    if (!names.insert(node.name).second) block.reader.add_problem("", "stands a second time");
+    if (!names.insert(node.name).second) block.reader.add_problem("", "is defined more than once");
     const auto [other, is_new] = names_by_address.try_emplace(node.address, node.name);
     if (!is_new && !node.address.empty())
       block.reader.add_problem("address", node.address + " is that of node \"" + other->second + "\" too");
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -159,13 +159,13 @@
   std::set<std::string> seen;
   for (auto& section : top.blocks("class", 1)) {
     const auto& name = section.labels[0];
-    if (!seen.insert(name).second) section.reader.add_problem("", "stands a second time");
+    if (!seen.insert(name).second) section.reader.add_problem("", "is defined more than once");
     out.classes.push_back(parse_class(section.reader, name, classes));
   }
   seen.clear();
   for (auto& section : top.blocks("tenant", 1)) {
     const auto& name = section.labels[0];
-    if (!seen.insert(name).second) section.reader.add_problem("", "stands a second time");
+    if (!seen.insert(name).second) section.reader.add_problem("", "is defined more than once");
     if (!out.tenants) out.tenants.emplace();
     out.tenants->push_back(parse_tenant(section.reader, name));
   }
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -170,7 +170,7 @@
   for (auto& hook : top.blocks("hook", 1)) {
     auto spec = parse_hook(hook.reader, hook.labels[0], names, file);
     if (std::ranges::find(out.hooks, spec.name, &hooks::Spec::name) != out.hooks.end())
-      hook.reader.add_problem("", "stands a second time");
+      hook.reader.add_problem("", "is defined more than once");
     out.hooks.push_back(std::move(spec));
   }
   // The one script of older files.
