--- a/tests/net/extras_test.cpp
+++ b/tests/net/extras_test.cpp
@@ -1,4 +1,4 @@
-// Directories, with the real program.
+// Tests logins with users of an LDAP directory in the real program.
 #include <gtest/gtest.h>
 
 #include "directory/ldap_directory.hpp"
@@ -9,24 +9,26 @@
 namespace {
 using namespace std::string_literals;
 
-// ---- directories: RFC 4511, as much of it as a search and two binds need
+// ---- a directory server that supports the part of RFC 4511 needed for a search and two binds
 
-std::string tlv(int tag, const std::string& value) {
+std::string make_tlv(int tag, const std::string& value) {
   std::string out(1, static_cast<char>(tag));
   if (value.size() < 128) return out + static_cast<char>(value.size()) + value;
   return out + '\x82' + static_cast<char>(value.size() >> 8) + static_cast<char>(value.size()) + value;
 }
-// Takes one element off the front; its tag, if `tag` is given.
-std::string untlv(std::string& in, int* tag = nullptr) {
+// Removes one element from the front of `in` and returns its value. Sets `tag`, if given, to the element's
+// tag.
+std::string read_tlv(std::string& in, int* tag = nullptr) {
   if (tag != nullptr) *tag = static_cast<unsigned char>(in.at(0));
-  std::size_t size = static_cast<unsigned char>(in.at(1)), head = 2;
+  std::size_t size = static_cast<unsigned char>(in.at(1)), header_size = 2;
   if (size >= 128) {
     const auto bytes = size - 128;
-    for (size = 0; head < 2 + bytes; ++head) size = size << 8 | static_cast<unsigned char>(in.at(head));
+    for (size = 0; header_size < 2 + bytes; ++header_size)
+      size = size << 8 | static_cast<unsigned char>(in.at(header_size));
   }
-  if (in.size() < head + size) throw std::out_of_range("not whole yet");
-  auto out = in.substr(head, size);
-  in.erase(0, head + size);
+  if (in.size() < header_size + size) throw std::out_of_range("incomplete element");
+  auto out = in.substr(header_size, size);
+  in.erase(0, header_size + size);
   return out;
 }
 
@@ -34,7 +36,7 @@
  public:
   explicit LdapServer(bool silent = false)
       : server([this, silent](Socket& socket) { serve(socket, silent); }) {}
-  Log<std::string> asked;  // filters' values and names that bound
+  Log<std::string> requests;  // search values and bind names, in the order of arrival
 
  private:
   void serve(Socket& socket, bool silent) {
@@ -42,40 +44,43 @@
       try {
         while (!silent) answer(socket);
       } catch (const std::out_of_range&) {
-        // not whole yet
+        // the message is incomplete; more bytes are needed
       }
     }
   }
   void answer(Socket& socket) {
     auto rest = socket.in;
-    auto message = untlv(rest);
-    const auto id = untlv(message);
+    auto message = read_tlv(rest);
+    const auto id = read_tlv(message);
     int operation = 0;
-    auto what = untlv(message, &operation);
+    auto content = read_tlv(message, &operation);
     socket.in = rest;
-    const auto say = [&](int tag, const std::string& value) {
-      socket.send(tlv(0x30, tlv(0x02, id) + tlv(tag, value)));
+    const auto reply = [&](int tag, const std::string& value) {
+      socket.send(make_tlv(0x30, make_tlv(0x02, id) + make_tlv(tag, value)));
     };
     const auto result = [](int code) {
-      return tlv(0x0a, std::string(1, static_cast<char>(code))) + tlv(0x04, "") + tlv(0x04, "");
+      return make_tlv(0x0a, std::string(1, static_cast<char>(code))) + make_tlv(0x04, "") +
+             make_tlv(0x04, "");
     };
     if (operation == 0x60) {
-      untlv(what);  // version
-      const auto name = untlv(what), password = untlv(what);
-      asked.add("bind " + name);
+      read_tlv(content);  // version
+      const auto name = read_tlv(content), password = read_tlv(content);
+      requests.add("bind " + name);
       const bool known = (name == "cn=broker" && password == "secret") ||
                          (name == "uid=amina,o=schools" && password == "pass");
-      say(0x61, result(known ? 0 : 49));
+      reply(0x61, result(known ? 0 : 49));
     } else if (operation == 0x63) {
-      for (int i = 0; i < 6; ++i) untlv(what);  // base to typesOnly
-      auto filter = untlv(what);
-      untlv(filter);
-      const auto user = untlv(filter);
-      asked.add("search " + user);
-      const auto tenant =
-          tlv(0x30, tlv(0x30, tlv(0x04, "o") + tlv(0x31, tlv(0x04, user == "stray" ? "elsewhere" : "acme"))));
-      if (user == "amina" || user == "stray") say(0x64, tlv(0x04, "uid=" + user + ",o=schools") + tenant);
-      say(0x65, result(0));
+      for (int i = 0; i < 6; ++i) read_tlv(content);  // base to typesOnly
+      auto filter = read_tlv(content);
+      read_tlv(filter);
+      const auto user = read_tlv(filter);
+      requests.add("search " + user);
+      const auto tenant = make_tlv(
+          0x30, make_tlv(0x30, make_tlv(0x04, "o") +
+                                   make_tlv(0x31, make_tlv(0x04, user == "stray" ? "elsewhere" : "acme"))));
+      if (user == "amina" || user == "stray")
+        reply(0x64, make_tlv(0x04, "uid=" + user + ",o=schools") + tenant);
+      reply(0x65, result(0));
     }
   }
 
@@ -93,7 +98,7 @@
             {"timeout_ms", 500}}}};
 }
 
-TEST(Directory, UsersComeFromItWithTheirTenantsAndAreRemembered) {
+TEST(Directory, LooksUpUsersWithTheirTenantsAndCachesThem) {
   LdapServer ldap;
   HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, with_directory(ldap.server.address()));
@@ -103,17 +108,17 @@
     ASSERT_EQ(client.login[0], 0);
     EXPECT_EQ(client.query("SELECT 1").size(), 1U);
   }
-  EXPECT_EQ(ldap.asked.count([](const std::string& what) { return what == "search amina"; }), 1U);
-  // Unknown, a wrong password, none at all (which a directory would let pass), a tenant in no settings, a
-  // filter.
+  EXPECT_EQ(ldap.requests.count([](const std::string& what) { return what == "search amina"; }), 1U);
+  // An unknown user, a wrong password, an empty password (with which a directory accepts a bind), a tenant
+  // that is not in the settings, and a search pattern as the user's name.
   for (const auto& [user, password] :
        {std::pair{"nobody", "pass"}, {"amina", "wrong"}, {"amina", ""}, {"stray", "pass"}, {"*", "pass"}})
     EXPECT_EQ(mysql::read_error(MysqlClient(mysql, user, password).login).code, 1045) << user;
-  EXPECT_EQ(ldap.asked.count([](const std::string& what) { return what == "search *"; }),
-            1U);  // as a name, no pattern
+  EXPECT_EQ(ldap.requests.count([](const std::string& what) { return what == "search *"; }),
+            1U);  // as a name, not as a pattern
 }
 
-TEST(Directory, OneThatIsDeadOrSilentHoldsNobodyUp) {
+TEST(Directory, DeadOrSilentDirectoryDelaysNoOtherClient) {
   HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
   LdapServer silent(true), dead;
   dead.server.stop();
@@ -128,7 +133,7 @@
   }
 }
 
-TEST(Directory, NothingInAUsersNameChangesTheFilter) {
+TEST(Directory, EscapesFilterCharactersInUserNames) {
   EXPECT_EQ(directory::escape_filter("a*)(uid=\\"s + '\0' + "\xc3\xa9"), "a\\2a\\29\\28uid=\\5c\\00\\c3\\a9");
 }
 
--- a/tests/net/hooks_test.cpp
+++ b/tests/net/hooks_test.cpp
@@ -1,4 +1,4 @@
-// Hooks in the real program: both fronts, runaways, reloads and ends.
+// Tests hooks in the real program: both fronts, endless scripts, reloads, phases and the command line.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -7,8 +7,8 @@
 namespace bellstair::test {
 namespace {
 
-constexpr const char* kRunaway =
-    "function on_request(r) if string.contains(r.statement, 'wild') then while true do end end end";
+constexpr const char* kEndlessScript =
+    "function on_request(r) if string.contains(r.statement, 'endless') then while true do end end end";
 
 std::string ticket(int number) {
   char out[17];
@@ -16,16 +16,16 @@
   return out;
 }
 
-class Scripted {
+class ScriptedBroker {
  public:
-  explicit Scripted(const std::string& script, json more = json::object(), json hooks = json::object(),
-                    bool mysql = false)
+  explicit ScriptedBroker(const std::string& script, json more = json::object(), json hooks = json::object(),
+                          bool mysql = false)
       : file(temporary(script)),
         engine([](const Call&) { return rows("a\tb\tc\n"); }),
         broker({{"s-00000001", engine.server.address()}},
                settings(file, std::move(more), std::move(hooks), mysql)),
         client(broker.address) {}
-  ~Scripted() { ::unlink(file.c_str()); }
+  ~ScriptedBroker() { ::unlink(file.c_str()); }
   static json settings(const std::string& script, json more, json hooks, bool mysql) {
     more["script"] = script;
     json out{{"hook", {{"h", more}}}, {"hooks", hooks}};
@@ -34,11 +34,11 @@
                       {"user", {{"gateway", {{"password_env", "TEST_SECRET"}, {"tenant", "acme"}}}}}};
     return out;
   }
-  json ask(const std::string& statement) {
+  json query(const std::string& statement) {
     client.ask(++last_, "lookup", statement, {{"txn", ticket(1'000'000 + last_)}});
     return client.answer();
   }
-  void rewrite(const std::string& script) {
+  void reload_with(const std::string& script) {
     std::ofstream(file) << script;
     broker.program->signal(SIGHUP);
   }
@@ -53,16 +53,16 @@
   Client client;
 };
 
-TEST(Hooks, BothFrontsGetTheSameVerdicts) {
-  Scripted s(R"(function on_request(r)
+TEST(Hooks, BothFrontsGetTheSameDecisions) {
+  ScriptedBroker s(R"(function on_request(r)
     if r.tenant == "acme" and r.class == "lookup" and string.contains(r.statement, "sales_9.") then return {refuse = 120} end
     return {ram = 64, tags = {r.front}}
   end)",
-             {}, {}, true);
-  const auto error = s.ask("SELECT a FROM sales_9.x")["error"];
+                   {}, {}, true);
+  const auto error = s.query("SELECT a FROM sales_9.x")["error"];
   EXPECT_EQ(error["code"], -32066);
   EXPECT_EQ(error["data"]["later"], 120);
-  EXPECT_EQ(body(s.ask("SELECT a FROM sales_8.x")), "a\tb\tc\n");
+  EXPECT_EQ(body(s.query("SELECT a FROM sales_8.x")), "a\tb\tc\n");
   MysqlClient mysql(s.broker.program->listens("mysql.listen"));
   mysql.query("SELECT a FROM sales_9.x");
   EXPECT_EQ(mysql.error.code, 50001);
@@ -73,111 +73,115 @@
   s.broker.program->said("tagged: tags=mysql class=lookup tenant=acme end=served");
 }
 
-TEST(Hooks, AScriptThatFailsChangesNothingAndIsLogged) {
-  for (const auto& [script, said] :
+TEST(Hooks, FailedScriptIsLoggedAndTheRequestIsServed) {
+  for (const auto& [script, log_text] :
        {std::pair{"while true do end", "it took too long"},
         {"local t = {} while true do t[#t + 1] = r.statement .. #t end", "it took too much memory"},
         {"return {refuse = 'never'}", "'refuse' is no number in range"},
         {"return os.exit(1)", "attempt to index a nil value"}}) {
-    // The script behaves when it is tried, so that it is let in.
-    Scripted s(
+    // The script fails only on this statement, so that it passes the dry run on loading.
+    ScriptedBroker s(
         "function on_request(r) if r.statement ~= 'SELECT 2' then return end " + std::string(script) + " end",
         {{"time", "500ms"}, {"wait", "10s"}, {"instructions", 1000000000}});
-    EXPECT_EQ(body(s.ask("SELECT 2")), "a\tb\tc\n") << script;
-    s.broker.program->said(said);
+    EXPECT_EQ(body(s.query("SELECT 2")), "a\tb\tc\n") << script;
+    s.broker.program->said(log_text);
   }
 }
 
-TEST(Hooks, ARunawayIsCutOffTakenOutTriedAgainAndMendedByReload) {
-  Scripted s(kRunaway, {{"on_failure", "refuse"}, {"later", "30ms"}},
-             {{"breaker", {{"failures", 3}, {"pause", "20ms"}, {"most_pause", "40ms"}}}});
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(s.ask("wild")["error"]["data"]["later"], 30);
+TEST(Hooks, BreakerOpensRetriesAndAReloadReplacesTheScript) {
+  ScriptedBroker s(kEndlessScript, {{"on_failure", "refuse"}, {"later", "30ms"}},
+                   {{"breaker", {{"failures", 3}, {"pause", "20ms"}, {"most_pause", "40ms"}}}});
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(s.query("endless")["error"]["data"]["later"], 30);
   s.broker.program->said("hook h: it took too long");
   s.broker.program->said("hook h: circuit breaker open for 0.02 s");
-  EXPECT_EQ(s.ask("SELECT 1")["error"]["code"], -32066) << "while it is out, its failure's way is gone";
-  // It is tried again, and is back: nothing is wrong with tame statements.
-  for (json answer; !answer.contains("result");) answer = s.ask("SELECT 1");
+  EXPECT_EQ(s.query("SELECT 1")["error"]["code"], -32066) << "on_failure applies while the breaker is open";
+  // The trials succeed and the breaker closes, since the script ends on other statements.
+  for (json answer; !answer.contains("result");) answer = s.query("SELECT 1");
   s.broker.program->said("hook h: circuit breaker half-open");
-  while (s.ask("SELECT 1").contains("error")) {
+  while (s.query("SELECT 1").contains("error")) {
   }
-  s.rewrite("function on_request(r) return {tags = {'mended'}} end");
+  s.reload_with("function on_request(r) return {tags = {'fixed'}} end");
   s.broker.program->said("the configuration was read again; hooks: 1");
-  EXPECT_EQ(body(s.ask("wild")), "a\tb\tc\n");
-  s.broker.program->said("tags=mended");
+  EXPECT_EQ(body(s.query("endless")), "a\tb\tc\n");
+  s.broker.program->said("tags=fixed");
 }
 
-TEST(Hooks, ABadSetIsRefusedWholeAndTheOldOneGoesOn) {
-  Scripted s("function on_request(r) return {tags = {'first'}} end");
-  for (const auto& [script, said] :
+TEST(Hooks, InvalidScriptIsRejectedAndTheOldOneStaysActive) {
+  ScriptedBroker s("function on_request(r) return {tags = {'first'}} end");
+  for (const auto& [script, log_text] :
        {std::pair{"function on_request(", "hook \"h\": h:1:"},
         {"while true do end", "hook \"h\": it took too long to load"},
         {"function on_request(r) error('never') end", "hook \"h\": on_request: it failed"}}) {
-    s.rewrite(script);
-    s.broker.program->said("the configuration stays as it was: " + std::string(said));
-    EXPECT_EQ(body(s.ask("SELECT 1")), "a\tb\tc\n");
+    s.reload_with(script);
+    s.broker.program->said("the configuration stays as it was: " + std::string(log_text));
+    EXPECT_EQ(body(s.query("SELECT 1")), "a\tb\tc\n");
   }
   s.broker.program->said("tags=first");
 }
 
-TEST(Hooks, WhatAHookRemembersOutlivesAReload) {
+TEST(Hooks, StateOfAHookPersistsAcrossAReload) {
   const std::string count =
       "function on_request(r) return {tags = {'n' .. math.tointeger(state.incr('n', 60))}} end";
-  Scripted s(count);
-  s.ask("SELECT 1");
-  s.ask("SELECT 1");
+  ScriptedBroker s(count);
+  s.query("SELECT 1");
+  s.query("SELECT 1");
   s.broker.program->said("tags=n2");
-  s.rewrite(count + " -- again");
+  s.reload_with(count + " -- again");
   s.broker.program->said("the configuration was read again");
-  s.ask("SELECT 1");
+  s.query("SELECT 1");
   s.broker.program->said("tags=n3");
 }
 
-// A flood inside a runaway; beside it, what no hook is for passes untouched, and all get one answer.
-TEST(Hooks, AFloodInsideARunawayLeavesOthersAlone) {
-  Scripted s(kRunaway, {{"match", {{"statement_contains", "wild"}}}, {"wait", "5s"}, {"time", "20ms"}},
-             {{"breaker", {{"failures", 1000}}}, {"share", 0.1}});
-  Client flood(s.broker.address);
-  constexpr int kFlood = 60;
-  for (int i = 1; i <= kFlood; ++i) flood.ask(i, "lookup", "wild", {{"txn", ticket(i)}});
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(body(s.ask("SELECT 1")), "a\tb\tc\n");
+// A burst of requests for an endless hook must not delay requests that no hook matches. Each request of the
+// burst gets exactly one answer.
+TEST(Hooks, EndlessHookDoesNotDelayOtherRequests) {
+  ScriptedBroker s(kEndlessScript,
+                   {{"match", {{"statement_contains", "endless"}}}, {"wait", "5s"}, {"time", "20ms"}},
+                   {{"breaker", {{"failures", 1000}}}, {"share", 0.1}});
+  Client burst_client(s.broker.address);
+  constexpr int kBurst = 60;
+  for (int i = 1; i <= kBurst; ++i) burst_client.ask(i, "lookup", "endless", {{"txn", ticket(i)}});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(body(s.query("SELECT 1")), "a\tb\tc\n");
   std::set<int> answered;
-  for (int i = 0; i < kFlood; ++i) EXPECT_TRUE(answered.insert(flood.answer()["id"].get<int>()).second);
-  EXPECT_EQ(answered.size(), static_cast<std::size_t>(kFlood));
+  for (int i = 0; i < kBurst; ++i)
+    EXPECT_TRUE(answered.insert(burst_client.answer()["id"].get<int>()).second);
+  EXPECT_EQ(answered.size(), static_cast<std::size_t>(kBurst));
 }
 
-TEST(Hooks, AClientThatLeavesAndAStopAreHeededWhileARequestIsInside) {
-  Scripted s(kRunaway, {{"wait", "10s"}, {"time", "1s"}, {"instructions", 1000000000}}, {{"share", 0.01}});
+TEST(Hooks, HandlesClientDisconnectAndStopDuringAHookCall) {
+  ScriptedBroker s(kEndlessScript, {{"wait", "10s"}, {"time", "1s"}, {"instructions", 1000000000}},
+                   {{"share", 0.01}});
   {
-    Client leaver(s.broker.address);
-    leaver.ask(1, "lookup", "wild", {{"txn", ticket(1)}});
-    EXPECT_TRUE(leaver.green());
+    Client leaving_client(s.broker.address);
+    leaving_client.ask(1, "lookup", "endless", {{"txn", ticket(1)}});
+    EXPECT_TRUE(leaving_client.green());
   }
-  s.client.ask(77, "lookup", "wild", {{"txn", ticket(2)}});
+  s.client.ask(77, "lookup", "endless", {{"txn", ticket(2)}});
   s.broker.program->signal(SIGTERM);
   const auto answer = s.client.answer();
   EXPECT_EQ(answer["id"], 77);
-  EXPECT_EQ(answer["error"]["code"], -32066) << "it has never run";
+  EXPECT_EQ(answer["error"]["code"], -32066) << "the request has not been sent to an engine";
   EXPECT_EQ(s.broker.program->wait(), 0);
 }
 
-TEST(Hooks, TimersAndEndsAreTold) {
-  Scripted s(R"(
+TEST(Hooks, CallsThePhasesTimerAndAnswer) {
+  ScriptedBroker s(R"(
     function on_timer() log("timer") end
     function on_answer(a) log("end " .. a.kind .. " " .. a.class .. " " .. math.tointeger(a.attempts)) end)",
-             {{"phases", {"answer", "timer"}}, {"every", "10ms"}});
-  s.ask("SELECT 1");
+                   {{"phases", {"answer", "timer"}}, {"every", "10ms"}});
+  s.query("SELECT 1");
   s.broker.program->said("hook h logs: end served lookup 1");
   s.broker.program->said("hook h logs: timer");
 }
 
 // ---- the command line
 
-struct Tried {
+struct ProgramResult {
   int status = 0;
   std::string out;
 };
-Tried bellstair(const std::string& arguments) {
-  Tried out;
+ProgramResult run_program(const std::string& arguments) {
+  ProgramResult out;
   FILE* pipe = ::popen((std::string(BELLSTAIR_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   char buffer[4096];
   for (std::size_t got = 0; (got = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;)
@@ -186,33 +190,35 @@
   return out;
 }
 
-TEST(HookTool, TriesCasesAndTellsWhatTheyCost) {
-  const auto script = temporary(kRunaway);
+TEST(HookTool, RunsCasesAndReportsFailures) {
+  const auto script = temporary(kEndlessScript);
   const auto file =
       temporary("hook \"h\" {\n script = \"" + script + "\"\n match { tenant = \"lycee-ennour\" }\n}\n");
   const auto cases = temporary(
-      R"({"name": "tame", "request": {"tenant": "lycee-ennour"}, "expect": {"pass": "taken"}}
-{"name": "wild", "request": {"tenant": "lycee-ennour", "statement": "wild"}, "expect": {"pass": "taken"}}
+      R"({"name": "quick", "request": {"tenant": "lycee-ennour"}, "expect": {"pass": "taken"}}
+{"name": "endless", "request": {"tenant": "lycee-ennour", "statement": "endless"}, "expect": {"pass": "taken"}}
 {"name": "other", "request": {"tenant": "ecole-el-amal"}, "expect": {"pass": "untouched"}}
 )");
-  const auto tried = bellstair("hook run " + file + " --cases " + cases);
-  EXPECT_EQ(tried.status, 0) << tried.out;
-  EXPECT_NE(tried.out.find("it was cut off"), std::string::npos) << tried.out;
-  EXPECT_NE(tried.out.find("3 cases, 0 wrong"), std::string::npos);
-  const auto wrong = temporary(R"({"request": {"tenant": "lycee-ennour"}, "expect": {"pass": "refused"}})");
-  const auto failed = bellstair("hook run " + file + " --cases " + wrong);
-  EXPECT_EQ(failed.status, 1);
-  EXPECT_NE(failed.out.find("pass is \\\"taken\\\", not \\\"refused\\\""), std::string::npos) << failed.out;
-  EXPECT_EQ(bellstair("hook check " + file).status, 0);
+  const auto result = run_program("hook run " + file + " --cases " + cases);
+  EXPECT_EQ(result.status, 0) << result.out;
+  EXPECT_NE(result.out.find("it was cut off"), std::string::npos) << result.out;
+  EXPECT_NE(result.out.find("3 cases, 0 wrong"), std::string::npos);
+  const auto wrong_cases =
+      temporary(R"({"request": {"tenant": "lycee-ennour"}, "expect": {"pass": "refused"}})");
+  const auto failed_run = run_program("hook run " + file + " --cases " + wrong_cases);
+  EXPECT_EQ(failed_run.status, 1);
+  EXPECT_NE(failed_run.out.find("pass is \\\"taken\\\", not \\\"refused\\\""), std::string::npos)
+      << failed_run.out;
+  EXPECT_EQ(run_program("hook check " + file).status, 0);
   std::ofstream(script) << "function on_request(";
-  const auto checked = bellstair("hook check " + file);
-  EXPECT_EQ(checked.status, 1);
-  EXPECT_NE(checked.out.find("hook \"h\": h:1:"), std::string::npos) << checked.out;
-  for (const auto& path : {script, file, cases, wrong}) ::unlink(path.c_str());
+  const auto check_run = run_program("hook check " + file);
+  EXPECT_EQ(check_run.status, 1);
+  EXPECT_NE(check_run.out.find("hook \"h\": h:1:"), std::string::npos) << check_run.out;
+  for (const auto& path : {script, file, cases, wrong_cases}) ::unlink(path.c_str());
 }
 
-// Each fenced block of the operators' page whose first line names a file.
-TEST(HookTool, TheExamplesOfTheOperatorsPageDoWhatItSays) {
+// Writes each fenced block of the operators' page to the file that its first line names, and runs the cases.
+TEST(HookTool, ExamplesOfTheOperatorsPagePass) {
   std::string folder = "/tmp/bellstair-XXXXXX";
   ASSERT_NE(::mkdtemp(folder.data()), nullptr);
   std::ifstream page(BELLSTAIR_SOURCE "/docs/operators/hooks.md");
@@ -231,20 +237,20 @@
     }
   }
   ASSERT_EQ(files.size(), 6U);
-  const auto tried = bellstair("hook run " + folder + "/examples.hcl --cases " + folder + "/cases.jsonl");
-  EXPECT_EQ(tried.status, 0) << tried.out;
-  EXPECT_NE(tried.out.find("8 cases, 0 wrong"), std::string::npos) << tried.out;
+  const auto result = run_program("hook run " + folder + "/examples.hcl --cases " + folder + "/cases.jsonl");
+  EXPECT_EQ(result.status, 0) << result.out;
+  EXPECT_NE(result.out.find("8 cases, 0 wrong"), std::string::npos) << result.out;
   for (const auto& file : files) ::unlink((folder + "/" + file).c_str());
   ::rmdir(folder.c_str());
 }
 
-TEST(HookTool, MistakesOfTheFileNameTheirPlace) {
+TEST(HookTool, ReportsThePositionOfAnErrorInTheFile) {
   const auto file = temporary("hook \"h\" {\n  scirpt = \"x\"\n}\n");
-  const auto tried = bellstair("hook check " + file);
-  EXPECT_EQ(tried.status, 1);
-  EXPECT_NE(tried.out.find(file + ":2:3: hook \"h\": unknown attribute 'scirpt': did you mean 'script'?"),
+  const auto result = run_program("hook check " + file);
+  EXPECT_EQ(result.status, 1);
+  EXPECT_NE(result.out.find(file + ":2:3: hook \"h\": unknown attribute 'scirpt': did you mean 'script'?"),
             std::string::npos)
-      << tried.out;
+      << result.out;
   ::unlink(file.c_str());
 }
 
