--- a/src/hooks/hook_scheduler.cpp
+++ b/src/hooks/hook_scheduler.cpp
@@ -220,7 +220,7 @@
     case SliceResult::Outcome::failed:
       return fail(now, result.job, result.failure, result.text);
     case SliceResult::Outcome::done:
-      return complete(now, result.job, HookFailureKind::none, result.verdict);
+      return complete(now, result.job, HookFailureKind::none, result.decision);
     case SliceResult::Outcome::yielded:
       break;
   }
@@ -243,7 +243,7 @@
 }
 
 // Ends the call, whether it failed or not, and continues with the next hook of its request.
-void HookScheduler::complete(Time now, JobId id, HookFailureKind failure, const HookDecision& verdict) {
+void HookScheduler::complete(Time now, JobId id, HookFailureKind failure, const HookDecision& decision) {
   const auto& job = jobs_.at(id);
   const auto hook_id = job.hook;
   const auto owner = job.owner;
@@ -263,7 +263,7 @@
   if (phase == Phase::request) {
     auto& request = requests_.at(owner);
     if (failure == HookFailureKind::none) {
-      request.chain.apply(verdict, request.subject);
+      request.chain.apply(decision, request.subject);
     } else {
       request.chain.on_failure(hook.spec, failure);
     }
--- a/src/hooks/hook_scheduler.hpp
+++ b/src/hooks/hook_scheduler.hpp
@@ -131,7 +131,7 @@
   void call_next_hook(Time now, Owner owner);
   JobId enqueue(Time now, Hook& hook, Phase phase, Owner owner, RequestView subject, bool trial);
   void fail(Time now, JobId id, HookFailureKind failure, const std::string& text);
-  void complete(Time now, JobId id, HookFailureKind failure, const HookDecision& verdict);
+  void complete(Time now, JobId id, HookFailureKind failure, const HookDecision& decision);
   void remove(JobId id);
   void log_failure(Time now, Hook& hook, HookFailureKind failure, const std::string& text);
   void on_breaker_changed(Time now, Hook& hook);
--- a/src/hooks/machine.cpp
+++ b/src/hooks/machine.cpp
@@ -220,9 +220,9 @@
   if (phase != Phase::request || lua_gettop(call.thread) <= 1) return;
   if (lua_checkstack(call.thread, kDecisionStackSlots) == 0) return;
   lua_settop(call.thread, 2);  // the first result, above the argument that prepare_call() pushed
-  auto problem = read_decision(call.thread, request_handle_refs, result.verdict);
+  auto problem = read_decision(call.thread, request_handle_refs, result.decision);
   if (problem.empty()) return;
-  result.verdict = {};
+  result.decision = {};
   fail(result, HookFailureKind::invalid_decision, std::move(problem));
 }
 
--- a/src/hooks/spec.hpp
+++ b/src/hooks/spec.hpp
@@ -162,7 +162,7 @@
   enum class Outcome : std::uint8_t { yielded, done, failed } outcome = Outcome::done;
   HookFailureKind failure = HookFailureKind::none;
   std::string text;  // of the failure
-  HookDecision verdict;
+  HookDecision decision;
   Time cpu{};  // of this slice
   std::uint64_t instructions = 0;
   std::size_t memory = 0;              // bytes that the hook's machine has allocated
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -56,7 +56,7 @@
       ran.outcome = hooks::SliceResult::Outcome::yielded;
       if (const auto end = ends.find(run.job); end != ends.end()) {
         ran.outcome = hooks::SliceResult::Outcome::done;
-        ran.verdict = end->second;
+        ran.decision = end->second;
       }
       feed(HookRan{ran});
     }
--- a/tests/hooks_test.cpp
+++ b/tests/hooks_test.cpp
@@ -442,13 +442,13 @@
   ASSERT_EQ(s.problem, "");
   auto result = s.call();
   ASSERT_EQ(result.outcome, SliceResult::Outcome::done) << result.text;
-  EXPECT_EQ(result.verdict.cpu, 12500us);
-  EXPECT_EQ(result.verdict.ram, 1.0);
-  EXPECT_EQ(result.verdict.second, true);
-  EXPECT_EQ(result.verdict.tags, (std::vector<std::string>{"lookup", "lycee-ennour", "platform", "old"}));
+  EXPECT_EQ(result.decision.cpu, 12500us);
+  EXPECT_EQ(result.decision.ram, 1.0);
+  EXPECT_EQ(result.decision.second, true);
+  EXPECT_EQ(result.decision.tags, (std::vector<std::string>{"lookup", "lycee-ennour", "platform", "old"}));
   EXPECT_EQ(result.log_lines, std::vector<std::string>{"call 1"});
-  EXPECT_EQ(s.call("SELECT 1 FROM archive_9.x").verdict.refuse, 500ms);
-  EXPECT_EQ(s.call().verdict.ram, 3.0);
+  EXPECT_EQ(s.call("SELECT 1 FROM archive_9.x").decision.refuse, 500ms);
+  EXPECT_EQ(s.call().decision.ram, 3.0);
 }
 
 // An endless script would block the event loop. Each of these calls must end, fail or yield within a slice.
@@ -534,7 +534,7 @@
                            "getmetatable", "string.find", "string.gsub", "string.dump"}) {
     ScriptedMachine s("function on_request(r) if " + std::string(name) +
                       " == nil then return {ram = 7} end end");
-    EXPECT_EQ(s.call().verdict.ram, 7.0) << name;
+    EXPECT_EQ(s.call().decision.ram, 7.0) << name;
   }
 }
 
@@ -575,7 +575,7 @@
     for i = 1, 20000 do local t = {i} end
   end)");
   EXPECT_EQ(s.call("SELECT 1", 1000).outcome, SliceResult::Outcome::done);
-  EXPECT_EQ(s.call().verdict.tags, std::vector<std::string>{"over"});
+  EXPECT_EQ(s.call().decision.tags, std::vector<std::string>{"over"});
   ScriptedMachine releases("function on_request(r) r = nil for i = 1, 20000 do local t = {i} end end");
   EXPECT_EQ(releases.call("SELECT 1", 1000).outcome, SliceResult::Outcome::done);
   ScriptedMachine misspelt("function on_request(r) return r.tenat end");
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -577,7 +577,7 @@
   ran.job = r.all<RunHook>()[0].job;
   ran.hook = 1;
   ran.outcome = hooks::SliceResult::Outcome::done;
-  ran.verdict.tags = {"seen"};
+  ran.decision.tags = {"seen"};
   r.at(0ms, HookRan{ran});
   r.at(10ms, EndpointUpdate{false, {test::member(7)}, true});
   r.finish(out, AttemptEnd::served);
@@ -686,7 +686,7 @@
     run.subject.tenant = 1;
     run.subject.statement = std::make_shared<const std::string>("x");
     const auto ran = machine->run(run);
-    return ran.verdict.tags.empty() ? ran.text : ran.verdict.tags[0];
+    return ran.decision.tags.empty() ? ran.text : ran.decision.tags[0];
   };
   EXPECT_EQ(tag(1), "nobody");
   machine->set_names(
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -335,9 +335,9 @@
       ran.text = "failed";
     }
     if (ran.outcome == hooks::SliceResult::Outcome::done && run.phase == hooks::Phase::request) {
-      if (random_.chance(0.05)) ran.verdict.refuse = 200ms;
-      if (random_.chance(0.3)) ran.verdict.tags = {"seen"};
-      if (random_.chance(0.3)) ran.verdict.cpu = 50ms;
+      if (random_.chance(0.05)) ran.decision.refuse = 200ms;
+      if (random_.chance(0.3)) ran.decision.tags = {"seen"};
+      if (random_.chance(0.3)) ran.decision.cpu = 50ms;
     }
     // The machine answers before anything else of a hook, but after this step's effects.
     due_.emplace(now_, HookRan{ran});
