--- a/src/hooks/decision_reader.cpp
+++ b/src/hooks/decision_reader.cpp
@@ -10,8 +10,8 @@
 constexpr double kNanosecondsPerMillisecond = 1e6;
 
 bool is_tag(std::string_view text) {
-  const auto plain = [](unsigned char c) { return c > 0x20 && c < 0x7f && c != ','; };
-  return !text.empty() && text.size() <= kMaxTagBytes && std::ranges::all_of(text, plain);
+  const auto is_printable = [](unsigned char c) { return c > 0x20 && c < 0x7f && c != ','; };
+  return !text.empty() && text.size() <= kMaxTagBytes && std::ranges::all_of(text, is_printable);
 }
 
 class DecisionReader {
@@ -39,10 +39,10 @@
     std::optional<double> value;
     if (lua_type(lua_, -1) == LUA_TNUMBER) value = lua_tonumber(lua_, -1);
     if (field == Field::second && lua_isboolean(lua_, -1)) value = lua_toboolean(lua_, -1);
-    const bool given = !lua_isnil(lua_, -1);
+    const bool is_set = !lua_isnil(lua_, -1);
     lua_pop(lua_, 1);
     const bool in_range = value && *value >= 0 && *value <= kMaxNumber;
-    if (!given || in_range) return value;
+    if (!is_set || in_range) return value;
     problem_ = std::string("'") + kFieldNames[static_cast<std::size_t>(field)] + "' is no number in range";
     return std::nullopt;
   }
--- a/src/hooks/lua_allocator.cpp
+++ b/src/hooks/lua_allocator.cpp
@@ -11,9 +11,9 @@
 
 }  // namespace
 
-bool LuaAllocator::admits(std::size_t held, std::size_t new_size) {
-  if (new_size <= held) return true;
-  const auto growth = new_size - held;
+bool LuaAllocator::may_resize(std::size_t old_bytes, std::size_t new_size) {
+  if (new_size <= old_bytes) return true;
+  const auto growth = new_size - old_bytes;
   if (new_size > kMaxBlockBytes || used_ + growth > limit_) {
     slice_timer_.check_soon();
     return false;
@@ -24,16 +24,16 @@
 
 void* LuaAllocator::reallocate(void* context, void* block, std::size_t old_size, std::size_t new_size) {
   auto& self = *static_cast<LuaAllocator*>(context);
-  const auto held = block == nullptr ? 0 : old_size;  // for new blocks Lua passes a type as the old size
+  const auto old_bytes = block == nullptr ? 0 : old_size;  // for new blocks Lua passes a type as the old size
   if (new_size == 0) {
-    self.used_ -= held;
+    self.used_ -= old_bytes;
     std::free(block);
     return nullptr;
   }
-  if (!self.admits(held, new_size)) return nullptr;
+  if (!self.may_resize(old_bytes, new_size)) return nullptr;
   void* moved = std::realloc(block, new_size);
   if (moved == nullptr) return nullptr;
-  self.used_ = self.used_ - held + new_size;
+  self.used_ = self.used_ - old_bytes + new_size;
   self.peak_ = std::max(self.peak_, self.used_);
   return moved;
 }
--- a/src/hooks/lua_allocator.hpp
+++ b/src/hooks/lua_allocator.hpp
@@ -23,7 +23,7 @@
   void reset_peak() { peak_ = used_; }
 
  private:
-  [[nodiscard]] bool admits(std::size_t held, std::size_t new_size);
+  [[nodiscard]] bool may_resize(std::size_t old_bytes, std::size_t new_size);
 
   std::size_t limit_, used_ = 0, peak_ = 0;
   SliceTimer& slice_timer_;
