--- a/src/app/broker_configuration.cpp
+++ b/src/app/broker_configuration.cpp
@@ -58,7 +58,7 @@
 // Loads and tries scripts on a worker thread. The thread works on copies, since a version of the settings may
 // become active meanwhile.
 void Broker::run(const core::ReadConfiguration&) {
-  ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.words()};
+  ReloadSource source{file_, fronts_file_, &config_, &fronts_, config_.names, runner_.names()};
   // The platform's own tenants keep their positions, even while a version does not name them.
   source.names.tenants.insert(platform_overlay_.names.tenants.begin(), platform_overlay_.names.tenants.end());
   const net::Worker::Work work = [this, source = std::move(source), applied_before = versions_applied_] {
@@ -71,7 +71,7 @@
   runner_.run_in_background(work);
 }
 
-void Broker::on_configuration_read(core::ConfigurationRead read, hooks::Loaded& loaded,
+void Broker::on_configuration_read(core::ConfigurationRead read, hooks::LoadResult& loaded,
                                    std::uint64_t versions_applied_before) {
   // Reads the files again if a version was applied meanwhile: the position of a tenant that a hook names may
   // now belong to another tenant.
--- a/src/app/configuration_reload.hpp
+++ b/src/app/configuration_reload.hpp
@@ -25,7 +25,7 @@
 
 struct ReloadedConfiguration {
   core::ConfigurationRead read;  // if its `problem` is set, the rest must not be used
-  hooks::Loaded hooks;
+  hooks::LoadResult hooks;
 };
 
 // Validates as strictly as at the start. Reports invalid files in `read.problem` and does not throw.
--- a/src/app/hook_case_runner.hpp
+++ b/src/app/hook_case_runner.hpp
@@ -18,7 +18,7 @@
 // by the "after" of each case and, when the budget of CPU time is used up, until more is available.
 class HookCaseRunner {
  public:
-  HookCaseRunner(hooks::Loaded loaded, hooks::SettingNames names);
+  HookCaseRunner(hooks::LoadResult loaded, hooks::SettingNames names);
 
   // Returns the outcome, with all calls under "calls". Throws std::runtime_error or a JSON error if the case
   // is invalid.
--- a/tests/control_config_test.cpp
+++ b/tests/control_config_test.cpp
@@ -74,7 +74,7 @@
       {replacing("\"report\"]", "\"\"]"), "f:6:13: control.classes: '' is empty"},
       {replacing("\"north\"", "\"" + long_name + "\""), "f:7:13: control.region: is longer than 128 bytes"},
       {replacing("/last-version", "/"), "f:8:13: control.last: is not the path of a file"},
-      {replacing("node \"c2\"", "node \"c1\""), "f:14:3: control.node \"c1\": is defined twice"},
+      {replacing("node \"c2\"", "node \"c1\""), "f:14:3: control.node \"c1\": is defined more than once"},
       {replacing("node \"c2\"", "node \"" + long_name + "\""),
        "f:14:3: control.node \"" + long_name + "\": its name is longer than 128 bytes"},
       {replacing("node \"c2\"", "node \"\""), "f:14:3: control.node \"\": its name is empty"},
@@ -93,7 +93,7 @@
       {replacing("region  = \"north\"\n  last", "regoin  = \"north\"\n  last"),
        "f:7:3: control: unknown attribute 'regoin': did you mean 'region'?"},
       {replacing("control {", "kontrol {"), "f:1:1: control: the block is missing"},
-      {kValidConfig + "control {}\n", "f:16:1: control: stands a second time"},
+      {kValidConfig + "control {}\n", "f:16:1: control: is defined more than once"},
       {"control {\n  fleet = \"x\"\n  epoch = 1\n  writer = \"c1\"\n}\n", "f:1:1: control: defines no node"},
       {replacing("epoch   = 3", "epoch   = "), "f:4:"},
   };
--- a/tests/hooked_core_test.cpp
+++ b/tests/hooked_core_test.cpp
@@ -56,7 +56,7 @@
       ran.outcome = hooks::SliceResult::Outcome::yielded;
       if (const auto end = decisions.find(run.job); end != decisions.end()) {
         ran.outcome = hooks::SliceResult::Outcome::done;
-        ran.verdict = end->second;
+        ran.decision = end->second;
       }
       reduce(HookRan{ran});
     }
--- a/tests/reconfigure_test.cpp
+++ b/tests/reconfigure_test.cpp
@@ -586,7 +586,7 @@
   result.job = r.all<RunHook>()[0].job;
   result.hook = 1;
   result.outcome = hooks::SliceResult::Outcome::done;
-  result.verdict.tags = {"seen"};
+  result.decision.tags = {"seen"};
   r.reduce(0ms, HookRan{result});
   r.reduce(10ms, EndpointUpdate{false, {test::endpoint_record(7)}, true});
   r.end_attempt(in_flight, AttemptEnd::served);
@@ -697,7 +697,7 @@
     run.subject.tenant = 1;
     run.subject.statement = std::make_shared<const std::string>("x");
     const auto result = machine->run(run);
-    return result.verdict.tags.empty() ? result.text : result.verdict.tags[0];
+    return result.decision.tags.empty() ? result.text : result.decision.tags[0];
   };
   EXPECT_EQ(tag(1), "nobody");
   machine->set_names(
--- a/tests/replay/reducer_replay_test.cpp
+++ b/tests/replay/reducer_replay_test.cpp
@@ -341,9 +341,9 @@
       result.text = "failed";
     }
     if (result.outcome == hooks::SliceResult::Outcome::done && run.phase == hooks::Phase::request) {
-      if (random_.chance(0.05)) result.verdict.refuse = 200ms;
-      if (random_.chance(0.3)) result.verdict.tags = {"seen"};
-      if (random_.chance(0.3)) result.verdict.cpu = 50ms;
+      if (random_.chance(0.05)) result.decision.refuse = 200ms;
+      if (random_.chance(0.3)) result.decision.tags = {"seen"};
+      if (random_.chance(0.3)) result.decision.cpu = 50ms;
     }
     // The machine's result comes before any other event of a hook, but after the effects of this step.
     due_.emplace(now_, HookRan{result});
