--- a/benchmarks/scale/hollow_slopes.cpp
+++ b/benchmarks/scale/hollow_slopes.cpp
@@ -58,7 +58,7 @@
   const auto costs = fleet.costs;
   const auto now = fleet.measured();
   const auto after = heap();
-  fleet.change(fleet.integer());
+  fleet.change(fleet.whole());
   list_whole = fleet.costs.list - costs.list;
 
   const double seconds = std::chrono::duration<double>(span).count() * measured;
