--- a/benchmarks/hooks_isolation.cpp
+++ b/benchmarks/hooks_isolation.cpp
@@ -46,9 +46,9 @@
   health.join();
   if (!hooks.empty()) {
     broker.program->signal(SIGTERM);
-    const auto line = broker.program->wait_for_log("loop: longest turn ");
-    std::sscanf(line.c_str() + line.find("longest turn "), "longest turn %lf ms, most of hooks in one %lf",
-                &out.turn, &out.hooks);
+    const auto line = broker.program->wait_for_log("loop: longest iteration ");
+    std::sscanf(line.c_str() + line.find("longest iteration "),
+                "longest iteration %lf ms, longest time in hooks per iteration %lf", &out.turn, &out.hooks);
   }
   std::ranges::sort(took);
   out.p50 = at(took, 0.5);
