--- a/src/app/socket_limits.hpp
+++ b/src/app/socket_limits.hpp
@@ -9,7 +9,7 @@
 inline constexpr std::size_t kReservedDescriptors = 48;
 inline constexpr std::size_t kMinEngineConnections = 8;
 
-// The protocol (PROTOCOL) allows clients at most a third of the descriptors; a few more may connect before
+// The platform's protocol allows clients at most a third of the descriptors; a few more may connect before
 // others have disconnected.
 inline constexpr std::size_t kClientConnectionsAboveThird = 16;
 
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -62,7 +62,8 @@
                               const std::function<bool(std::uint32_t slot)>& is_referenced);
 
 // `file`: the name of the document in errors. `classes`: the names that a class may have. Rejects settings
-// that cannot change in a running broker (listeners, names, threads, hooks, ...) with an error that says so.
+// that cannot change in a running broker (listeners, names, threads, hooks, ...) with an error that names the
+// restart or reload that they need.
 // Throws hcl::Invalid with all errors.
 [[nodiscard]] Document parse_document(std::string_view text, const std::string& file,
                                       const std::vector<std::string>& classes);
--- a/src/link/channel.hpp
+++ b/src/link/channel.hpp
@@ -40,7 +40,8 @@
     std::function<void()> on_drained;                          // queued bytes have been written completely
   };
 
-  // The channel must outlive the handler that is running: the owner frees it in a later turn of the loop.
+  // The channel must outlive the handler that is running: the owner frees it in a later iteration of
+  // the event loop.
   Channel(ev::loop_ref loop, net::Fd fd, bool dialling, Limits limits);
 
   void handle(Handlers handlers);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -37,7 +37,7 @@
     for (std::size_t offset = 0; offset < line.size();) {
       const auto count = ::write(STDERR_FILENO, line.data() + offset, line.size() - offset);
       if (count < 0 && errno == EINTR) continue;
-      if (count < 0) break;  // standard error cannot be written any more
+      if (count < 0) break;  // standard error can no longer be written
       offset += static_cast<std::size_t>(count);
     }
     ++written_;
--- a/src/net/io_watch.hpp
+++ b/src/net/io_watch.hpp
@@ -1,7 +1,7 @@
 // Watches a descriptor on the event loop and resumes watching after a shortage of memory.
 //
 // The kernel may fail to add a descriptor to the loop's set (epoll_ctl: ENOMEM, ENOSPC). libev then stops the
-// watcher permanently and reports ev::ERROR once, and no event of the descriptor would be reported any more.
+// watcher permanently and reports ev::ERROR once; it reports no further events of the descriptor.
 // After calls that fail for lack of memory, a level-triggered loop would spin. In both cases the descriptor
 // is not watched for a short pause, and is then watched again.
 #pragma once
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -38,7 +38,7 @@
 
  private:
   void on_io(int events);
-  [[nodiscard]] bool accept_one();        // false: accept no more in this iteration of the loop
+  [[nodiscard]] bool accept_one();        // false: on_io() must stop accepting
   [[nodiscard]] bool accept_and_close();  // with the reserve; false: not possible now
   void open_reserve_fd();
 
--- a/src/platform/change_log_client.cpp
+++ b/src/platform/change_log_client.cpp
@@ -10,8 +10,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Backoff between retries. A change that a broken call would have reported counts as known to the broker 2 s
-// later (PROTOCOL, "Figures"); the longest backoff and a connect together take well below that.
+// Backoff between retries. By the platform's protocol, a change that a broken call would have reported counts
+// as known to the broker 2 s later; the longest backoff and a connect together take well below that.
 constexpr core::Time kMinBackoff = 100ms;
 constexpr core::Time kMaxBackoff = 800ms;
 constexpr core::Time kConnectTimeout = 250ms;
--- a/src/platform/http_engine_client.cpp
+++ b/src/platform/http_engine_client.cpp
@@ -26,8 +26,8 @@
 constexpr core::Time kReuseDelay = 50ms;
 constexpr int kMaxReconnects = 2;
 constexpr int kHealthCheckRetries = 1;  // if the connection broke
-// An engine stops a query 2 s after the last poll (PROTOCOL), whose answer it may delay by up to 250 ms; the
-// protocol's tolerance for time limits adds 50 ms.
+// By the platform's protocol, an engine stops a query 2 s after the last poll, whose answer it may delay by
+// up to 250 ms; the protocol's tolerance for time limits adds 50 ms.
 constexpr core::Time kUnpolledQueryLifetime = 2000ms + 250ms + 50ms;
 
 net::ConnectionPool::Limits with_reuse_delay(net::ConnectionPool::Limits limits) {
--- a/src/policy/thread_budget_controller.hpp
+++ b/src/policy/thread_budget_controller.hpp
@@ -10,8 +10,9 @@
 
 namespace bellstair::policy {
 
-/// A PI controller for each class (PAPER, section III.D, equation 1). It raises a class's thread budget while
-/// its queries wait longer than their objective. The pool is divided in order of rank.
+/// A PI controller for each class (Lu et al., "Feedback Control Architecture and Design Methodology for
+/// Service Delay Guarantees in Web Servers", section III.D, equation 1). It raises a class's thread budget
+/// while its queries wait longer than their objective. The pool is divided in order of rank.
 class ThreadBudgetController {
  public:
   ThreadBudgetController(const Context& context, const Fleet& fleet, const ClassTable& classes,
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -297,7 +297,7 @@
   harness.set_endpoints({engine(7), engine(8)});
   harness.complete_attempt(2, 0, 7, AttemptResult::rejected);
   EXPECT_EQ(harness.cancelled, (std::vector<std::pair<RequestId, AttemptIndex>>{{1, 0}}));
-  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 8) << "only the other engine counts";
+  EXPECT_DOUBLE_EQ(harness.scheduler.thread_pool(), 8) << "only engine 8 counts";
 }
 
 // Queries whose answers were lost counted as running until their deadlines. The load level rose at all
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -308,8 +308,7 @@
 }
 
 // Loads were sent to engines that ran another load of their group. They waited for its lock longer than they
-// ran themselves, and their threads overloaded the fleet: in the Lakeshore churn scenario, a tenth of all
-// loads was rejected.
+// ran themselves, and their threads overloaded the fleet: a tenth of all loads was rejected.
 TEST(EndpointSelector, LoadWaitsForEngineWithoutLockOfItsGroup) {
   Settings s = basic_settings();
   s.classes[1].locks_data_group = true;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -66,7 +66,7 @@
   std::vector<std::unique_ptr<SchedulerHarness>> all;
 };
 
-// In Laval's calm day scenario, three in ten queries waited for memory at their engines and were counted as
+// On a calm day, three in ten queries waited for memory at their engines and were counted as
 // running. The fleet seemed overloaded, and 13% of all requests were rejected as too big while cores were
 // idle.
 TEST(Fleet, QueriesWaitingForMemoryDoNotRaiseLoadLevel) {
--- a/tests/guard_test.cpp
+++ b/tests/guard_test.cpp
@@ -69,7 +69,7 @@
   cls.deduplication_scope = DeduplicationScope::zone;
   engine.zone = 1;
   EXPECT_EQ(decide_after_attempt(), GuardDecision::retry_forbidden)
-      << "the other zone does not deduplicate it";
+      << "another zone does not deduplicate the retry";
   cls.deduplication_scope = DeduplicationScope::cell;
   EXPECT_EQ(decide_after_attempt(), GuardDecision::allowed) << "the same cell";
   engine.cell = 1;
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -301,7 +301,7 @@
 }
 
 // The endpoint list may report an engine as terminated before it stops, so that a query there may still end.
-TEST(EndpointRemoval, AnswersRunningQueryAndSendsNoMore) {
+TEST(EndpointRemoval, AnswersRunningQueryAndSendsNextToOtherEngine) {
   BrokerWithRunningQuery setup;
   HttpEngine other([](const Call&) { return rows("2\t2\t2\n"); });
   setup.broker.changes.push({server("s-00000001", setup.engine.server.address(), "terminated"),
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -10,8 +10,9 @@
 namespace {
 using core::AttemptEnd;
 
-// The longest time that a query runs on after its last call has reached its engine (PROTOCOL: 2 s, 250 ms for
-// which a call is held, 50 ms), and the longest time that a call may take to reach it.
+// The longest time that a query runs on after its last call has reached its engine (by the platform's
+// protocol: 2 s, 250 ms for which a call is held, 50 ms), and the longest time that a call may take to reach
+// it.
 constexpr auto kUnpolledQueryLifetime = 2300ms, kConnectTimeout = 1000ms;
 
 class DriverHarness {
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -171,7 +171,7 @@
   for (int i = 0; i < 50; ++i) tool.publish(tenant("many" + std::to_string(i)));
   fleet.broker(2).signal(SIGCONT);
   fleet.await_active({1, 51});
-  // The versions between may be skipped; Fleet::check() checks that none is applied twice or out of order.
+  // Intermediate versions may be skipped; Fleet::check() checks that none is applied twice or out of order.
   EXPECT_EQ(fleet.ask(2, "many49"), "");
 }
 
