--- a/src/hcl/grammar.hpp
+++ b/src/hcl/grammar.hpp
@@ -14,7 +14,7 @@
     : peg::seq<peg::sor<peg::one<'#'>, peg::string<'/', '/'>>, peg::until<peg::at<peg::eolf>>> {};
 struct CommentEnd : peg::until<peg::string<'*', '/'>> {};
 struct BlockComment : peg::if_must<peg::string<'/', '*'>, CommentEnd> {};
-struct InlineSpace : peg::star<peg::sor<peg::blank, BlockComment>> {};  // within a line
+struct InlineSpace : peg::star<peg::sor<peg::blank, BlockComment>> {};  // no line ends, except in comments
 struct Space : peg::star<peg::sor<peg::blank, peg::eol, LineComment, BlockComment>> {};
 
 struct WordEnd : peg::not_at<peg::sor<peg::alnum, peg::one<'_', '-'>>> {};
--- a/src/hcl/heredoc.cpp
+++ b/src/hcl/heredoc.cpp
@@ -8,7 +8,7 @@
 namespace bellstair::hcl {
 namespace {
 
-// Returns the position of text[offset] in the file.
+// Returns the position in the file of the character before text[offset].
 Position position_in(const std::string& text, std::size_t offset, Position delimiter_at) {
   const auto end = text.begin() + static_cast<std::ptrdiff_t>(offset);
   auto at = delimiter_at;
--- a/src/hcl/reader.cpp
+++ b/src/hcl/reader.cpp
@@ -199,7 +199,7 @@
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
   return check_range<Time>(name, text == nullptr ? std::nullopt : parse_duration(*text), fallback, range,
-                           R"(expected a duration, as "2ms" or "1m30s")", format_duration);
+                           R"(expected a duration, such as "2ms" or "1m30s")", format_duration);
 }
 
 std::uint64_t Reader::size(const std::string& name, std::uint64_t fallback, Sizes range, const char* old_name,
@@ -211,7 +211,7 @@
   if (value == nullptr) return fallback;
   const auto* text = value->as<std::string>();
   return check_range<std::uint64_t>(name, text == nullptr ? std::nullopt : parse_size(*text), fallback, range,
-                                    R"(expected a size, as "64KB" or "1MB")", format_size);
+                                    R"(expected a size, such as "64KB" or "1MB")", format_size);
 }
 
 std::vector<std::string> Reader::texts(const std::string& name) {
--- a/src/hcl/reader.hpp
+++ b/src/hcl/reader.hpp
@@ -45,8 +45,9 @@
       : body_(&body), description_(std::move(description)), problems_(&problems) {}
 
   [[nodiscard]] bool has(const std::string& name);
-  // Each returns the value of an attribute. A missing or null attribute gives `fallback`, or is an error if
-  // there is none. An invalid value is added to the problems and gives `fallback` or an empty value.
+  // Each returns the value of an attribute. A missing or null attribute gives `fallback`; without a
+  // fallback it is an error. An invalid value is added to the problems and gives `fallback` or an empty
+  // value.
   std::string text(const std::string& name, const std::optional<std::string>& fallback = std::nullopt);
   bool flag(const std::string& name, bool fallback);
   std::int64_t integer(const std::string& name, std::int64_t fallback, Range<std::int64_t> range);
--- a/src/hooks/breaker.hpp
+++ b/src/hooks/breaker.hpp
@@ -20,7 +20,9 @@
   bool on_success(Time now);
   bool on_failure(Time now);
   void abandon_trial() { trial_pending_ = false; }  // the trial ended without an outcome
-  void on_machine_renewed(bool loads, Time now);    // the renewal requested when the breaker opened
+  // Ends the renewal that is requested when the breaker opens. `loads`: whether the new machine could load
+  // the script.
+  void on_machine_renewed(bool loads, Time now);
 
   [[nodiscard]] State state() const { return state_; }
   [[nodiscard]] Time open_until() const { return open_until_; }  // time of the earliest trial
--- a/src/hooks/budget.hpp
+++ b/src/hooks/budget.hpp
@@ -45,7 +45,7 @@
   void remove(HookId hook) { attained_.erase(hook); }
 
  private:
-  static constexpr Time kMaxTurnDuration = std::chrono::milliseconds(1);  // a new turn is assumed after it
+  static constexpr Time kMaxTurnDuration = std::chrono::milliseconds(1);  // then a new turn begins
   [[nodiscard]] Time tokens(Time now) const;
 
   Limits limits_;
--- a/src/hooks/chain.hpp
+++ b/src/hooks/chain.hpp
@@ -43,8 +43,8 @@
   std::vector<HookFailure> failures_;
 };
 
-// Returns whether the hook is to be called for the request. `statement` is the part that hooks see; the
-// subject need not contain it yet.
+// Returns whether the hook is to be called for the request. `statement` is the part of the statement that
+// hooks see; the subject need not contain it yet.
 [[nodiscard]] bool matches(const Match& match, const RequestView& subject, std::string_view statement);
 // Returns whether the text contains the part. The time is linear in the text for all inputs, unlike that of
 // std::string::find.
--- a/src/hooks/decision_reader.cpp
+++ b/src/hooks/decision_reader.cpp
@@ -43,7 +43,8 @@
     lua_pop(lua_, 1);
     const bool in_range = value && *value >= 0 && *value <= kMaxNumber;
     if (!is_set || in_range) return value;
-    problem_ = std::string("'") + kFieldNames[static_cast<std::size_t>(field)] + "' is no number in range";
+    problem_ =
+        std::string("'") + kFieldNames[static_cast<std::size_t>(field)] + "' is not a number from 0 to 1e9";
     return std::nullopt;
   }
 
--- a/src/hooks/hook_scheduler.cpp
+++ b/src/hooks/hook_scheduler.cpp
@@ -46,7 +46,8 @@
     const auto& previous = hooks_.at(old);
     if (previous.spec.name != hook.spec.name) continue;
     hook.counts = previous.counts;
-    // An open breaker stays open unless the script has changed; the new hook has a new machine.
+    // An open breaker stays open unless the script has changed. The renewal that it waits for is complete,
+    // because the new hook has a new machine.
     if (previous.spec.digest != hook.spec.digest) continue;
     hook.breaker = previous.breaker;
     hook.breaker.abandon_trial();
@@ -151,7 +152,7 @@
   const auto& job = found->second;
   auto& hook = hooks_.at(job.hook);
   auto& list = job.started ? hook.started : hook.waiting;
-  // In most cases the call is the first or the last one.
+  // A call that has just run is in neither list. Other calls are mostly at the front of theirs.
   if (!list.empty() && list.front() == id) {
     list.pop_front();
   } else {
@@ -282,7 +283,8 @@
   auto line = "hook " + hook.spec.name + ": " + name(failure);
   if (!text.empty()) line += ": " + text;
   if (hook.suppressed_lines > 0)
-    line += " (" + std::to_string(std::exchange(hook.suppressed_lines, 0)) + " more failures before)";
+    line +=
+        " (" + std::to_string(std::exchange(hook.suppressed_lines, 0)) + " earlier failures were not logged)";
   log_lines.push_back(std::move(line));
 }
 
--- a/src/hooks/hook_scheduler.hpp
+++ b/src/hooks/hook_scheduler.hpp
@@ -65,15 +65,17 @@
   // matches it.
   bool submit(Time now, Owner owner, RequestView subject, std::string_view statement);
   void cancel(Owner owner);  // the request has been answered before its hooks ended
-  void notify_answer(Time now, const RequestView& end, std::string_view statement);  // phase answer
+  // Queues the calls of phase answer.
+  void notify_answer(Time now, const RequestView& end, std::string_view statement);
   void on_slice_result(Time now, SliceResult result);
   void on_machine_renewed(Time now, const MachineRenewed& renewed);
-  void tick(Time now);  // wait timeouts and timers
+  void tick(Time now);  // ends calls whose wait timeout has expired, and queues the calls of phase timer
   void begin_turn(Time now) { budget_.begin_turn(now); }
 
   // Requests the next slice if the budget allows it now. Must be called after any of the functions above.
   void dispatch(Time now);
-  // Returns when dispatch() can request the next slice; none if no call waits for it.
+  // Returns the earliest time at which dispatch() can request the next slice; none while a slice runs or if
+  // there are no calls.
   [[nodiscard]] std::optional<Time> due(Time now) const;
 
   // Returns whether there is nothing to dispatch and nothing for the caller to take.
@@ -111,8 +113,8 @@
   struct Job {
     HookId hook = 0;
     Phase phase = Phase::request;
-    Owner owner = 0;      // phase request
-    RequestView subject;  // of phase answer; phase request uses the RequestState of the owner
+    Owner owner = 0;      // for phase request only
+    RequestView subject;  // for phase answer only; phase request uses the RequestState of the owner
     bool started = false, trial = false;
     bool finished = false;  // the machine holds no state of the call
     CallUsage usage;
--- a/src/hooks/lua_store_api.cpp
+++ b/src/hooks/lua_store_api.cpp
@@ -11,7 +11,7 @@
 
 Store& store_of(lua_State* lua) {
   auto* store = ScriptContext::of(lua).store;
-  if (store == nullptr) luaL_error(lua, "the state can't be used while the script is loaded");
+  if (store == nullptr) luaL_error(lua, "the state can't be used while the script is being loaded");
   return *store;
 }
 
--- a/src/hooks/script_context.hpp
+++ b/src/hooks/script_context.hpp
@@ -36,7 +36,7 @@
 
   Spec spec;
   std::shared_ptr<const SettingNames> names;
-  Store* store = nullptr;  // null while the script is loaded
+  Store* store = nullptr;  // null while the script is being loaded
   SliceTimer slice_timer;
   LuaAllocator allocator;
   Time now{};                          // of the slice, since the epoch
--- a/src/hooks/spec.hpp
+++ b/src/hooks/spec.hpp
@@ -1,5 +1,5 @@
-// The data types of hooks: their settings, the requests that they see, their decisions, and the commands to
-// and results of their Lua machines.
+// The data types of hooks: their settings, the requests that they see, their decisions, the commands to their
+// Lua machines, and the results of these commands.
 #pragma once
 
 #include <array>
@@ -48,7 +48,7 @@
   std::size_t store_limit = std::size_t{64} << 10;    // bytes, for the state between calls
   std::size_t max_concurrent_calls = 8;               // calls that have started and not ended
   bool reject_on_failure = false;                     // otherwise the request continues without the hook
-  Time retry_after = std::chrono::milliseconds(500);  // sent with that rejection
+  Time retry_after = std::chrono::milliseconds(500);  // sent with a rejection on failure
   Match match;
 };
 
@@ -129,7 +129,7 @@
   }
   return "?";
 }
-// Returns whether the failure counts as one of the hook. A queue timeout or an open breaker does not.
+// Returns whether the failure counts as a failure of the hook. A queue timeout or an open breaker does not.
 [[nodiscard]] constexpr bool counts_against_hook(HookFailureKind failure) {
   return failure != HookFailureKind::none && failure != HookFailureKind::queue_timeout &&
          failure != HookFailureKind::circuit_open;
--- a/src/mysql/command.hpp
+++ b/src/mysql/command.hpp
@@ -25,8 +25,8 @@
   std::vector<sql::Value> values;
   std::vector<Attribute> attributes;
 };
-// `types`: those of the statement's previous execute; replaced if this one sends new ones. `with_attributes`:
-// whether the connection supports query attributes.
+// `types`: the types of the statement's previous execute, which are replaced if the payload contains types.
+// `with_attributes`: whether the connection supports query attributes.
 [[nodiscard]] Execute read_execute(std::string_view payload, std::size_t parameters, bool with_attributes,
                                    ParameterTypes& types);
 [[nodiscard]] std::uint32_t read_statement_id(std::string_view payload);  // of any command on a statement
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -43,7 +43,8 @@
   return text;
 }
 
-// The bound value that `?N` refers to, numbered from 1. `word`: the option as written, for error messages.
+// Returns the bound value that `reference` names: `?N`, where N counts from 1. `word`: the option as written,
+// for error messages.
 const sql::Value& bound_value(std::string_view reference, const std::vector<sql::Value>& values,
                               std::string_view word) {
   const auto digits = reference.substr(1);
@@ -82,7 +83,7 @@
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= kMaxNumber))
-    reject(std::string(name) + " is not a number in range");
+    reject(std::string(name) + " is not a number from 0 to 1e9");
   return value;
 }
 
@@ -95,7 +96,7 @@
                           const policy::Settings& settings) {
   if (const auto given = options.find("class"); given != options.end()) {
     const auto found = names.classes.find(given->second);
-    if (found == names.classes.end()) reject("class is in no settings: " + given->second);
+    if (found == names.classes.end()) reject("class is not in the settings: " + given->second);
     return found->second;
   }
   // A read-only statement needs no class option: it gets the first idempotent class.
@@ -113,7 +114,7 @@
     reject("unique is too long, or has spaces or characters that are not printable ASCII");
   // Without a key, a retry by the client could not be distinguished from a new request.
   if (cls.idempotency == policy::Idempotency::keyed && key.empty())
-    reject("unique is missing: " + cls.name + " needs it");
+    reject("unique is missing: class " + cls.name + " needs it");
   return key;
 }
 
--- a/src/mysql/mysql_engine_client.cpp
+++ b/src/mysql/mysql_engine_client.cpp
@@ -141,7 +141,8 @@
   return attributes;
 }
 
-// The statement cannot have been executed before this write. Once a byte has been sent, it may have been.
+// The statement cannot have been executed before this write. Once a byte has been sent, the
+// statement may have been executed.
 void MysqlEngineClient::execute(AttemptId id, Attempt& attempt) {
   const auto& statement = attempt.statement;
   const bool with_attributes = session_of(*attempt.connection).supports_attributes();
--- a/src/mysql/mysql_server.cpp
+++ b/src/mysql/mysql_server.cpp
@@ -362,8 +362,8 @@
     connection.returns_rows = word == "select" || word == "with" || word == "show";
     running_[submission.client] = connection.serial;
     emit_(core::RequestReceived{std::move(submission)});
-  } catch (const InvalidStatement& refusal) {
-    send_error(connection, refusal.error);
+  } catch (const InvalidStatement& invalid) {
+    send_error(connection, invalid.error);
   }
 }
 
--- a/src/mysql/mysql_server.hpp
+++ b/src/mysql/mysql_server.hpp
@@ -56,7 +56,7 @@
 
   enum class Phase {
     login,
-    auth_switched,   // waits for the client's response to another authentication plugin
+    auth_switched,   // waits for the client's response to a switch of the authentication plugin
     clear_password,  // waits for the client's password in clear text
     directory_lookup,
     idle,
@@ -111,7 +111,7 @@
   void send(Connection& connection, std::string_view payload);
   void send_error(Connection& connection, const Error& error);
   void close_reset_connections();
-  // Every connection ends here. Its running statement is cancelled.
+  // Closes and removes the connection, and cancels its running statement. The functions below call this one.
   void close(Connection& connection);
   void close_gracefully(Connection& connection);
   void close_with_error(Connection& connection, const Error& error);
--- a/src/mysql/payload.cpp
+++ b/src/mysql/payload.cpp
@@ -5,8 +5,8 @@
 namespace bellstair::mysql {
 namespace {
 
-// First bytes of length-encoded integers. The value follows in two, three or eight bytes; NULL and an error
-// are marked instead of an integer.
+// First bytes of length-encoded integers whose value follows in two, three or eight bytes, and the first
+// bytes that mark NULL or an error in the place of an integer.
 constexpr std::uint8_t kNullMark = 0xfb, kLength2 = 0xfc, kLength3 = 0xfd, kLength8 = 0xfe, kErrorMark = 0xff;
 
 }  // namespace
--- a/src/mysql/response.cpp
+++ b/src/mysql/response.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::uint8_t kEofMark = 0xfe, kErrorMark = 0xff, kNullCell = 0xfb;
-constexpr std::size_t kMaxEofBytes = 9;  // a packet of this length or more with the mark is a row
+// A packet that begins with kEofMark is a row if it has at least this length, otherwise an EOF packet.
+constexpr std::size_t kMinRowBytesWithEofMark = 9;
 
 }  // namespace
 
@@ -36,7 +37,7 @@
   return !payload.empty() && static_cast<std::uint8_t>(payload[0]) == kErrorMark;
 }
 bool is_eof(std::string_view payload) {
-  return !payload.empty() && payload.size() < kMaxEofBytes &&
+  return !payload.empty() && payload.size() < kMinRowBytesWithEofMark &&
          static_cast<std::uint8_t>(payload[0]) == kEofMark;
 }
 
--- a/src/simulator/batch_reader.cpp
+++ b/src/simulator/batch_reader.cpp
@@ -194,7 +194,7 @@
     case RecordCode::numbered_list:
       read_numbered_list(in);
       return std::nullopt;
-    case RecordCode::stream_begun:  // skipped: no class streams
+    case RecordCode::stream_begun:  // skipped, since no class uses streaming
       in.take_span(kStreamBegunBytes);
       return std::nullopt;
     case RecordCode::start:
--- a/src/simulator/record_codes.hpp
+++ b/src/simulator/record_codes.hpp
@@ -24,7 +24,7 @@
   gossip = 90,
   stop = 100,
   attempt_progress = 110,
-  numbered_list = 120,  // endpoints, to which endpoint lists refer by number
+  numbered_list = 120,  // a list of endpoints with a number, by which endpoint_list refers to it
   instance = 130        // the instance of the following records
 };
 
--- a/src/sql/statement.cpp
+++ b/src/sql/statement.cpp
@@ -123,7 +123,7 @@
 
 std::int64_t table_group(std::string_view statement) {
   Scanner scanner(statement);
-  // The first group in a place where the name could also be that of a column or function.
+  // The first group that was found where the schema could also qualify a column or function.
   std::optional<std::int64_t> possible_group;
   Token last;
   Token token = scanner.next();
--- a/src/sql/value.hpp
+++ b/src/sql/value.hpp
@@ -19,8 +19,8 @@
 };
 using Value = std::variant<Null, std::int64_t, std::uint64_t, double, std::string, Bytes>;
 
-// The opaque form in which the core carries the values. An empty list has a form that is not empty, since an
-// empty text stands for a statement without parameters.
+// The opaque form in which the core carries the values. pack() never returns an empty text, since that stands
+// for a statement without parameters.
 [[nodiscard]] std::string pack(const std::vector<Value>& values);
 [[nodiscard]] std::optional<std::vector<Value>> unpack(std::string_view packed);
 
--- a/tests/hooks_test.cpp
+++ b/tests/hooks_test.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(Breaker, OpensWhenHalfOfTheCallsFailButNotAQuarter) {
+TEST(Breaker, OpensWhenHalfOfTheCallsFailAndNotWhenAQuarterFails) {
   const Limits limits;
   Breaker half(limits), quarter(limits);
   bool opened = false;
@@ -587,7 +587,7 @@
   EXPECT_NE(ScriptedMachine("x = 1").problem.find("defines no function 'on_request'"), std::string::npos);
   EXPECT_EQ(ScriptedMachine("while true do end").problem, "it took too long to load");
   EXPECT_NE(ScriptedMachine("state.set('a', 1, 1) function on_request(r) end")
-                .problem.find("while the script is loaded"),
+                .problem.find("while the script is being loaded"),
             std::string::npos);
   ScriptedMachine fails("function on_request(r) return r.nothing.x end");
   EXPECT_NE(fails.machine->dry_run().find("on_request: it failed"), std::string::npos);
--- a/tests/net/extras_test.cpp
+++ b/tests/net/extras_test.cpp
@@ -109,8 +109,8 @@
     EXPECT_EQ(client.query("SELECT 1").size(), 1U);
   }
   EXPECT_EQ(ldap.requests.count([](const std::string& what) { return what == "search amina"; }), 1U);
-  // An unknown user, a wrong password, an empty password (with which a directory accepts a bind), a tenant
-  // that is not in the settings, and a search pattern as the user's name.
+  // These logins are denied: an unknown user, a wrong password, an empty password (with which a directory
+  // accepts a bind), a tenant that is not in the settings, and a search pattern as the user's name.
   for (const auto& [user, password] :
        {std::pair{"nobody", "pass"}, {"amina", "wrong"}, {"amina", ""}, {"stray", "pass"}, {"*", "pass"}})
     EXPECT_EQ(mysql::read_error(MysqlClient(mysql, user, password).login).code, 1045) << user;
@@ -118,7 +118,7 @@
             1U);  // as a name, not as a pattern
 }
 
-TEST(Directory, DeadOrSilentDirectoryDelaysNoOtherClient) {
+TEST(Directory, DeadOrSilentDirectoryDoesNotDelayOtherClients) {
   HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
   LdapServer silent(true), dead;
   dead.server.stop();
--- a/tests/net/hooks_test.cpp
+++ b/tests/net/hooks_test.cpp
@@ -77,7 +77,7 @@
   for (const auto& [script, log_text] :
        {std::pair{"while true do end", "it took too long"},
         {"local t = {} while true do t[#t + 1] = r.statement .. #t end", "it took too much memory"},
-        {"return {refuse = 'never'}", "'refuse' is no number in range"},
+        {"return {refuse = 'never'}", "'refuse' is not a number from 0 to 1e9"},
         {"return os.exit(1)", "attempt to index a nil value"}}) {
     // The script fails only on this statement, so that it passes the dry run on loading.
     ScriptedBroker s(
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(Hooks, BreakerOpensRetriesAndAReloadReplacesTheScript) {
+TEST(Hooks, BreakerOpensAndClosesAndAReloadReplacesTheScript) {
   ScriptedBroker s(kEndlessScript, {{"on_failure", "refuse"}, {"later", "30ms"}},
                    {{"breaker", {{"failures", 3}, {"pause", "20ms"}, {"most_pause", "40ms"}}}});
   for (int i = 0; i < 3; ++i) EXPECT_EQ(s.query("endless")["error"]["data"]["later"], 30);
--- a/tests/net/mysql_test.cpp
+++ b/tests/net/mysql_test.cpp
@@ -164,7 +164,7 @@
   EXPECT_EQ(client.error.code, 1210);  // a write requires a class
 }
 
-TEST(Mysql, ReportsRejectedFailedAndTimedOutByDistinctCodes) {
+TEST(Mysql, ReportsRejectionsFailuresAndTimeoutsByDistinctCodes) {
   HttpEngine engine([](const Call& call) {
     if (call.headers.contains("X-Queue") && call.headers.at("X-Queue") == "lookup")
       return http(503, {}, "X-Shed: 1\r\n");
@@ -185,7 +185,7 @@
   EXPECT_NE(client.error.message.find("500 ms"), std::string::npos);
 }
 
-TEST(Mysql, RetriesLostExecuteOnlyIfItsClassAllows) {
+TEST(Mysql, RetriesLostExecuteOnlyIfItsClassAllowsIt) {
   std::atomic<bool> drop_connection = true;
   const auto answer = [&](const ExecutedStatement& statement) -> std::optional<MysqlEngine::Rows> {
     if (statement.cls == "once" || drop_connection.exchange(false)) return std::nullopt;
@@ -198,8 +198,8 @@
       client.prepare("/* bellstair: class=load unique=?1 item=a1 */ INSERT INTO sales_17.x VALUES (?)");
   client.execute(load, {"key-1"s});
   EXPECT_EQ(client.error.code, 0) << client.error.message;
-  // The statement may have been executed before the connection was lost. Engines ignore a repeated key, so it
-  // is retried once, with the key.
+  // The statement may have been executed before the connection was lost. Engines ignore a repeated key, so
+  // the statement is retried once, with the same key.
   EXPECT_EQ(count_executions(first, "key-1") + count_executions(second, "key-1"), 2U);
   client.execute(load, {"key-2"s});
   EXPECT_EQ(count_executions(first, "key-2") + count_executions(second, "key-2"), 1U);
