--- a/src/mysql/command.cpp
+++ b/src/mysql/command.cpp
@@ -35,7 +35,7 @@
   static_cast<void>(in.u8());
   out.statement = in.u32();
   const auto flags = in.u8();
-  if ((flags & kCursorFlags) != 0) throw MalformedPacket("cursors are not supported");
+  if ((flags & kCursorFlags) != 0) throw MalformedPacket("cursors are not offered");
   static_cast<void>(in.u32());  // iterations
   const bool count_sent = with_attributes && (flags & kParameterCountSent) != 0;
   std::size_t count = parameters;
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -64,7 +64,7 @@
     text.remove_prefix(word.size());
     const auto equals = word.find('=');
     if (equals == std::string_view::npos || !is_option(word.substr(0, equals)))
-      reject("the comment contains an unknown option: " + std::string(word));
+      reject("the comment names no option: " + std::string(word));
     const std::string name(word.substr(0, equals));
     const auto value = word.substr(equals + 1);
     if (!value.starts_with('?')) {
@@ -83,7 +83,7 @@
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= kMaxNumber))
-    reject(std::string(name) + " is not a number from 0 to 1e9");
+    reject(std::string(name) + " is not a number in range");
   return value;
 }
 
@@ -96,7 +96,7 @@
                           const policy::Settings& settings) {
   if (const auto given = options.find("class"); given != options.end()) {
     const auto found = names.classes.find(given->second);
-    if (found == names.classes.end()) reject("class is not in the settings: " + given->second);
+    if (found == names.classes.end()) reject("class is in no settings: " + given->second);
     return found->second;
   }
   // A read-only statement needs no class option: it gets the first idempotent class.
@@ -111,10 +111,10 @@
 std::string idempotency_key(const std::string& key, const policy::ClassSettings& cls) {
   const auto allowed = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
   if (key.size() > kMaxIdempotencyKey || !std::ranges::all_of(key, allowed))
-    reject("unique is too long, or has spaces or characters that are not printable ASCII");
+    reject("unique holds what no key may hold");
   // Without a key, a retry by the client could not be distinguished from a new request.
   if (cls.idempotency == policy::Idempotency::keyed && key.empty())
-    reject("unique is missing: class " + cls.name + " needs it");
+    reject("unique is missing: " + cls.name + " needs it");
   return key;
 }
 
--- a/src/mysql/mysql_engine_client.cpp
+++ b/src/mysql/mysql_engine_client.cpp
@@ -153,7 +153,7 @@
   } else {
     auto values = sql::unpack(statement.parameters);
     if (!values || values->size() != attempt.prepared.parameters)
-      return end(id, AttemptEnd::error, "the engine expects a different number of parameters");
+      return end(id, AttemptEnd::error, "the engine counts other parameters");
     payload = write_execute({attempt.prepared.statement, std::move(*values), std::move(attributes)},
                             with_attributes);
   }
--- a/src/mysql/payload.cpp
+++ b/src/mysql/payload.cpp
@@ -28,7 +28,7 @@
       return number(8);
     case kNullMark:
     case kErrorMark:
-      throw MalformedPacket("an invalid length-encoded integer");
+      throw MalformedPacket("a length that is none");
     default:
       return first;
   }
@@ -45,7 +45,7 @@
 
 std::string_view Cursor::zero_terminated_text() {
   const auto end = in_.find('\0');
-  if (end == std::string_view::npos) throw MalformedPacket("a string without its terminating zero byte");
+  if (end == std::string_view::npos) throw MalformedPacket("a text without its end");
   const auto out = text(end);
   in_.remove_prefix(1);
   return out;
--- a/src/platform/jsonrpc.cpp
+++ b/src/platform/jsonrpc.cpp
@@ -58,7 +58,7 @@
 void check_printable(const std::string& value, const char* key) {
   const auto printable = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
   if (value.size() > kMaxKeyBytes || !std::ranges::all_of(value, printable))
-    throw InvalidParameter(key, "is too long or contains a space, control or non-ASCII character");
+    throw InvalidParameter(key, "holds what no id may hold");
 }
 
 std::uint64_t parse_hex(const std::string& digits, const char* key) {
@@ -81,7 +81,7 @@
   const auto name = optional_text(params, wire::kTenant);
   if (name.empty()) return names.no_tenant;
   const auto found = names.tenants.find(name);
-  if (found == names.tenants.end()) throw InvalidParameter(wire::kTenant, "is not a tenant of the settings");
+  if (found == names.tenants.end()) throw InvalidParameter(wire::kTenant, "is in no settings");
   return found->second;
 }
 
@@ -157,18 +157,18 @@
   };
   const json message = json::parse(text, within_depth, false);
   if (too_deep) return RpcError{std::nullopt, kRpcInvalidRequest, "nested too deeply"};
-  if (message.is_discarded()) return RpcError{std::nullopt, kRpcParseError, "not JSON"};
-  if (!message.is_object()) return RpcError{std::nullopt, kRpcInvalidRequest, "not a JSON object"};
+  if (message.is_discarded()) return RpcError{std::nullopt, kRpcParseError, "no JSON"};
+  if (!message.is_object()) return RpcError{std::nullopt, kRpcInvalidRequest, "no call"};
   std::optional<std::uint64_t> id;
   if (const auto found = message.find("id"); found != message.end() && !found->is_null()) {
     if (!found->is_number_unsigned())
-      return RpcError{std::nullopt, kRpcInvalidRequest, "id is not a whole number of 0 or more"};
+      return RpcError{std::nullopt, kRpcInvalidRequest, "id is not a whole number from 1 up"};
     id = found->get<std::uint64_t>();
   }
   const auto method = message.find("method");
   const auto version = message.find("jsonrpc");
   if (method == message.end() || !method->is_string() || version == message.end() || *version != "2.0")
-    return RpcError{id, kRpcInvalidRequest, "not a call of JSON-RPC 2.0"};
+    return RpcError{id, kRpcInvalidRequest, "no call of JSON-RPC 2.0"};
   static const json no_params = json::object();
   const auto params = message.find("params");
   try {
--- a/src/platform/jsonrpc_server.cpp
+++ b/src/platform/jsonrpc_server.cpp
@@ -238,7 +238,7 @@
 void JsonRpcServer::reject_message(Connection& connection, const std::string& reply) {
   connection.stream.write(reply);
   if (++connection.invalid_messages == kMaxInvalidMessages)
-    close_with_error(connection, "too many invalid messages");
+    close_with_error(connection, "too many lines of no use");
 }
 
 // ---- timers
@@ -259,7 +259,7 @@
   // Unread input may be the rest of the line.
   if (connection.stream.unread() == net::Stream::Unread::bytes)
     return arm_timer(connection, now_ + kUnreadInputRecheck);
-  close_with_error(connection, "no complete request was received in time");
+  close_with_error(connection, "no whole request came");
 }
 
 // A reset after a half-close is not detected by reading.
--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -266,7 +266,7 @@
   active.ask(1, "lookup", kSelect);
   EXPECT_EQ(body(active.answer()), "x\ty\tz\n");
   incomplete.socket.send(R"({"jsonrpc":"2.0","id":1,"meth)");
-  EXPECT_EQ(incomplete.answer()["error"]["message"], "no complete request was received in time");
+  EXPECT_EQ(incomplete.answer()["error"]["message"], "no whole request came");
   EXPECT_TRUE(incomplete.socket.ended());
   EXPECT_TRUE(silent.socket.ended());
   std::vector<Client> others;
--- a/tests/processes/publish_test.cpp
+++ b/tests/processes/publish_test.cpp
@@ -58,7 +58,7 @@
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     pids.push_back(fleet.broker(i).pid());
     EXPECT_EQ(fleet.ask(i, "acme"), "");
-    EXPECT_NE(fleet.ask(i, "new").find("team is not a tenant of the settings"), std::string::npos);
+    EXPECT_NE(fleet.ask(i, "new").find("team is in no settings"), std::string::npos);
   }
   ASSERT_EQ(fleet.publish(tenant("acme") + tenant("new")).code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
@@ -67,14 +67,14 @@
   }
   ASSERT_EQ(fleet.publish(tenant("new")).code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
-    EXPECT_NE(fleet.ask(i, "acme").find("team is not a tenant of the settings"), std::string::npos);
+    EXPECT_NE(fleet.ask(i, "acme").find("team is in no settings"), std::string::npos);
     EXPECT_EQ(fleet.ask(i, "new"), "");
   }
   // Settings that a document does not name are those of the platform's configuration.
   ASSERT_EQ(fleet.publish("class \"lookup\" {\n  worth = 2\n}\n").code, 0);
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
     EXPECT_EQ(fleet.ask(i, "acme"), "");
-    EXPECT_NE(fleet.ask(i, "new").find("team is not a tenant of the settings"), std::string::npos);
+    EXPECT_NE(fleet.ask(i, "new").find("team is in no settings"), std::string::npos);
     EXPECT_EQ(fleet.broker(i).pid(), pids[i]);
   }
 }
