--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -22,8 +22,8 @@
   if (term.epoch == observed_.epoch) {
     if (term.leader == observed_.leader) return TermCheck::accepted;
     log_line(out, node_,
-             "the leader of epoch " + std::to_string(term.epoch) + " is " + observed_.leader + "; " + source +
-                 " names " + term.leader +
+             "epoch " + std::to_string(term.epoch) + " has " + observed_.leader + " as its leader; " +
+                 source + " names " + term.leader +
                  ", which is rejected: to change the leader, raise the epoch in the operator's file");
     return TermCheck::conflict;
   }
--- a/src/control/subscriber.cpp
+++ b/src/control/subscriber.cpp
@@ -147,7 +147,7 @@
     return false;
   }
   if (term.epoch == term_.epoch && term.leader != term_.leader) {
-    reject_node(now, "the leader of epoch " + epoch + " is " + term_.leader + ", not " + term.leader, out);
+    reject_node(now, "epoch " + epoch + " has " + term_.leader + " as its leader, not " + term.leader, out);
     return false;
   }
   term_ = term;
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -528,7 +528,7 @@
   NodeHarness harness;
   harness.accept_with_hello(kOther, harness.hello(Role::node, "c2", {3, "c2"}));
   EXPECT_TRUE(rejects(harness.out, kOther, "epoch 3 has two leaders: c1 at this node, c2 at the peer"));
-  EXPECT_TRUE(logs(harness.out, "the leader of epoch 3 is c1; node c2 names c2"));
+  EXPECT_TRUE(logs(harness.out, "epoch 3 has c1 as its leader; node c2 names c2"));
   EXPECT_TRUE(harness.node->is_leader());
   harness.accept_with_hello(kBroker, harness.hello(Role::broker, "b1", {3, "c2"}));
   EXPECT_TRUE(rejects(harness.out, kBroker, "two leaders"));
@@ -829,7 +829,7 @@
 
   SubscriberHarness harness(version(3, 4));
   EXPECT_TRUE(logs(harness.connect({2, "c1"}), "is at the outdated epoch 2; epoch 3 is known"));
-  EXPECT_TRUE(logs(harness.connect({3, "c2"}), "the leader of epoch 3 is c1, not c2"));
+  EXPECT_TRUE(logs(harness.connect({3, "c2"}), "epoch 3 has c1 as its leader, not c2"));
   harness.connect({5, "c3"});
   EXPECT_EQ(harness.subscriber->term(), (LeaderTerm{5, "c3"}));
   EXPECT_TRUE(logs(harness.receive(Pong{{4, "c1"}}), "is at the outdated epoch 4"));
--- a/tests/processes/faults_test.cpp
+++ b/tests/processes/faults_test.cpp
@@ -344,7 +344,7 @@
   fleet.network.for_each_link([](auto& from_name, auto& to) { return to != "c3" && from_name[0] == 'n'; },
                               [](Link& link) { link.cut(); });
   for (std::size_t i = 0; i < fleet.brokers(); ++i) {
-    fleet.broker(i).wait_for_log("the leader of epoch 1 is", from[i]);
+    fleet.broker(i).wait_for_log("epoch 1 has", from[i]);
     EXPECT_FALSE(fleet.was_active(i, {1, 2}));
     EXPECT_EQ(fleet.ask(i, "one"), "");
   }
@@ -421,7 +421,7 @@
            offer(damaged),
        "version 2.6 is damaged"},
       {welcome({1, "c1"}) + offer(version({1, 9}, "c1", "stale")), "is at the outdated epoch 1"},
-      {welcome({2, "c9"}) + offer(version({2, 9}, "c9", "second")), "the leader of epoch 2 is c1, not c9"},
+      {welcome({2, "c9"}) + offer(version({2, 9}, "c9", "second")), "epoch 2 has c1 as its leader, not c9"},
       {welcome({2, "c1"}) + offer(version({2, 8}, "c9", "foreign")),
        "names a second leader of its epoch: c9"},
       {welcome({2, "c1"}) + offer(version({3, 1}, "c1", "unknown")),
