--- a/benchmarks/control_at_size.cpp
+++ b/benchmarks/control_at_size.cpp
@@ -320,7 +320,7 @@
   };
   Times publish() {
     test::ControlPeer writer(nodes_.at("c1").real.address);
-    writer.greet();
+    writer.send_hello();
     writer.expect<control::Welcome>();
     std::string document = "class \"lookup\" {\n  worth = " + std::to_string(++published_) + "\n}\n";
     for (std::size_t t = 0; t < kTenants; ++t) {
@@ -354,10 +354,10 @@
 
   [[nodiscard]] std::size_t size() const { return size_; }
   std::vector<Host>& hosts() { return hosts_; }
-  std::uint64_t bytes(test::Way way) {
+  std::uint64_t bytes(test::Direction way) {
     std::uint64_t out = 0;
-    network.each([](auto& from, auto&) { return from[0] == 'g'; },
-                 [&](test::Link& link) { out += link.bytes(way); });
+    network.for_each_link([](auto& from, auto&) { return from[0] == 'g'; },
+                          [&](test::Link& link) { out += link.bytes(way); });
     return out;
   }
   std::map<std::string, double> processor() {
@@ -415,7 +415,7 @@
 // Costs of a span in which `what` goes on.
 void costs(Fleet& fleet, const std::string& axis, int play, const std::function<void()>& what) {
   const auto before = fleet.processor();
-  const auto up = fleet.bytes(test::Way::up), down = fleet.bytes(test::Way::down);
+  const auto up = fleet.bytes(test::Direction::up), down = fleet.bytes(test::Direction::down);
   const auto from = Clock::now();
   what();
   const double seconds = ms(Clock::now() - from) / 1e3;
@@ -423,9 +423,9 @@
   const auto x = fleet.size();
   const auto brokers = static_cast<double>(x);
   row(axis, x, play, "broker", "bytes_told", "B/s",
-      static_cast<double>(fleet.bytes(test::Way::up) - up) / seconds / brokers);
+      static_cast<double>(fleet.bytes(test::Direction::up) - up) / seconds / brokers);
   row(axis, x, play, "broker", "bytes_heard", "B/s",
-      static_cast<double>(fleet.bytes(test::Way::down) - down) / seconds / brokers);
+      static_cast<double>(fleet.bytes(test::Direction::down) - down) / seconds / brokers);
   if (x > kReal)
     row(axis, x, play, "hollow_broker", "processor", "core",
         (after.at("hollow") - before.at("hollow")) / seconds / static_cast<double>(x - kReal));
@@ -484,7 +484,7 @@
       const auto name = numbered("g", 100 + host.first / kHollowEach);
       if (half(name, name)) cut += host.count;
     }
-    fleet.network.each(half, [](test::Link& link) { link.cut(); });
+    fleet.network.for_each_link(half, [](test::Link& link) { link.cut(); });
     const auto times = fleet.publish();
     if (cut < size) {
       Spread rest;
@@ -492,7 +492,7 @@
     }
     std::this_thread::sleep_for(quick ? 2s : 6s);  // so that back-off is at its longest
     const auto from = Clock::now();
-    fleet.network.each(half, [](test::Link& link) { link.heal(); });
+    fleet.network.for_each_link(half, [](test::Link& link) { link.heal(); });
     const auto said = fleet.when(times.from, size, Fleet::in_force(times.place));
     for (const auto& [who, at] : said) {
       if (at > from) healed.push_back(ms(at - from));
@@ -509,8 +509,8 @@
     const auto mark = fleet.ears.now();
     const auto from = Clock::now();
     costs(fleet, "brokers_reconnect_wave", play, [&] {
-      fleet.network.each([](auto& who, auto&) { return who[0] == 'g'; },
-                         [](test::Link& link) { link.reset(); });
+      fleet.network.for_each_link([](auto& who, auto&) { return who[0] == 'g'; },
+                                  [](test::Link& link) { link.reset(); });
       for (const auto& [who, at] : fleet.when(mark, size, "control: connected to "))
         anew.push_back(ms(at - from));
     });
